--- a/src/entry/beliefs.rs
+++ b/src/entry/beliefs.rs
@@ -14,8 +14,8 @@
 
 use crate::flow::Belief;
 use crate::flow::Presence;
-use crate::platform::allowance::Bucket;
-use crate::platform::allowance::Rate;
+use crate::platform::rate_limit::Bucket;
+use crate::platform::rate_limit::Rate;
 
 /// Lines a second. On an ordinary day servers come and go one by one.
 const RATE: Rate = Rate(20);
--- a/src/entry/journal.rs
+++ b/src/entry/journal.rs
@@ -11,8 +11,8 @@
 use tokio::time::Instant;
 
 use crate::flow::Note;
-use crate::platform::allowance::Bucket;
-use crate::platform::allowance::Rate;
+use crate::platform::rate_limit::Bucket;
+use crate::platform::rate_limit::Rate;
 
 /// What the lines tell beside the decision itself.
 #[derive(Clone, Copy, Debug)]
--- a/src/entry/refusals.rs
+++ b/src/entry/refusals.rs
@@ -10,9 +10,9 @@
 use tokio::time::Instant;
 
 use crate::platform::Change;
-use crate::platform::allowance::Bucket;
-use crate::platform::allowance::Rate;
 use crate::platform::poll::Refusal;
+use crate::platform::rate_limit::Bucket;
+use crate::platform::rate_limit::Rate;
 use crate::replica::Update;
 
 /// Log lines a second: enough to see a fault begin, few beside the decisions'.
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -10,7 +10,7 @@
 use crate::error::Result;
 use crate::id;
 use crate::platform::Base;
-use crate::platform::allowance::Rate;
+use crate::platform::rate_limit::Rate;
 use crate::replica::Bandwidth;
 use crate::settings;
 use crate::settings::Log;
--- a/src/error.rs
+++ b/src/error.rs
@@ -137,6 +137,6 @@
         /// Who would have been asked.
         peer: String,
         /// Calls allowed per second.
-        rate: crate::platform::allowance::Rate,
+        rate: crate::platform::rate_limit::Rate,
     },
 }
--- a/src/flow.rs
+++ b/src/flow.rs
@@ -9,20 +9,20 @@
 //! verdicts and notes come out.
 
 mod backlog;
+mod baseline;
 mod choice;
 mod contact;
 pub(crate) mod directory;
 mod egress;
 mod evacuation;
-mod evidence;
-mod experience;
-mod note;
+mod event;
+mod liveness;
+mod outcome;
 mod plane;
 mod route;
 mod segment;
 mod table;
 mod tag;
-mod usual;
 mod warmup;
 
 pub use backlog::Backlog;
@@ -36,13 +36,13 @@
 pub use egress::Datagram;
 pub use egress::Egress;
 pub use evacuation::Evacuation;
-pub use evidence::RoundTrip;
-pub use experience::Counts;
-pub use experience::Testimony;
-pub use note::Drop;
-pub use note::Note;
-pub use note::Refusal;
-pub use note::Timing;
+pub use event::Drop;
+pub use event::Note;
+pub use event::Refusal;
+pub use event::Timing;
+pub use liveness::RoundTrip;
+pub use outcome::Counts;
+pub use outcome::Testimony;
 pub use plane::Belief;
 pub use plane::Options;
 pub use plane::Plane;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -56,6 +56,6 @@
 pub use crate::error::Result;
 pub use crate::peer::member;
 pub use crate::peer::wire;
-pub use crate::platform::allowance;
 pub use crate::platform::gateway;
 pub use crate::platform::poll;
+pub use crate::platform::rate_limit;
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -44,8 +44,8 @@
 use crate::peer::wire::Guard;
 use crate::peer::wire::Keys;
 use crate::peer::wire::MAX_FRAME;
-use crate::platform::allowance::Bucket;
-use crate::platform::allowance::Rate;
+use crate::platform::rate_limit::Bucket;
+use crate::platform::rate_limit::Rate;
 
 /// Time for one exchange of configuration with a peer.
 const PULL_TIMEOUT: Duration = Duration::from_secs(3);
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -8,12 +8,12 @@
 //! that stays away is [`Error::Unanswered`] and the caller has to find out, for
 //! which there is [`Client::swap_and_resolve`].
 
-pub mod allowance;
 mod call;
 mod client;
 mod follow;
 pub mod gateway;
 pub mod poll;
+pub mod rate_limit;
 mod resolution;
 pub(crate) mod transport;
 mod watch;
@@ -30,7 +30,7 @@
 use crate::error::Error;
 use crate::error::Result;
 use crate::pacing;
-use crate::platform::allowance::Rate;
+use crate::platform::rate_limit::Rate;
 
 pub use crate::platform::client::Client;
 pub use crate::platform::follow::Update;
--- a/src/platform/transport.rs
+++ b/src/platform/transport.rs
@@ -21,10 +21,10 @@
 use crate::platform::Base;
 use crate::platform::Counts;
 use crate::platform::Options;
-use crate::platform::allowance::Bucket;
 use crate::platform::call::Body;
 use crate::platform::gateway;
 use crate::platform::gateway::Decoded;
+use crate::platform::rate_limit::Bucket;
 
 /// Largest answer that is read, in bytes.
 ///
--- a/src/replica/message.rs
+++ b/src/replica/message.rs
@@ -16,7 +16,7 @@
 use crate::error::Result;
 use crate::platform;
 use crate::platform::Change;
-use crate::replica::board::Remark;
+use crate::replica::outcome::Remark;
 use crate::replica::pack;
 use crate::replica::pack::Base;
 
--- a/src/replica/pacer.rs
+++ b/src/replica/pacer.rs
@@ -12,8 +12,8 @@
 use tokio::time;
 use tokio::time::Instant;
 
-use crate::platform::allowance::Bucket;
-use crate::platform::allowance::Rate;
+use crate::platform::rate_limit::Bucket;
+use crate::platform::rate_limit::Rate;
 use crate::replica::Bandwidth;
 
 /// Part of this instance's link that subscribers may fill. Callers' packets on
--- a/src/replica/publish.rs
+++ b/src/replica/publish.rs
@@ -21,13 +21,13 @@
 use crate::error::Error;
 use crate::error::Result;
 use crate::replica::Shared;
-use crate::replica::board::MOST_REMARKS;
-use crate::replica::board::Remarks;
-use crate::replica::board::TELL_EVERY;
 use crate::replica::message;
 use crate::replica::message::News;
 use crate::replica::message::Subscribe;
 use crate::replica::outbox::Outbox;
+use crate::replica::outcome::MOST_REMARKS;
+use crate::replica::outcome::Remarks;
+use crate::replica::outcome::TELL_EVERY;
 use crate::replica::pack::Base;
 use crate::replica::tree::FAN_OUT;
 
--- a/src/replica/subscribe.rs
+++ b/src/replica/subscribe.rs
@@ -20,14 +20,14 @@
 use crate::platform::Change;
 use crate::platform::Entry;
 use crate::replica::Member;
-use crate::replica::board::Remark;
-use crate::replica::board::Remarks;
 use crate::replica::inbox::Complete;
 use crate::replica::inbox::Inbox;
 use crate::replica::message;
 use crate::replica::message::Held;
 use crate::replica::message::News;
 use crate::replica::message::Subscribe;
+use crate::replica::outcome::Remark;
+use crate::replica::outcome::Remarks;
 use crate::replica::pack::Base;
 
 /// Time for a connection and its first message.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -22,7 +22,7 @@
 use crate::error::Result;
 use crate::id;
 use crate::platform::Base;
-use crate::platform::allowance::Rate;
+use crate::platform::rate_limit::Rate;
 use crate::settings::jsonc::Source;
 
 pub use crate::key::Key;
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use coap_lite::RequestType;
-use godwitreel::allowance::Bucket;
-use godwitreel::allowance::Rate;
+use godwitreel::rate_limit::Bucket;
+use godwitreel::rate_limit::Rate;
 use serde_json::json;
 use standin::caller::Outcome;
 use standin::caller::Update;
