--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -108,7 +108,7 @@
     let (kept, mut is_kept) = mpsc::channel(1);
     let (sender, mut tallies) = mpsc::channel(1);
     let me = start::member(&settings);
-    tokio::spawn(replica::take_census(me, Arc::clone(&replica), sender));
+    tokio::spawn(replica::monitor_liveness(me, Arc::clone(&replica), sender));
     let (questions, mut asked) = mpsc::channel(QUESTIONS);
     let metrics = Metrics::new(transport, Arc::clone(&replica));
     metrics.prepare();
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -41,7 +41,7 @@
 pub(crate) use follow::Sources;
 pub(crate) use follow::follow;
 pub(crate) use handover::Handover;
-pub(crate) use liveness::take as take_census;
+pub(crate) use liveness::monitor_liveness;
 pub(crate) use outcome::TELL_EVERY;
 pub(crate) use pacer::Pacer;
 pub(crate) use publish::publish;
--- a/src/replica/liveness.rs
+++ b/src/replica/liveness.rs
@@ -58,7 +58,7 @@
 }
 
 /// Looks at the fleet until the receiver is dropped.
-pub(crate) async fn take(me: Member, shared: Arc<Shared>, sender: mpsc::Sender<Tally>) {
+pub(crate) async fn monitor_liveness(me: Member, shared: Arc<Shared>, sender: mpsc::Sender<Tally>) {
     loop {
         time::sleep(LOOK_EVERY).await;
         let tally = look(&me, &shared).await;
