--- a/benches/plane.rs
+++ b/benches/plane.rs
@@ -9,12 +9,12 @@
 use criterion::criterion_group;
 use criterion::criterion_main;
 use godwitreel::flow::Backend;
-use godwitreel::flow::Belief;
+use godwitreel::flow::StateUpdate;
 use godwitreel::flow::Flags;
 use godwitreel::flow::Options;
-use godwitreel::flow::Pair;
-use godwitreel::flow::Plane;
-use godwitreel::flow::Presence;
+use godwitreel::flow::FlowKey;
+use godwitreel::flow::DataPlane;
+use godwitreel::flow::ServerState;
 use godwitreel::flow::Route;
 use godwitreel::flow::Routes;
 use godwitreel::flow::Segment;
@@ -42,14 +42,14 @@
         .parse()
         .expect("a name"),
         slots: 2,
-        presence: Presence::Ready,
+        state: ServerState::Ready,
         incarnation: None,
         cold_for: Duration::ZERO,
     }
 }
 
-fn plane(now: Instant) -> Plane {
-    let mut plane = Plane::new(Options {
+fn plane(now: Instant) -> DataPlane {
+    let mut plane = DataPlane::new(Options {
         instance: "entry-1".parse().expect("a name"),
         zone: "bole".parse().expect("a name"),
         spill: 2.5,
@@ -66,18 +66,18 @@
         name: "feed".to_owned(),
         backends: vec![backend],
     };
-    plane.learn(
+    plane.apply(
         now,
-        Belief::Routes(Routes {
+        StateUpdate::Routes(Routes {
             version: 1,
             by_address: [(SERVICE, route)].into(),
             idle_timeout: Duration::from_secs(3_600),
             warmups: Default::default(),
         }),
     );
-    plane.learn(
+    plane.apply(
         now,
-        Belief::Servers {
+        StateUpdate::Servers {
             listed: (0..SERVERS).map(server).collect(),
             unreadable: Vec::new(),
         },
@@ -87,7 +87,7 @@
 
 fn segment(caller: u32, flags: Flags, tag: Tag) -> Segment {
     Segment {
-        pair: Pair {
+        flow_key: FlowKey {
             caller: SocketAddrV4::new(Ipv4Addr::from(0x6440_0000 + caller), 4_000),
             service: SERVICE,
         },
@@ -116,7 +116,7 @@
 }
 
 /// Opens a flow and gives back its tag.
-fn open(plane: &mut Plane, now: Instant, caller: u32) -> Tag {
+fn open(plane: &mut DataPlane, now: Instant, caller: u32) -> Tag {
     let Verdict::Forward(target) = plane.receive(now, &opening(caller), &[0; 34]) else {
         panic!("refused");
     };
@@ -125,7 +125,7 @@
 }
 
 /// A plane with all flows open, their tags, and the time of the last.
-fn filled() -> (Plane, Vec<Tag>, Instant) {
+fn filled() -> (DataPlane, Vec<Tag>, Instant) {
     let mut at = Instant::now();
     let mut plane = plane(at);
     let mut tags = Vec::new();
@@ -134,7 +134,7 @@
         tags.push(open(&mut plane, at, caller));
     }
     plane.expire(at);
-    plane.take_notes();
+    plane.take_events();
     plane.take_timings();
     (plane, tags, at)
 }
@@ -173,7 +173,7 @@
 }
 
 /// The caller's answer to the server and its last packet.
-fn finish(plane: &mut Plane, at: Instant, caller: u32, verdict: Verdict) {
+fn finish(plane: &mut DataPlane, at: Instant, caller: u32, verdict: Verdict) {
     let Verdict::Forward(target) = verdict else {
         panic!("refused");
     };
@@ -182,7 +182,7 @@
     last.flags.fin = true;
     plane.receive(at, &last, &[]);
     if caller.is_multiple_of(256) {
-        plane.take_notes();
+        plane.take_events();
         plane.take_timings();
         plane.expire(at);
     }
--- a/soak/src/backend.rs
+++ b/soak/src/backend.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use godwitreel::flow::Flags;
-use godwitreel::flow::Pair;
+use godwitreel::flow::FlowKey;
 use godwitreel::flow::Segment;
 use godwitreel::flow::Tag;
 use platform::packet;
@@ -60,7 +60,7 @@
 struct Server {
     identity: Identity,
     socket: UdpSocket,
-    flows: Mutex<HashMap<Pair, Flow>>,
+    flows: Mutex<HashMap<FlowKey, Flow>>,
     ledger: Arc<Ledger>,
 }
 
@@ -129,17 +129,17 @@
 
     async fn open(&self, segment: &Segment, from: SocketAddr) {
         if let IpAddr::V4(instance) = from.ip() {
-            let port = segment.pair.service.port();
+            let port = segment.flow_key.service.port();
             let zone = self.identity.zone;
             self.ledger
                 .opened(self.identity.serial, zone, port, instance);
         }
-        if segment.pair.service.port() != self.identity.port {
+        if segment.flow_key.service.port() != self.identity.port {
             self.ledger
-                .breach("flow at the wrong service", segment.pair);
+                .breach("flow at the wrong service", segment.flow_key);
         }
         let mut flows = self.flows.lock().await;
-        let flow = flows.entry(segment.pair).or_insert_with(|| Flow {
+        let flow = flows.entry(segment.flow_key).or_insert_with(|| Flow {
             tag: segment.tag,
             first: rand::rng().random(),
             next: segment.seq.wrapping_add(1),
@@ -150,30 +150,30 @@
         flow.tag = segment.tag;
         let answer = (flow.first, flow.next, flow.tag);
         drop(flows);
-        self.send(segment.pair, SYN | ACK, answer, b"").await;
+        self.send(segment.flow_key, SYN | ACK, answer, b"").await;
     }
 
     async fn carry(self: &Arc<Self>, segment: &Segment, data: &[u8]) {
         let mut flows = self.flows.lock().await;
-        let Some(flow) = flows.get_mut(&segment.pair) else {
+        let Some(flow) = flows.get_mut(&segment.flow_key) else {
             drop(flows);
             if !segment.flags.rst {
                 let reset = (segment.ack, segment.end(), segment.tag);
-                self.send(segment.pair, RST, reset, b"").await;
+                self.send(segment.flow_key, RST, reset, b"").await;
             }
             return;
         };
         flow.tag = segment.tag;
         flow.is_open |= segment.flags.ack && segment.ack == flow.first.wrapping_add(1);
         if segment.flags.rst || is_last(segment.flags) {
-            flows.remove(&segment.pair);
+            flows.remove(&segment.flow_key);
             return;
         }
         if !flow.is_open && segment.flags.ack {
             // The caller has taken another server's answer.
             let reset = (segment.ack, segment.end(), segment.tag);
             drop(flows);
-            self.send(segment.pair, RST, reset, b"").await;
+            self.send(segment.flow_key, RST, reset, b"").await;
             return;
         }
         let is_repeat = segment.end() == flow.next;
@@ -182,19 +182,19 @@
             let seq = flow.first.wrapping_add(1).wrapping_add(start);
             let head = (seq, flow.next, flow.tag);
             drop(flows);
-            self.send(segment.pair, ACK, head, &answer).await;
+            self.send(segment.flow_key, ACK, head, &answer).await;
         } else if flow.is_open && segment.seq == flow.next && !data.is_empty() {
             flow.next = segment.end();
             flow.answer = None;
             drop(flows);
             let request = data.to_vec();
-            tokio::spawn(Arc::clone(self).run(segment.pair, request));
+            tokio::spawn(Arc::clone(self).run(segment.flow_key, request));
         }
     }
 
-    async fn run(self: Arc<Self>, pair: Pair, request: Vec<u8>) {
+    async fn run(self: Arc<Self>, flow_key: FlowKey, request: Vec<u8>) {
         let Some(request) = Request::decode(&request) else {
-            self.ledger.breach("request altered", pair);
+            self.ledger.breach("request altered", flow_key);
             return;
         };
         self.ledger.ran(request.id, request.may_repeat);
@@ -202,7 +202,7 @@
         time::sleep(Duration::from_millis(work)).await;
         let answer = request.encode(self.identity.serial);
         let mut flows = self.flows.lock().await;
-        let Some(flow) = flows.get_mut(&pair) else {
+        let Some(flow) = flows.get_mut(&flow_key) else {
             return;
         };
         let head = (
@@ -213,21 +213,21 @@
         flow.sent = flow.sent.wrapping_add(answer.len() as u32);
         flow.answer = Some(answer.clone());
         drop(flows);
-        self.send(pair, ACK, head, &answer).await;
+        self.send(flow_key, ACK, head, &answer).await;
     }
 
-    async fn send(&self, pair: Pair, flags: u8, head: (u32, u32, Tag), data: &[u8]) {
+    async fn send(&self, flow_key: FlowKey, flags: u8, head: (u32, u32, Tag), data: &[u8]) {
         let (seq, ack, tag) = head;
         let packet = Packet {
-            from: pair.service,
-            to: pair.caller,
+            from: flow_key.service,
+            to: flow_key.caller,
             flags,
             seq,
             ack,
             tag,
             data,
         };
-        let to = SocketAddrV4::new(*pair.caller.ip(), self.identity.address.port());
+        let to = SocketAddrV4::new(*flow_key.caller.ip(), self.identity.address.port());
         // A lost packet is repeated when the caller asks again.
         let _ = self.socket.send_to(&packet.encode(), to).await;
     }
--- a/soak/src/caller.rs
+++ b/soak/src/caller.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use godwitreel::flow::Pair;
+use godwitreel::flow::FlowKey;
 use godwitreel::flow::Segment;
 use godwitreel::flow::Tag;
 use platform::packet;
@@ -165,8 +165,8 @@
         None
     }
 
-    async fn send(&self, pair: &Pair, bytes: &[u8]) {
-        let to = self.shared.router.pick(pair);
+    async fn send(&self, flow_key: &FlowKey, bytes: &[u8]) {
+        let to = self.shared.router.pick(flow_key);
         // An instance that is gone loses its packets; they are repeated.
         let _ = self.socket.send_to(bytes, to).await;
     }
@@ -198,7 +198,7 @@
             continue;
         }
         // From a server's side the caller's end is the destination.
-        let port = segment.pair.service.port();
+        let port = segment.flow_key.service.port();
         let inbox = host.inboxes().get(&port).cloned();
         if let Some(inbox) = inbox {
             let _ = inbox.send((segment, bytes[HEAD..].to_vec(), author));
@@ -209,7 +209,7 @@
 /// An open flow.
 struct Flow {
     host: Arc<Host>,
-    pair: Pair,
+    flow_key: FlowKey,
     inbox: mpsc::UnboundedReceiver<(Segment, Vec<u8>, Author)>,
     seq: u32,
     ack: u32,
@@ -221,7 +221,7 @@
 
 impl Drop for Flow {
     fn drop(&mut self) {
-        self.host.inboxes().remove(&self.pair.caller.port());
+        self.host.inboxes().remove(&self.flow_key.caller.port());
     }
 }
 
@@ -236,7 +236,7 @@
         let (sender, inbox) = mpsc::unbounded_channel();
         host.inboxes().insert(port, sender);
         let mut flow = Self {
-            pair: Pair {
+            flow_key: FlowKey {
                 caller: SocketAddrV4::new(*host.address.ip(), port),
                 service,
             },
@@ -281,15 +281,15 @@
 
     async fn send(&self, flags: u8, data: &[u8]) {
         let packet = Packet {
-            from: self.pair.caller,
-            to: self.pair.service,
+            from: self.flow_key.caller,
+            to: self.flow_key.service,
             flags,
             seq: self.seq,
             ack: self.ack,
             tag: self.tag,
             data,
         };
-        self.host.send(&self.pair, &packet.encode()).await;
+        self.host.send(&self.flow_key, &packet.encode()).await;
     }
 
     async fn ask(&mut self, request: Request, deadline: Instant) -> Outcome {
@@ -320,11 +320,11 @@
     fn check(&mut self, request: Request, answer: &[u8]) {
         let ledger = &self.host.shared.ledger;
         if Request::decode(answer) != Some(request) {
-            ledger.breach("answer to another request", self.pair);
+            ledger.breach("answer to another request", self.flow_key);
         }
         let server = backend::answered_by(answer);
         if self.server.is_some() && self.server != server {
-            ledger.breach("flow changed its server", self.pair);
+            ledger.breach("flow changed its server", self.flow_key);
         }
         self.server = server;
     }
@@ -334,7 +334,7 @@
             && let Some(server) = self.server
         {
             let ledger = &self.host.shared.ledger;
-            ledger.reset_open(server, &self.pair.to_string());
+            ledger.reset_open(server, &self.flow_key.to_string());
         }
         Outcome::Refused
     }
--- a/soak/src/router.rs
+++ b/soak/src/router.rs
@@ -10,7 +10,7 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
-use godwitreel::flow::Pair;
+use godwitreel::flow::FlowKey;
 use tokio::io::AsyncReadExt;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -52,7 +52,7 @@
 
     /// Where a flow's packets go now: the hash picks among the instances in
     /// rotation, among all when less than half of them are.
-    pub fn pick(&self, pair: &Pair) -> SocketAddrV4 {
+    pub fn pick(&self, flow_key: &FlowKey) -> SocketAddrV4 {
         let instances = self.instances.lock();
         let instances = instances.unwrap_or_else(PoisonError::into_inner);
         let ready: Vec<Ipv4Addr> = instances
@@ -67,7 +67,7 @@
             ready
         };
         let mut hasher = DefaultHasher::new();
-        pair.hash(&mut hasher);
+        flow_key.hash(&mut hasher);
         let index = hasher.finish() as usize % some.len();
         SocketAddrV4::new(some[index], self.packets)
     }
--- a/src/entry/beliefs.rs
+++ b/src/entry/beliefs.rs
@@ -12,8 +12,8 @@
 use slog::info;
 use tokio::time::Instant;
 
-use crate::flow::Belief;
-use crate::flow::Presence;
+use crate::flow::StateUpdate;
+use crate::flow::ServerState;
 use crate::platform::rate_limit::Bucket;
 use crate::platform::rate_limit::Rate;
 
@@ -88,32 +88,32 @@
     }
 
     /// What a belief says; `None` for what has lines elsewhere.
-    pub(crate) fn of(belief: &Belief) -> Option<Self> {
+    pub(crate) fn of(belief: &StateUpdate) -> Option<Self> {
         let told = match belief {
-            Belief::Servers { listed, .. } => Self::rare("servers listed", listed.len()),
-            Belief::Server(server) => match server.presence {
-                Presence::Ready => Self {
+            StateUpdate::Servers { listed, .. } => Self::rare("servers listed", listed.len()),
+            StateUpdate::Server(server) => match server.state {
+                ServerState::Ready => Self {
                     what: "server ready",
                     subject: server.id.to_string(),
                     is_rare: false,
                 },
-                Presence::Draining => Self::rare("server draining", &server.id),
+                ServerState::Draining => Self::rare("server draining", &server.id),
             },
-            Belief::Gone(server) => Self::rare("server gone", server),
-            Belief::Unreadable(server) => Self::rare("server unreadable", server),
-            Belief::Routes(routes) => Self::rare("configuration", routes.version),
-            Belief::Evacuated(zone) => Self::rare("zone evacuated", zone),
-            Belief::Returned(zone) => Self::rare("zone taken back", zone),
-            Belief::Evacuation(zones) => {
+            StateUpdate::ServerRemoved(server) => Self::rare("server gone", server),
+            StateUpdate::ServerUnreadable(server) => Self::rare("server unreadable", server),
+            StateUpdate::Routes(routes) => Self::rare("configuration", routes.version),
+            StateUpdate::ZoneEvacuated(zone) => Self::rare("zone evacuated", zone),
+            StateUpdate::ZoneRestored(zone) => Self::rare("zone taken back", zone),
+            StateUpdate::EvacuatedZones(zones) => {
                 let zones: Vec<&str> = zones.iter().map(|zone| zone.as_str()).collect();
                 Self::rare("zones evacuated", zones.join(" "))
             }
-            Belief::Peers(peers) => Self {
+            StateUpdate::Peers(peers) => Self {
                 what: "instances",
                 subject: peers.len().to_string(),
                 is_rare: false,
             },
-            Belief::Contact(_) | Belief::Silence | Belief::Testimony(_) => return None,
+            StateUpdate::StoreContact(_) | StateUpdate::StoreUnreachable | StateUpdate::ZoneOutcomes(_) => return None,
         };
         Some(told)
     }
--- a/src/entry/journal.rs
+++ b/src/entry/journal.rs
@@ -10,7 +10,7 @@
 use slog::warn;
 use tokio::time::Instant;
 
-use crate::flow::Note;
+use crate::flow::FlowEvent;
 use crate::platform::rate_limit::Bucket;
 use crate::platform::rate_limit::Rate;
 
@@ -43,7 +43,7 @@
     }
 
     /// Writes a note, or counts it; says whether it was written.
-    pub(crate) fn write(&mut self, now: Instant, note: &Note, context: Context) -> bool {
+    pub(crate) fn write(&mut self, now: Instant, note: &FlowEvent, context: Context) -> bool {
         let has_room = if is_rare(note) {
             self.bucket.take_urgent(now)
         } else {
@@ -62,70 +62,70 @@
 }
 
 /// What explains failures goes before what is usual.
-fn is_rare(note: &Note) -> bool {
-    !matches!(note, Note::Placed { .. } | Note::Dropped { .. })
+fn is_rare(note: &FlowEvent) -> bool {
+    !matches!(note, FlowEvent::Placed { .. } | FlowEvent::Dropped { .. })
 }
 
 /// The kind of a note, for the counters.
-pub(crate) fn kind(note: &Note) -> &'static str {
+pub(crate) fn kind(note: &FlowEvent) -> &'static str {
     match note {
-        Note::Placed {
+        FlowEvent::Placed {
             is_remote: true, ..
         } => "placed_remote",
-        Note::Placed { .. } => "placed",
-        Note::Reopened { server: None, .. } => "reopen_failed",
-        Note::Reopened { .. } => "reopened",
-        Note::Evacuated { .. } => "left_evacuated",
-        Note::Refused { reason, .. } => reason.code(),
-        Note::Released { .. } => "released",
-        Note::Dropped { .. } => "dropped",
-        Note::Suspected { .. } => "suspected",
-        Note::Stalled { .. } => "stalled",
-        Note::Cleared { .. } => "cleared",
+        FlowEvent::Placed { .. } => "placed",
+        FlowEvent::Reopened { server: None, .. } => "reopen_failed",
+        FlowEvent::Reopened { .. } => "reopened",
+        FlowEvent::Evacuated { .. } => "left_evacuated",
+        FlowEvent::Refused { reason, .. } => reason.code(),
+        FlowEvent::Released { .. } => "released",
+        FlowEvent::Dropped { .. } => "dropped",
+        FlowEvent::Suspected { .. } => "suspected",
+        FlowEvent::Stalled { .. } => "stalled",
+        FlowEvent::SuspicionCleared { .. } => "cleared",
     }
 }
 
-fn line(log: &Logger, note: &Note) {
+fn line(log: &Logger, note: &FlowEvent) {
     let kind = kind(note);
     match note {
-        Note::Placed {
-            pair,
+        FlowEvent::Placed {
+            flow_key,
             server,
             outstanding,
             candidates,
             version,
             ..
-        } => info!(log, "new flow"; "outcome" => kind, "flow" => %pair, "server" => %server,
+        } => info!(log, "new flow"; "outcome" => kind, "flow" => %flow_key, "server" => %server,
             "outstanding" => outstanding, "candidates" => candidates, "version" => version),
-        Note::Reopened {
-            pair,
+        FlowEvent::Reopened {
+            flow_key,
             silent,
             server,
             waited_ms,
-        } => info!(log, "server silent in handshake"; "outcome" => kind, "flow" => %pair,
+        } => info!(log, "server silent in handshake"; "outcome" => kind, "flow" => %flow_key,
             "silent" => %silent, "server" => server.as_ref().map(ToString::to_string),
             "waited_ms" => waited_ms),
-        Note::Evacuated { pair, left } => info!(log, "server's zone evacuated in handshake";
-            "outcome" => kind, "flow" => %pair, "left" => %left),
-        Note::Refused { pair, version, .. } => info!(log, "new flow refused";
-            "outcome" => kind, "flow" => %pair, "version" => version),
-        Note::Released {
-            pair,
+        FlowEvent::Evacuated { flow_key, left } => info!(log, "server's zone evacuated in handshake";
+            "outcome" => kind, "flow" => %flow_key, "left" => %left),
+        FlowEvent::Refused { flow_key, version, .. } => info!(log, "new flow refused";
+            "outcome" => kind, "flow" => %flow_key, "version" => version),
+        FlowEvent::Released {
+            flow_key,
             server,
             missing_ms,
-        } => info!(log, "flow of a gone server reset"; "outcome" => kind, "flow" => %pair,
+        } => info!(log, "flow of a gone server reset"; "outcome" => kind, "flow" => %flow_key,
             "server" => %server, "missing_ms" => missing_ms),
-        Note::Dropped { pair, reason } => info!(log, "packet dropped";
-            "outcome" => kind, "flow" => %pair, "reason" => %reason),
-        Note::Suspected { server, misses } => warn!(log, "server suspected";
+        FlowEvent::Dropped { flow_key, reason } => info!(log, "packet dropped";
+            "outcome" => kind, "flow" => %flow_key, "reason" => %reason),
+        FlowEvent::Suspected { server, misses } => warn!(log, "server suspected";
             "outcome" => kind, "server" => %server, "misses" => misses),
-        Note::Stalled {
-            pair,
+        FlowEvent::Stalled {
+            flow_key,
             server,
             waited_ms,
-        } => info!(log, "request not answered"; "outcome" => kind, "flow" => %pair,
+        } => info!(log, "request not answered"; "outcome" => kind, "flow" => %flow_key,
             "server" => %server, "waited_ms" => waited_ms),
-        Note::Cleared { server } => info!(log, "server answers again";
+        FlowEvent::SuspicionCleared { server } => info!(log, "server answers again";
             "outcome" => kind, "server" => %server),
     }
 }
--- a/src/entry/metric.rs
+++ b/src/entry/metric.rs
@@ -149,7 +149,7 @@
 
     /// Creates every reason's counter, so that a rate can be taken from the first.
     pub(crate) fn prepare(&self) {
-        for reason in flow::Drop::ALL {
+        for reason in flow::DropReason::ALL {
             let kind = reason.code();
             drop(self.dropped.get_or_create(&KindLabels { kind }));
         }
--- a/src/entry/outcome.rs
+++ b/src/entry/outcome.rs
@@ -1,32 +1,32 @@
 //! Counts of how requests end, between the decisions about flows and the messages to
 //! other instances.
 
-use crate::flow::Counts;
+use crate::flow::OutcomeCounts;
 use crate::flow::Incarnation;
 use crate::flow::Serial;
-use crate::flow::Testimony;
+use crate::flow::ServerOutcomes;
 use crate::replica::Remark;
 
 /// What an instance counted, as it is told to the others.
-pub fn remark(told: &Testimony) -> Remark {
+pub fn remark(told: &ServerOutcomes) -> Remark {
     Remark {
         serial: told.serial.0,
         incarnation: told.incarnation.map(|life| life.0),
         answers: told.counts.answers as f32,
-        hollow: told.counts.hollow as f32,
+        hollow: told.counts.premature as f32,
         stalls: told.counts.stalls as f32,
         ..Remark::default()
     }
 }
 
 /// What others told, as the decisions take it.
-pub fn testimony(remark: &Remark) -> Testimony {
-    Testimony {
+pub fn testimony(remark: &Remark) -> ServerOutcomes {
+    ServerOutcomes {
         serial: Serial(remark.serial),
         incarnation: remark.incarnation.map(Incarnation),
-        counts: Counts {
+        counts: OutcomeCounts {
             answers: remark.answers.into(),
-            hollow: remark.hollow.into(),
+            premature: remark.hollow.into(),
             stalls: remark.stalls.into(),
         },
     }
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -41,12 +41,12 @@
 use crate::entry::withdrawal::Withdrawal;
 use crate::error::Result;
 use crate::flow::Backlog;
-use crate::flow::Belief;
-use crate::flow::Drop;
-use crate::flow::Early;
+use crate::flow::StateUpdate;
+use crate::flow::DropReason;
+use crate::flow::PendingPacket;
 use crate::flow::Egress;
-use crate::flow::Plane;
-use crate::flow::Presence;
+use crate::flow::DataPlane;
+use crate::flow::ServerState;
 use crate::flow::Segment;
 use crate::flow::Target;
 use crate::flow::Timing;
@@ -72,7 +72,7 @@
 struct Instance {
     settings: Settings,
     adapter: Adapter,
-    plane: Plane,
+    plane: DataPlane,
     socket: Socket,
     journal: Journal,
     beliefs: Beliefs,
@@ -125,7 +125,7 @@
         "packets" => %settings.packets, "version" => env!("CARGO_PKG_VERSION"));
     let now = Instant::now();
     let mut instance = Instance {
-        plane: Plane::new(start::options(&settings)),
+        plane: DataPlane::new(start::options(&settings)),
         journal: Journal::new(log.clone(), settings.log_lines_per_second, now),
         beliefs: Beliefs::new(log.clone(), now),
         refusals: Refusals::new(now),
@@ -231,7 +231,7 @@
         };
         if !self.plane.is_ready() && self.stop.is_none() {
             self.shared.metrics.count_packet("kept");
-            self.backlog.keep(Early {
+            self.backlog.push(PendingPacket {
                 at: now,
                 segment,
                 packet: packet.to_vec(),
@@ -264,9 +264,9 @@
         }
         let now = Instant::now();
         let waited = self.backlog.len();
-        let early: Vec<Early> = self.backlog.take(now).collect();
+        let early: Vec<PendingPacket> = self.backlog.drain(now).collect();
         info!(self.log, "early packets"; "kept" => waited, "handled" => early.len());
-        for Early {
+        for PendingPacket {
             segment, packet, ..
         } in early
         {
@@ -285,7 +285,7 @@
         match self.socket.forward(now, segment, length, target) {
             Ok(true) => ("forwarded", Ok(())),
             Ok(false) => {
-                self.shared.metrics.count_drop(Drop::FullLink.code());
+                self.shared.metrics.count_drop(DropReason::FullLink.code());
                 ("dropped", Ok(()))
             }
             Err(error) => ("forwarded", Err(error)),
@@ -331,11 +331,11 @@
             return;
         }
         self.told = now;
-        let own = self.plane.testimony(now);
+        let own = self.plane.server_outcomes(now);
         self.replica.board.set_own(own.iter().map(remark).collect());
         let zone = self.replica.board.confirmed(now);
         let zone = zone.iter().map(testimony).collect();
-        self.plane.learn(now, Belief::Testimony(zone));
+        self.plane.apply(now, StateUpdate::ZoneOutcomes(zone));
     }
 
     fn report(&mut self) {
@@ -351,7 +351,7 @@
             }
         }
         self.beliefs.flush(now);
-        let (notes, omitted) = self.plane.take_notes();
+        let (notes, omitted) = self.plane.take_events();
         self.journal.omit(omitted);
         metrics.omitted_lines.inc_by(omitted);
         for note in &notes {
@@ -402,9 +402,9 @@
         }
     }
 
-    fn believe(&mut self, now: Instant, belief: Belief) {
+    fn believe(&mut self, now: Instant, belief: StateUpdate) {
         let told = Told::of(&belief);
-        let is_new = self.plane.learn(now, belief);
+        let is_new = self.plane.apply(now, belief);
         if let Some(told) = told {
             self.beliefs.tell(now, told, is_new);
         }
@@ -418,7 +418,7 @@
             info!(self.log, "readiness"; "is_ready" => is_ready);
         }
         metrics.ready.set(i64::from(is_ready));
-        metrics.servers.set(self.plane.directory().listed() as i64);
+        metrics.servers.set(self.plane.directory().listed_count() as i64);
         metrics.flows.set(self.plane.flows() as i64);
         let evacuated = self.plane.directory().evacuation().zones().count();
         metrics.evacuated.set(evacuated as i64);
@@ -526,13 +526,13 @@
         zone: record.server.zone.clone(),
         incarnation: record.server.incarnation.map(|life| life.0),
         is_unreadable: record.is_unreadable,
-        is_draining: record.server.presence == Presence::Draining,
+        is_draining: record.server.state == ServerState::Draining,
         is_evacuated: record.is_evacuated,
         missing_ms: record.missing_since.map(age),
-        is_suspected: record.evidence.is_suspected(now),
-        misses: record.evidence.misses(),
-        bad_percent: (record.experience.bad_share(now) * 100.0).round() as u32,
-        heard_ms: record.evidence.last_alive().map(age),
+        is_suspected: record.liveness.is_suspected(now),
+        misses: record.liveness.misses(),
+        bad_percent: (record.outcomes.bad_share(now) * 100.0).round() as u32,
+        heard_ms: record.liveness.last_answer().map(age),
         outstanding: record.outstanding,
         flows: record.flows,
     }
--- a/src/entry/socket.rs
+++ b/src/entry/socket.rs
@@ -77,7 +77,7 @@
     ) -> io::Result<bool> {
         let datagram = &mut self.buffer[..ENVELOPE + length];
         address(&self.codec, datagram, target);
-        if self.egress.passes(now, datagram.len()) {
+        if self.egress.try_pass(now, datagram.len()) {
             self.udp.try_send_to(datagram, target.address.into())?;
             return Ok(true);
         }
@@ -85,7 +85,7 @@
             bytes: datagram.to_vec(),
             to: target.address,
         };
-        Ok(self.egress.wait(segment, datagram) != Admission::Refused)
+        Ok(self.egress.enqueue(segment, datagram) != Admission::Refused)
     }
 
     /// Sends the next packet that waits, if the link has room for it.
@@ -102,7 +102,7 @@
 
     /// Bytes that wait for the link.
     pub(crate) fn waiting(&self) -> usize {
-        self.egress.bytes()
+        self.egress.queued_bytes()
     }
 
     /// Sends a kept packet. It is small, and its caller has waited already.
@@ -111,7 +111,7 @@
         datagram.extend_from_slice(&resend.packet);
         address(&self.codec, &mut datagram, &resend.target);
         let to = resend.target.address.into();
-        self.egress.count(now, datagram.len());
+        self.egress.charge(now, datagram.len());
         self.udp.try_send_to(&datagram, to)?;
         Ok(())
     }
@@ -120,7 +120,7 @@
     /// number of the packet address, whatever their own.
     pub(crate) fn reset(&self, segment: &Segment) -> io::Result<()> {
         let port = self.udp.local_addr()?.port();
-        let to = SocketAddrV4::new(*segment.pair.caller.ip(), port);
+        let to = SocketAddrV4::new(*segment.flow_key.caller.ip(), port);
         let packet = (self.codec.reset)(segment);
         self.udp.try_send_to(&packet, to.into())?;
         Ok(())
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -3,7 +3,7 @@
 use crate::entry::Entry;
 use crate::entry::Subject;
 use crate::entry::Vocabulary;
-use crate::flow::Belief;
+use crate::flow::StateUpdate;
 use crate::flow::Peer;
 use crate::platform;
 use crate::platform::Change;
@@ -14,7 +14,7 @@
 /// What an update of the copy says, and which entries could not be read.
 #[derive(Debug, Default)]
 pub(crate) struct Reading {
-    pub(crate) beliefs: Vec<Belief>,
+    pub(crate) beliefs: Vec<StateUpdate>,
     pub(crate) refused: Vec<Refusal>,
 }
 
@@ -31,11 +31,11 @@
                 reading.beliefs.extend(subject.map(deleted));
             }
             Update::Refused(refusal) => reading.refuse(vocabulary, refusal),
-            Update::Contact(contact) => reading.beliefs.push(Belief::Contact(contact)),
-            Update::Silent { .. } => reading.beliefs.push(Belief::Silence),
+            Update::Contact(contact) => reading.beliefs.push(StateUpdate::StoreContact(contact)),
+            Update::Silent { .. } => reading.beliefs.push(StateUpdate::StoreUnreachable),
             Update::Members(members) => {
                 let peers = members.into_iter().map(peer).collect();
-                reading.beliefs.push(Belief::Peers(peers));
+                reading.beliefs.push(StateUpdate::Peers(peers));
             }
             Update::Source { .. } => {}
         }
@@ -46,9 +46,9 @@
     /// server stays for its open flows.
     fn put(&mut self, vocabulary: &Vocabulary, entry: &platform::Entry) {
         match (vocabulary.read)(entry) {
-            Ok(Entry::Server(server)) => self.beliefs.push(Belief::Server(server)),
-            Ok(Entry::Routes(routes)) => self.beliefs.push(Belief::Routes(routes)),
-            Ok(Entry::Evacuation(zone)) => self.beliefs.push(Belief::Evacuated(zone)),
+            Ok(Entry::Server(server)) => self.beliefs.push(StateUpdate::Server(server)),
+            Ok(Entry::Routes(routes)) => self.beliefs.push(StateUpdate::Routes(routes)),
+            Ok(Entry::Evacuation(zone)) => self.beliefs.push(StateUpdate::ZoneEvacuated(zone)),
             Ok(Entry::Other) => {}
             Err(reason) => {
                 let key = entry.key.clone();
@@ -81,17 +81,17 @@
         let mut others = Vec::new();
         for belief in self.beliefs.drain(..) {
             match belief {
-                Belief::Server(server) => listed.push(server),
-                Belief::Unreadable(server) => unreadable.push(server),
-                Belief::Evacuated(zone) => evacuated.push(zone),
+                StateUpdate::Server(server) => listed.push(server),
+                StateUpdate::ServerUnreadable(server) => unreadable.push(server),
+                StateUpdate::ZoneEvacuated(zone) => evacuated.push(zone),
                 other => others.push(other),
             }
         }
-        let servers = Belief::Servers { listed, unreadable };
+        let servers = StateUpdate::Servers { listed, unreadable };
         self.beliefs = others;
         // No server must take new flows in between.
         self.beliefs
-            .push(Belief::Evacuation(evacuated.into_iter().collect()));
+            .push(StateUpdate::EvacuatedZones(evacuated.into_iter().collect()));
         self.beliefs.push(servers);
     }
 }
@@ -104,17 +104,17 @@
 }
 
 /// What follows from an entry that is gone.
-fn deleted(subject: Subject) -> Belief {
+fn deleted(subject: Subject) -> StateUpdate {
     match subject {
-        Subject::Server(server) => Belief::Gone(server),
-        Subject::Evacuation(zone) => Belief::Returned(zone),
+        Subject::Server(server) => StateUpdate::ServerRemoved(server),
+        Subject::Evacuation(zone) => StateUpdate::ZoneRestored(zone),
     }
 }
 
 /// What follows from an entry whose value cannot be read.
-fn unreadable(subject: Subject) -> Belief {
+fn unreadable(subject: Subject) -> StateUpdate {
     match subject {
-        Subject::Server(server) => Belief::Unreadable(server),
-        Subject::Evacuation(zone) => Belief::Evacuated(zone),
+        Subject::Server(server) => StateUpdate::ServerUnreadable(server),
+        Subject::Evacuation(zone) => StateUpdate::ZoneEvacuated(zone),
     }
 }
--- a/src/flow/backlog.rs
+++ b/src/flow/backlog.rs
@@ -24,7 +24,7 @@
 
 /// A packet that waits.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Early {
+pub struct PendingPacket {
     /// When it came.
     pub at: Instant,
     /// What it says.
@@ -33,7 +33,7 @@
     pub packet: Vec<u8>,
 }
 
-impl Early {
+impl PendingPacket {
     fn is_worth_keeping(&self, now: Instant) -> bool {
         let most = if self.segment.opens() {
             OPENING_AGE
@@ -47,12 +47,12 @@
 /// Packets that wait for the first copy, in the order in which they came.
 #[derive(Debug, Default)]
 pub struct Backlog {
-    packets: VecDeque<Early>,
+    packets: VecDeque<PendingPacket>,
 }
 
 impl Backlog {
     /// Keeps a packet; the oldest one makes room.
-    pub fn keep(&mut self, early: Early) {
+    pub fn push(&mut self, early: PendingPacket) {
         let now = early.at;
         while let Some(first) = self.packets.front()
             && (self.packets.len() >= MOST || !first.is_worth_keeping(now))
@@ -63,9 +63,9 @@
     }
 
     /// Takes out what its callers have not given up or repeated yet.
-    pub fn take(&mut self, now: Instant) -> impl Iterator<Item = Early> {
+    pub fn drain(&mut self, now: Instant) -> impl Iterator<Item = PendingPacket> {
         let packets = std::mem::take(&mut self.packets);
-        let worth = move |early: &Early| early.is_worth_keeping(now);
+        let worth = move |early: &PendingPacket| early.is_worth_keeping(now);
         packets.into_iter().filter(worth)
     }
 
--- a/src/flow/baseline.rs
+++ b/src/flow/baseline.rs
@@ -41,7 +41,7 @@
     pub(crate) fn sample(&mut self, taken: Duration, bytes: u32) -> bool {
         let seconds = taken.as_secs_f64();
         let bytes = f64::from(bytes);
-        let is_hollow = self.samples >= ENOUGH
+        let is_premature = self.samples >= ENOUGH
             && seconds < self.seconds * HOLLOW_TIME
             && bytes < self.bytes * HOLLOW_SIZE;
         self.samples = self.samples.saturating_add(1);
@@ -50,7 +50,7 @@
         self.deviation += ((seconds - self.seconds).abs() - self.deviation) * part;
         self.seconds += (seconds - self.seconds) * part;
         self.bytes += (bytes - self.bytes) * part;
-        is_hollow
+        is_premature
     }
 
     /// How long a request may stay open before it counts as stalled.
--- a/src/flow/choice.rs
+++ b/src/flow/choice.rs
@@ -102,7 +102,7 @@
 ) -> Option<Choice> {
     let now = question.now;
     let is_open = |record: &Record| record.is_open() && directory.is_complete(record);
-    let is_trusted = |record: &Record| is_open(record) && !record.evidence.is_suspected(now);
+    let is_trusted = |record: &Record| is_open(record) && !record.liveness.is_suspected(now);
     least_loaded(directory, question, random, is_trusted)
         .or_else(|| least_loaded(directory, question, random, is_open))
         .or_else(|| least_loaded(directory, question, random, |r| directory.may_return(r)))
--- a/src/flow/contact.rs
+++ b/src/flow/contact.rs
@@ -15,7 +15,7 @@
 
 /// A span in which the store answered, as this instance's copy shows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Contact {
+pub struct StoreContact {
     /// When it began.
     pub from: Instant,
     /// When the store is last known to have had nothing newer than the copy.
@@ -25,7 +25,7 @@
     pub until: Instant,
 }
 
-impl Contact {
+impl StoreContact {
     /// Contact at one moment.
     pub fn at(at: Instant) -> Self {
         Self {
@@ -37,7 +37,7 @@
     /// The span that this one and a later one make together.
     ///
     /// Entries may have lapsed in a longer gap and need their time again.
-    pub(crate) fn join(self, later: Self) -> Self {
+    pub(crate) fn merge(self, later: Self) -> Self {
         if later.from > self.until + MOST_GAP {
             return later;
         }
--- a/src/flow/directory.rs
+++ b/src/flow/directory.rs
@@ -12,18 +12,18 @@
 
 use tokio::time::Instant;
 
-use crate::flow::Contact;
+use crate::flow::StoreContact;
 use crate::flow::Evacuation;
 use crate::flow::Incarnation;
 use crate::flow::Peer;
 use crate::flow::Serial;
 use crate::flow::Tag;
-use crate::flow::Testimony;
+use crate::flow::ServerOutcomes;
 use crate::flow::Warmup;
 use crate::flow::baseline::Usual;
 use crate::flow::choice;
-use crate::flow::liveness::Evidence;
-use crate::flow::outcome::Experience;
+use crate::flow::liveness::Liveness;
+use crate::flow::outcome::RequestOutcomes;
 use crate::flow::warmup;
 use crate::flow::warmup::Share;
 use crate::id;
@@ -39,7 +39,7 @@
 
 /// What a server says of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Presence {
+pub enum ServerState {
     /// Takes new flows.
     Ready,
     /// Finishes its flows and leaves.
@@ -64,7 +64,7 @@
     /// Requests that it works on at once.
     pub slots: u32,
     /// Whether it takes new flows.
-    pub presence: Presence,
+    pub state: ServerState,
     /// How long it stays slow after its start.
     pub cold_for: Duration,
 }
@@ -120,8 +120,8 @@
     pub(crate) cold_until: Instant,
     /// New flows that this instance may send it while it is cold.
     pub(crate) share: Share,
-    pub(crate) evidence: Evidence,
-    pub(crate) experience: Experience,
+    pub(crate) liveness: Liveness,
+    pub(crate) outcomes: RequestOutcomes,
     /// Requests of this instance that wait for the server's answer.
     pub(crate) outstanding: u32,
     /// Open flows that passed this instance.
@@ -145,8 +145,8 @@
             is_evacuated: false,
             cold_until: now + server.cold_for,
             share: Share::default(),
-            evidence: Evidence::default(),
-            experience: Experience::default(),
+            liveness: Liveness::default(),
+            outcomes: RequestOutcomes::default(),
             outstanding: 0,
             flows: 0,
             penalty: 0.0,
@@ -166,7 +166,7 @@
     /// Works out the penalty anew. A choice looks at dozens of servers, and most of
     /// them give no cause for any arithmetic.
     pub(crate) fn weigh(&mut self, now: Instant) {
-        self.penalty = choice::penalty(self.experience.bad_share(now));
+        self.penalty = choice::penalty(self.outcomes.bad_share(now));
     }
 
     /// Whether it is cold and has had this instance's share of new flows.
@@ -181,14 +181,14 @@
 
     /// Whether new flows may go there as far as its last readable entry tells.
     pub(crate) fn may_open(&self) -> bool {
-        let ready = self.server.presence == Presence::Ready;
+        let ready = self.server.state == ServerState::Ready;
         let is_listed = self.missing_since.is_none() && self.replaced_since.is_none();
         ready && is_listed && !self.has_doubled_tag
     }
 
     /// Whether it has answered something since then.
     fn has_answered_since(&self, at: Instant) -> bool {
-        self.evidence.last_alive() > Some(at)
+        self.liveness.last_answer() > Some(at)
     }
 }
 
@@ -230,7 +230,7 @@
     /// else's then, and counts as unreadable.
     tells_lives: bool,
     /// The last unbroken contact with the store; `None` while it is silent.
-    contact: Option<Contact>,
+    contact: Option<StoreContact>,
     evacuation: Evacuation,
     /// This instance.
     me: id::Instance,
@@ -375,7 +375,7 @@
             // Its entry may tell only later that it has become cold meanwhile.
             let warmup = self.warmups.get(&record.server.service);
             if let Some(warmup) = warmup.filter(|warmup| is_back && warmup.rate > 0.0) {
-                record.cold_until = record.cold_until.max(now + warmup.lasts);
+                record.cold_until = record.cold_until.max(now + warmup.duration);
             }
         }
         is_new
@@ -483,8 +483,8 @@
     }
 
     /// Notes that the store has answered.
-    pub fn note_contact(&mut self, contact: Contact) {
-        let joined = self.contact.map_or(contact, |before| before.join(contact));
+    pub fn note_contact(&mut self, contact: StoreContact) {
+        let joined = self.contact.map_or(contact, |before| before.merge(contact));
         self.contact = Some(joined);
     }
 
@@ -504,7 +504,7 @@
     /// A store that goes away may drop the entries of servers that live, all of them.
     /// Callers would be refused until it is back.
     pub(crate) fn may_return(&self, record: &Record) -> bool {
-        let ready = record.server.presence == Presence::Ready && !record.has_doubled_tag;
+        let ready = record.server.state == ServerState::Ready && !record.has_doubled_tag;
         let missing = record.missing_since;
         let is_replaced = record.replaced_since.is_some();
         ready && !is_replaced && missing.is_some_and(|missing| self.may_come_back(missing))
@@ -579,7 +579,7 @@
     }
 
     /// Servers listed at this moment.
-    pub fn listed(&self) -> usize {
+    pub fn listed_count(&self) -> usize {
         let is_listed = |record: &&Record| record.missing_since.is_none();
         self.records().filter(is_listed).count()
     }
@@ -597,22 +597,22 @@
     }
 
     /// What this instance counted against servers, the worst first.
-    pub(crate) fn testimony(&self, now: Instant) -> Vec<Testimony> {
+    pub(crate) fn server_outcomes(&self, now: Instant) -> Vec<ServerOutcomes> {
         let told = self.records().filter_map(|record| {
-            Some(Testimony {
+            Some(ServerOutcomes {
                 serial: record.server.serial,
                 incarnation: record.server.incarnation,
-                counts: record.experience.testimony(now)?,
+                counts: record.outcomes.reported_counts(now)?,
             })
         });
-        let mut told: Vec<Testimony> = told.collect();
+        let mut told: Vec<ServerOutcomes> = told.collect();
         told.sort_by(|a, b| b.counts.bad_share().total_cmp(&a.counts.bad_share()));
         told.truncate(MOST_TESTIMONY);
         told
     }
 
     /// Takes over what the zone counted; of other lives nothing counts.
-    pub(crate) fn hear(&mut self, now: Instant, testimony: &[Testimony]) {
+    pub(crate) fn hear(&mut self, now: Instant, testimony: &[ServerOutcomes]) {
         for told in testimony {
             let slot = self.by_tag(Tag::of(told.serial));
             let Some(record) = slot.and_then(|slot| self.get_mut(slot)) else {
@@ -620,7 +620,7 @@
             };
             let server = &record.server;
             if (server.serial, server.incarnation) == (told.serial, told.incarnation) {
-                record.experience.hear(now, told.counts);
+                record.outcomes.hear(now, told.counts);
             }
         }
         self.weigh(now);
@@ -673,12 +673,12 @@
     let rate = warmup
         .map(|warmup| warmup.rate)
         .filter(|rate| *rate > 0.0)?;
-    Some(warmup::share(me, peers, server, rate))
+    Some(warmup::cold_flow_quota(me, peers, server, rate))
 }
 
 fn draining_since(server: &Server, before: Option<Instant>, now: Instant) -> Option<Instant> {
-    match server.presence {
-        Presence::Ready => None,
-        Presence::Draining => before.or(Some(now)),
+    match server.state {
+        ServerState::Ready => None,
+        ServerState::Draining => before.or(Some(now)),
     }
 }
--- a/src/flow/egress.rs
+++ b/src/flow/egress.rs
@@ -16,7 +16,7 @@
 
 use tokio::time::Instant;
 
-use crate::flow::Pair;
+use crate::flow::FlowKey;
 use crate::flow::Segment;
 
 /// What a datagram takes on a link beside its bytes: the heads of UDP, IP and Ethernet.
@@ -50,9 +50,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// It waits for its turn.
-    Waits,
+    Queued,
     /// It waits in place of an earlier copy of the same data.
-    Replaces,
+    ReplacedQueued,
     /// Too much waits already.
     Refused,
 }
@@ -61,12 +61,12 @@
 type Place = (u64, u64);
 
 /// What names the data of a packet that is repeated.
-type Data = (Pair, u32);
+type Data = (FlowKey, u32);
 
 #[derive(Debug)]
 struct Waiting {
     datagram: Datagram,
-    pair: Pair,
+    flow_key: FlowKey,
     /// `None` for packets without data, of which each says something else.
     data: Option<Data>,
 }
@@ -90,9 +90,9 @@
     arrivals: u64,
     waiting: BTreeMap<Place, Waiting>,
     places: HashMap<Data, Place>,
-    shares: HashMap<Pair, Share>,
+    shares: HashMap<FlowKey, Share>,
     /// Bytes that wait, with their heads.
-    bytes: usize,
+    queued_bytes: usize,
     most_bytes: usize,
 }
 
@@ -109,22 +109,22 @@
             waiting: BTreeMap::new(),
             places: HashMap::new(),
             shares: HashMap::new(),
-            bytes: 0,
+            queued_bytes: 0,
             most_bytes: most.min(MOST_BYTES) as usize,
         }
     }
 
     /// Whether a datagram may go out at once; it is counted if so.
-    pub fn passes(&mut self, now: Instant, bytes: usize) -> bool {
+    pub fn try_pass(&mut self, now: Instant, bytes: usize) -> bool {
         let passes = self.waiting.is_empty() && self.is_free(now);
         if passes {
-            self.count(now, bytes);
+            self.charge(now, bytes);
         }
         passes
     }
 
     /// Counts a datagram that goes out in any case.
-    pub fn count(&mut self, now: Instant, bytes: usize) {
+    pub fn charge(&mut self, now: Instant, bytes: usize) {
         let time = (bytes + OVERHEAD) as f64 / self.bytes_per_second;
         self.free = self.free.max(now) + Duration::from_secs_f64(time);
     }
@@ -134,44 +134,44 @@
     /// A repeat of data that waits is no second datagram: what it says beside its data is
     /// newer, so that it takes the place of the first. Only data is refused
     /// when too much waits, or uploads would shut new callers out.
-    pub fn wait(&mut self, segment: &Segment, datagram: Datagram) -> Admission {
+    pub fn enqueue(&mut self, segment: &Segment, datagram: Datagram) -> Admission {
         let size = datagram.bytes.len() + OVERHEAD;
-        let data = (segment.len > 0).then_some((segment.pair, segment.seq));
+        let data = (segment.len > 0).then_some((segment.flow_key, segment.seq));
         let known = data.and_then(|data| self.places.get(&data));
         if let Some(waiting) = known.and_then(|place| self.waiting.get_mut(place)) {
             // Whoever repeats may have changed the size.
             let earlier = waiting.datagram.bytes.len() + OVERHEAD;
-            let bytes = self.bytes - earlier + size;
+            let bytes = self.queued_bytes - earlier + size;
             if size > earlier && bytes > self.most_bytes {
                 return Admission::Refused;
             }
-            self.bytes = bytes;
+            self.queued_bytes = bytes;
             waiting.datagram = datagram;
-            return Admission::Replaces;
+            return Admission::ReplacedQueued;
         }
-        if data.is_some() && self.bytes + size > self.most_bytes {
+        if data.is_some() && self.queued_bytes + size > self.most_bytes {
             return Admission::Refused;
         }
-        let start = self.enter(segment.pair, size as u64);
+        let start = self.enter(segment.flow_key, size as u64);
         let place = (start, self.arrivals);
         self.arrivals += 1;
-        self.bytes += size;
+        self.queued_bytes += size;
         if let Some(data) = data {
             self.places.insert(data, place);
         }
         let waiting = Waiting {
             datagram,
-            pair: segment.pair,
+            flow_key: segment.flow_key,
             data,
         };
         self.waiting.insert(place, waiting);
-        Admission::Waits
+        Admission::Queued
     }
 
     /// Where a flow's next packet starts on a link shared fairly.
-    fn enter(&mut self, pair: Pair, size: u64) -> u64 {
+    fn enter(&mut self, flow_key: FlowKey, size: u64) -> u64 {
         let progress = self.progress;
-        let share = self.shares.entry(pair).or_insert(Share {
+        let share = self.shares.entry(flow_key).or_insert(Share {
             end: progress,
             waiting: 0,
         });
@@ -191,15 +191,15 @@
         if let Some(data) = waiting.data {
             self.places.remove(&data);
         }
-        if let Some(share) = self.shares.get_mut(&waiting.pair) {
+        if let Some(share) = self.shares.get_mut(&waiting.flow_key) {
             share.waiting -= 1;
             if share.waiting == 0 {
-                self.shares.remove(&waiting.pair);
+                self.shares.remove(&waiting.flow_key);
             }
         }
         let length = waiting.datagram.bytes.len();
-        self.bytes -= length + OVERHEAD;
-        self.count(now, length);
+        self.queued_bytes -= length + OVERHEAD;
+        self.charge(now, length);
         Some(waiting.datagram)
     }
 
@@ -210,8 +210,8 @@
     }
 
     /// Bytes that wait, with their heads.
-    pub fn bytes(&self) -> usize {
-        self.bytes
+    pub fn queued_bytes(&self) -> usize {
+        self.queued_bytes
     }
 
     fn is_free(&self, now: Instant) -> bool {
--- a/src/flow/event.rs
+++ b/src/flow/event.rs
@@ -3,12 +3,12 @@
 use std::fmt;
 use std::time::Duration;
 
-use crate::flow::Pair;
+use crate::flow::FlowKey;
 use crate::id;
 
 /// Why a packet was not passed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Drop {
+pub enum DropReason {
     /// No configuration or no list of servers has been read yet.
     NoView,
     /// The packet belongs to no flow seen here and its tag to no known server.
@@ -26,7 +26,7 @@
     Cold,
 }
 
-impl Drop {
+impl DropReason {
     /// Every reason, in the order of the list.
     pub const ALL: [Self; 7] = [
         Self::NoView,
@@ -52,7 +52,7 @@
     }
 }
 
-impl fmt::Display for Drop {
+impl fmt::Display for DropReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.code())
     }
@@ -91,11 +91,11 @@
 
 /// One decision about a flow, or one change of what is believed.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum FlowEvent {
     /// A new flow went to a server.
     Placed {
         /// The flow.
-        pair: Pair,
+        flow_key: FlowKey,
         /// The chosen server.
         server: id::Server,
         /// Whether the server is in another availability zone.
@@ -110,7 +110,7 @@
     /// The opening packet went to a further server, since the first is silent.
     Reopened {
         /// The flow.
-        pair: Pair,
+        flow_key: FlowKey,
         /// The silent server.
         silent: id::Server,
         /// The further server; `None` when there is none.
@@ -122,14 +122,14 @@
     /// been evacuated meanwhile.
     Evacuated {
         /// The flow.
-        pair: Pair,
+        flow_key: FlowKey,
         /// The server that had the packet first.
         left: id::Server,
     },
     /// A new flow was refused with a reset.
     Refused {
         /// The flow.
-        pair: Pair,
+        flow_key: FlowKey,
         /// Why.
         reason: Refusal,
         /// Version of the configuration.
@@ -138,7 +138,7 @@
     /// An open flow was reset because its server is gone.
     Released {
         /// The flow.
-        pair: Pair,
+        flow_key: FlowKey,
         /// The server that is gone.
         server: id::Server,
         /// How long its entry has been missing, in milliseconds.
@@ -147,9 +147,9 @@
     /// A packet was dropped.
     Dropped {
         /// The flow.
-        pair: Pair,
+        flow_key: FlowKey,
         /// Why.
-        reason: Drop,
+        reason: DropReason,
     },
     /// A server is silent and gets no new flows for a while.
     Suspected {
@@ -161,14 +161,14 @@
     /// A request has been open for much longer than usual.
     Stalled {
         /// The flow.
-        pair: Pair,
+        flow_key: FlowKey,
         /// The server.
         server: id::Server,
         /// Since when, in milliseconds.
         waited_ms: u64,
     },
     /// A suspected server has answered.
-    Cleared {
+    SuspicionCleared {
         /// The server.
         server: id::Server,
     },
--- a/src/flow/liveness.rs
+++ b/src/flow/liveness.rs
@@ -64,17 +64,17 @@
 
 /// Silences and answers of one server.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Evidence {
+pub(crate) struct Liveness {
     misses: u32,
     suspected_until: Option<Instant>,
-    last_alive: Option<Instant>,
+    last_answer: Option<Instant>,
 }
 
-impl Evidence {
+impl Liveness {
     /// Notes that the server answered something sent at or before `now`; says
     /// whether it was suspected.
     pub(crate) fn answered(&mut self, now: Instant) -> bool {
-        self.last_alive = Some(now);
+        self.last_answer = Some(now);
         self.misses = 0;
         self.suspected_until.take().is_some()
     }
@@ -85,7 +85,7 @@
     /// An answer to anything later shows that the server lives and a packet was
     /// lost, which happens on good links too.
     pub(crate) fn missed(&mut self, since: Instant, now: Instant) -> bool {
-        if self.last_alive.is_some_and(|alive| alive >= since) {
+        if self.last_answer.is_some_and(|alive| alive >= since) {
             return false;
         }
         let was_suspected = self.is_suspected(now);
@@ -106,7 +106,7 @@
     }
 
     /// When the server last answered.
-    pub(crate) fn last_alive(&self) -> Option<Instant> {
-        self.last_alive
+    pub(crate) fn last_answer(&self) -> Option<Instant> {
+        self.last_answer
     }
 }
--- a/src/flow/outcome.rs
+++ b/src/flow/outcome.rs
@@ -37,26 +37,26 @@
 
 /// Ends of requests at a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Counts {
+pub struct OutcomeCounts {
     /// Requests that were answered.
     pub answers: f64,
     /// Those of them whose answers came much sooner and were much smaller than
     /// usual.
-    pub hollow: f64,
+    pub premature: f64,
     /// Requests that were open for much longer than usual.
     pub stalls: f64,
 }
 
-impl Counts {
+impl OutcomeCounts {
     /// Share of requests that end badly, from 0 to 1.
     pub fn bad_share(&self) -> f64 {
         let stalls = self.stalls * STALL_WEIGHT;
-        (self.hollow + stalls) / (self.answers + stalls + PRIOR)
+        (self.premature + stalls) / (self.answers + stalls + PRIOR)
     }
 
     /// Requests that ended well.
     fn good(&self) -> f64 {
-        (self.answers - self.hollow).max(0.0)
+        (self.answers - self.premature).max(0.0)
     }
 
     /// What is left of the counts after a while.
@@ -65,73 +65,73 @@
         let answers = left(ANSWER_HALF_LIFE);
         Self {
             answers: self.answers * answers,
-            hollow: self.hollow * answers,
+            premature: self.premature * answers,
             stalls: self.stalls * left(STALL_HALF_LIFE),
         }
     }
 
     /// Whether nothing speaks against the server.
     fn is_clean(&self) -> bool {
-        self.hollow < LEAST && self.stalls < LEAST
+        self.premature < LEAST && self.stalls < LEAST
     }
 }
 
 /// What an instance, or several, counted at a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Testimony {
+pub struct ServerOutcomes {
     /// The server.
     pub serial: Serial,
     /// The life of it that is meant.
     pub incarnation: Option<Incarnation>,
     /// The counts.
-    pub counts: Counts,
+    pub counts: OutcomeCounts,
 }
 
 /// Counts at one moment.
 #[derive(Clone, Copy, Debug)]
 struct Faded {
-    counts: Counts,
+    counts: OutcomeCounts,
     at: Instant,
 }
 
 impl Faded {
-    fn at(&self, now: Instant) -> Counts {
+    fn at(&self, now: Instant) -> OutcomeCounts {
         self.counts.faded(now.saturating_duration_since(self.at))
     }
 }
 
 /// What is known of the ends of requests at one server.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Experience {
+pub(crate) struct RequestOutcomes {
     own: Option<Faded>,
     /// What all instances of the zone counted together.
     zone: Option<Faded>,
 }
 
-impl Experience {
-    pub(crate) fn answered(&mut self, now: Instant, is_hollow: bool) {
+impl RequestOutcomes {
+    pub(crate) fn answered(&mut self, now: Instant, is_premature: bool) {
         let counts = self.count(now);
         counts.answers += 1.0;
-        counts.hollow += f64::from(u8::from(is_hollow));
+        counts.premature += f64::from(u8::from(is_premature));
     }
 
     pub(crate) fn stalled(&mut self, now: Instant) {
         self.count(now).stalls += 1.0;
     }
 
-    fn count(&mut self, now: Instant) -> &mut Counts {
+    fn count(&mut self, now: Instant) -> &mut OutcomeCounts {
         let counts = self.own(now);
         let faded = self.own.insert(Faded { counts, at: now });
         &mut faded.counts
     }
 
     /// This instance's own counts.
-    pub(crate) fn own(&self, now: Instant) -> Counts {
-        self.own.map_or(Counts::default(), |faded| faded.at(now))
+    pub(crate) fn own(&self, now: Instant) -> OutcomeCounts {
+        self.own.map_or(OutcomeCounts::default(), |faded| faded.at(now))
     }
 
     /// Takes over what the zone counted.
-    pub(crate) fn hear(&mut self, now: Instant, counts: Counts) {
+    pub(crate) fn hear(&mut self, now: Instant, counts: OutcomeCounts) {
         self.zone = Some(Faded { counts, at: now });
     }
 
@@ -155,7 +155,7 @@
     ///
     /// Where others have, this instance's good ends count too: one stall seen by one
     /// instance is little beside forty answers that the others got.
-    pub(crate) fn testimony(&self, now: Instant) -> Option<Counts> {
+    pub(crate) fn reported_counts(&self, now: Instant) -> Option<OutcomeCounts> {
         let own = self.own(now);
         let is_suspect = |faded: Faded| !faded.at(now).is_clean();
         let is_told = !own.is_clean() || self.zone.is_some_and(is_suspect);
--- a/src/flow/plane.rs
+++ b/src/flow/plane.rs
@@ -15,11 +15,11 @@
 use rand::rngs::SmallRng;
 use tokio::time::Instant;
 
-use crate::flow::Contact;
+use crate::flow::StoreContact;
 use crate::flow::Directory;
-use crate::flow::Drop;
-use crate::flow::Note;
-use crate::flow::Pair;
+use crate::flow::DropReason;
+use crate::flow::FlowEvent;
+use crate::flow::FlowKey;
 use crate::flow::Peer;
 use crate::flow::Refusal;
 use crate::flow::RoundTrip;
@@ -27,7 +27,7 @@
 use crate::flow::Segment;
 use crate::flow::Server;
 use crate::flow::Target;
-use crate::flow::Testimony;
+use crate::flow::ServerOutcomes;
 use crate::flow::Timing;
 use crate::flow::choice;
 use crate::flow::choice::Choice;
@@ -64,7 +64,7 @@
 
 /// Something learned from the store.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Belief {
+pub enum StateUpdate {
     /// All servers there are.
     Servers {
         /// Their entries.
@@ -75,25 +75,25 @@
     /// One server's entry was written.
     Server(Server),
     /// One server's entry cannot be read.
-    Unreadable(id::Server),
+    ServerUnreadable(id::Server),
     /// One server's entry is gone.
-    Gone(id::Server),
+    ServerRemoved(id::Server),
     /// A configuration.
     Routes(Routes),
     /// Operators have evacuated a zone.
-    Evacuated(id::Zone),
+    ZoneEvacuated(id::Zone),
     /// Operators have taken a zone back.
-    Returned(id::Zone),
+    ZoneRestored(id::Zone),
     /// All zones that are evacuated.
-    Evacuation(BTreeSet<id::Zone>),
+    EvacuatedZones(BTreeSet<id::Zone>),
     /// The instances that share the callers.
     Peers(Vec<Peer>),
     /// What the instances of this zone counted against servers.
-    Testimony(Vec<Testimony>),
+    ZoneOutcomes(Vec<ServerOutcomes>),
     /// The store has answered.
-    Contact(Contact),
+    StoreContact(StoreContact),
     /// The store does not answer.
-    Silence,
+    StoreUnreachable,
 }
 
 /// What is to be done with a packet.
@@ -104,7 +104,7 @@
     /// Reset the flow.
     Reset,
     /// Nothing.
-    Drop(Drop),
+    Drop(DropReason),
 }
 
 /// An opening packet that goes to a further server.
@@ -118,7 +118,7 @@
 
 /// State of the decisions.
 #[derive(Debug)]
-pub struct Plane {
+pub struct DataPlane {
     options: Options,
     directory: Directory,
     routes: Option<Routes>,
@@ -127,9 +127,9 @@
     neighbours: usize,
     table: Table,
     /// When handshakes are due, earliest first; ones that are over stay until then.
-    due: BinaryHeap<Reverse<(Instant, Pair)>>,
+    due: BinaryHeap<Reverse<(Instant, FlowKey)>>,
     /// New flows of the last moments, oldest first.
-    openings: VecDeque<(Instant, Pair)>,
+    openings: VecDeque<(Instant, FlowKey)>,
     /// Requests in progress, the first due first.
     watches: VecDeque<Watch>,
     round_trip: RoundTrip,
@@ -139,13 +139,13 @@
     turned: Option<Instant>,
     swept: Option<Instant>,
     random: SmallRng,
-    notes: Vec<Note>,
+    notes: Vec<FlowEvent>,
     timings: Vec<Timing>,
     /// Notes that found no room since they were last taken.
     omitted: u64,
 }
 
-impl Plane {
+impl DataPlane {
     /// A plane that knows nothing yet.
     pub fn new(options: Options) -> Self {
         Self {
@@ -174,25 +174,25 @@
     }
 
     /// Takes in what the store says. `false` when it is older than what is known.
-    pub fn learn(&mut self, now: Instant, belief: Belief) -> bool {
+    pub fn apply(&mut self, now: Instant, belief: StateUpdate) -> bool {
         match belief {
-            Belief::Servers { listed, unreadable } => {
+            StateUpdate::Servers { listed, unreadable } => {
                 self.has_servers = true;
                 self.directory.replace(now, listed, unreadable);
             }
-            Belief::Server(server) => return self.directory.put(now, server),
-            Belief::Unreadable(server) => self.directory.mark_unreadable(&server),
-            Belief::Gone(server) => self.directory.remove(now, &server),
-            Belief::Routes(routes) => return self.configure(routes),
-            Belief::Evacuated(zone) => return self.directory.evacuate(now, |e| e.begin(now, zone)),
-            Belief::Returned(zone) => return self.directory.evacuate(now, |e| e.end(&zone)),
-            Belief::Evacuation(all) => {
+            StateUpdate::Server(server) => return self.directory.put(now, server),
+            StateUpdate::ServerUnreadable(server) => self.directory.mark_unreadable(&server),
+            StateUpdate::ServerRemoved(server) => self.directory.remove(now, &server),
+            StateUpdate::Routes(routes) => return self.configure(routes),
+            StateUpdate::ZoneEvacuated(zone) => return self.directory.evacuate(now, |e| e.begin(now, zone)),
+            StateUpdate::ZoneRestored(zone) => return self.directory.evacuate(now, |e| e.end(&zone)),
+            StateUpdate::EvacuatedZones(all) => {
                 return self.directory.evacuate(now, |e| e.replace(now, all));
             }
-            Belief::Testimony(told) => self.directory.hear(now, &told),
-            Belief::Peers(peers) => self.meet(peers),
-            Belief::Contact(contact) => self.directory.note_contact(contact),
-            Belief::Silence => self.directory.note_silence(),
+            StateUpdate::ZoneOutcomes(told) => self.directory.hear(now, &told),
+            StateUpdate::Peers(peers) => self.meet(peers),
+            StateUpdate::StoreContact(contact) => self.directory.note_contact(contact),
+            StateUpdate::StoreUnreachable => self.directory.note_silence(),
         }
         true
     }
@@ -245,8 +245,8 @@
     }
 
     /// What this instance counted against servers, the worst first.
-    pub fn testimony(&self, now: Instant) -> Vec<Testimony> {
-        self.directory.testimony(now)
+    pub fn server_outcomes(&self, now: Instant) -> Vec<ServerOutcomes> {
+        self.directory.server_outcomes(now)
     }
 
     /// Flows remembered.
@@ -260,7 +260,7 @@
     }
 
     /// Takes the notes since the last time, and how many found no room.
-    pub fn take_notes(&mut self) -> (Vec<Note>, u64) {
+    pub fn take_events(&mut self) -> (Vec<FlowEvent>, u64) {
         let omitted = std::mem::take(&mut self.omitted);
         (std::mem::take(&mut self.notes), omitted)
     }
@@ -270,7 +270,7 @@
         std::mem::take(&mut self.timings)
     }
 
-    fn note(&mut self, note: Note) {
+    fn note(&mut self, note: FlowEvent) {
         if self.notes.len() < MOST_NOTES {
             self.notes.push(note);
         } else {
@@ -283,19 +283,19 @@
         let verdict = if segment.opens() {
             self.receive_opening(now, segment, packet)
         } else if segment.flags.syn {
-            Verdict::Drop(Drop::ServerSide)
+            Verdict::Drop(DropReason::ServerSide)
         } else {
             self.receive_later(now, segment)
         };
         if let Verdict::Drop(reason) = verdict {
-            let pair = segment.pair;
-            self.note(Note::Dropped { pair, reason });
+            let flow_key = segment.flow_key;
+            self.note(FlowEvent::Dropped { flow_key, reason });
         }
         verdict
     }
 
     fn receive_opening(&mut self, now: Instant, segment: &Segment, packet: &[u8]) -> Verdict {
-        if let Some(key) = self.table.find(&segment.pair) {
+        if let Some(key) = self.table.find(&segment.flow_key) {
             let known = self.table.get(key).and_then(|flow| flow.first_seq);
             if known == Some(segment.seq) {
                 return self.receive_copy(now, key);
@@ -303,16 +303,16 @@
             self.close(key);
         }
         let Some(routes) = &self.routes else {
-            return Verdict::Drop(Drop::NoView);
+            return Verdict::Drop(DropReason::NoView);
         };
         let version = routes.version;
-        let Some(route) = routes.by_address.get(&segment.pair.service) else {
-            return self.refuse(segment.pair, Refusal::NoRoute, version);
+        let Some(route) = routes.by_address.get(&segment.flow_key.service) else {
+            return self.refuse(segment.flow_key, Refusal::NoRoute, version);
         };
-        let Some(service) = route.service(&segment.pair).cloned() else {
-            return Verdict::Drop(Drop::NoWeight);
+        let Some(service) = route.service(&segment.flow_key).cloned() else {
+            return Verdict::Drop(DropReason::NoWeight);
         };
-        let refusing = self.abandoned(now, &segment.pair);
+        let refusing = self.abandoned(now, &segment.flow_key);
         let choice = self
             .choose(now, &service, &refusing)
             .or_else(|| self.choose(now, &service, &[]));
@@ -320,22 +320,22 @@
             Some(choice) => self.place(now, segment, packet, choice),
             None if choice::is_spent(&self.directory, &service, now) => {
                 // The caller's copy, in a moment, costs it none of its tries.
-                Verdict::Drop(Drop::Cold)
+                Verdict::Drop(DropReason::Cold)
             }
             None if self.has_servers => {
                 let reason = match choice::is_evacuated(&self.directory, &service) {
                     true => Refusal::Evacuated,
                     false => Refusal::NoServer,
                 };
-                self.refuse(segment.pair, reason, version)
+                self.refuse(segment.flow_key, reason, version)
             }
-            None => Verdict::Drop(Drop::NoView),
+            None => Verdict::Drop(DropReason::NoView),
         }
     }
 
-    fn refuse(&mut self, pair: Pair, reason: Refusal, version: u64) -> Verdict {
-        self.note(Note::Refused {
-            pair,
+    fn refuse(&mut self, flow_key: FlowKey, reason: Refusal, version: u64) -> Verdict {
+        self.note(FlowEvent::Refused {
+            flow_key,
             reason,
             version,
         });
@@ -355,11 +355,11 @@
 
     fn place(&mut self, now: Instant, segment: &Segment, packet: &[u8], choice: Choice) -> Verdict {
         let Some(record) = self.directory.get(choice.slot) else {
-            return Verdict::Drop(Drop::NoView);
+            return Verdict::Drop(DropReason::NoView);
         };
         let target = record.target();
-        let note = Note::Placed {
-            pair: segment.pair,
+        let note = FlowEvent::Placed {
+            flow_key: segment.flow_key,
             server: record.server.id.clone(),
             is_remote: record.server.zone != self.options.zone,
             outstanding: record.outstanding,
@@ -379,8 +379,8 @@
             let flow = Flow::opening(segment, opening, now);
             self.table.insert(flow);
             self.count_flow(choice.slot);
-            self.due.push(Reverse((due, segment.pair)));
-            self.openings.push_back((now, segment.pair));
+            self.due.push(Reverse((due, segment.flow_key)));
+            self.openings.push_back((now, segment.flow_key));
         }
         Verdict::Forward(target)
     }
--- a/src/flow/plane/account.rs
+++ b/src/flow/plane/account.rs
@@ -4,8 +4,8 @@
 
 use tokio::time::Instant;
 
-use crate::flow::Note;
-use crate::flow::Plane;
+use crate::flow::FlowEvent;
+use crate::flow::DataPlane;
 use crate::flow::directory::Slot;
 use crate::flow::table::Expiry;
 use crate::flow::table::Flow;
@@ -20,15 +20,15 @@
 /// some milliseconds where there are tens of thousands of flows.
 const PART: Duration = Duration::from_millis(50);
 
-impl Plane {
+impl DataPlane {
     pub(super) fn count_miss(&mut self, slot: Slot, since: Instant, now: Instant) {
         let Some(record) = self.directory.get_mut(slot) else {
             return;
         };
-        if record.evidence.missed(since, now) {
-            let note = Note::Suspected {
+        if record.liveness.missed(since, now) {
+            let note = FlowEvent::Suspected {
                 server: record.server.id.clone(),
-                misses: record.evidence.misses(),
+                misses: record.liveness.misses(),
             };
             self.note(note);
         }
@@ -38,9 +38,9 @@
         let Some(record) = self.directory.get_mut(slot) else {
             return;
         };
-        if record.evidence.answered(now) {
+        if record.liveness.answered(now) {
             let server = record.server.id.clone();
-            self.note(Note::Cleared { server });
+            self.note(FlowEvent::SuspicionCleared { server });
         }
     }
 
--- a/src/flow/plane/carry.rs
+++ b/src/flow/plane/carry.rs
@@ -4,9 +4,9 @@
 
 use tokio::time::Instant;
 
-use crate::flow::Drop;
-use crate::flow::Note;
-use crate::flow::Plane;
+use crate::flow::DropReason;
+use crate::flow::FlowEvent;
+use crate::flow::DataPlane;
 use crate::flow::Segment;
 use crate::flow::Timing;
 use crate::flow::Verdict;
@@ -23,15 +23,15 @@
 /// lost packet, two in a row hardly.
 const SILENT_REPEATS: u32 = 2;
 
-impl Plane {
+impl DataPlane {
     pub(super) fn receive_later(&mut self, now: Instant, segment: &Segment) -> Verdict {
         self.heard = Some(now);
         let tagged = self.directory.by_tag(segment.tag);
-        let known = self.table.find(&segment.pair);
+        let known = self.table.find(&segment.flow_key);
         let key = known.or_else(|| self.adopt(now, segment, tagged?));
         let slot = key.and_then(|key| self.settle_server(now, key, segment, tagged));
         let Some(slot) = slot.or(tagged) else {
-            return Verdict::Drop(Drop::UnknownTag);
+            return Verdict::Drop(DropReason::UnknownTag);
         };
         let progress = key.map(|key| self.advance(now, key, segment));
         if segment.len > 0 && self.is_released(now, segment, slot) {
@@ -45,7 +45,7 @@
         }
         match self.directory.get(slot) {
             Some(record) => Verdict::Forward(record.target()),
-            None => Verdict::Drop(Drop::UnknownTag),
+            None => Verdict::Drop(DropReason::UnknownTag),
         }
     }
 
@@ -124,7 +124,7 @@
             self.count_end(server, answer, now);
         }
         if progress.has_begun {
-            self.watch(segment.pair, server, now);
+            self.watch(segment.flow_key, server, now);
         }
         if segment.flags.fin {
             let ended = self.table.get_mut(key).and_then(|flow| flow.end_answer());
@@ -157,8 +157,8 @@
         let Some(record) = self.directory.get(slot) else {
             return false;
         };
-        let note = Note::Released {
-            pair: segment.pair,
+        let note = FlowEvent::Released {
+            flow_key: segment.flow_key,
             server: record.server.id.clone(),
             missing_ms: (now - missing).as_millis() as u64,
         };
--- a/src/flow/plane/ending.rs
+++ b/src/flow/plane/ending.rs
@@ -2,9 +2,9 @@
 
 use tokio::time::Instant;
 
-use crate::flow::Note;
-use crate::flow::Pair;
-use crate::flow::Plane;
+use crate::flow::FlowEvent;
+use crate::flow::FlowKey;
+use crate::flow::DataPlane;
 use crate::flow::directory::Slot;
 use crate::flow::table::Answer;
 
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Watch {
     pub(crate) due: Instant,
-    pair: Pair,
+    flow_key: FlowKey,
     asked: Instant,
 }
 
@@ -20,9 +20,9 @@
 /// would fill the memory; those beyond are not watched.
 const MOST_WATCHES: usize = 65_536;
 
-impl Plane {
+impl DataPlane {
     /// Notes when a request that begins now has to be answered.
-    pub(super) fn watch(&mut self, pair: Pair, slot: Slot, now: Instant) {
+    pub(super) fn watch(&mut self, flow_key: FlowKey, slot: Slot, now: Instant) {
         let Some(usual) = self.directory.usual_mut(slot) else {
             return;
         };
@@ -32,7 +32,7 @@
         let due = self.watches.back().map_or(due, |last| last.due.max(due));
         if self.watches.len() < MOST_WATCHES {
             let asked = now;
-            self.watches.push_back(Watch { due, pair, asked });
+            self.watches.push_back(Watch { due, flow_key, asked });
         }
     }
 
@@ -41,9 +41,9 @@
         let Some(usual) = self.directory.usual_mut(slot) else {
             return;
         };
-        let is_hollow = usual.sample(answer.took, answer.bytes);
+        let is_premature = usual.sample(answer.took, answer.bytes);
         if let Some(record) = self.directory.get_mut(slot) {
-            record.experience.answered(now, is_hollow);
+            record.outcomes.answered(now, is_premature);
             record.weigh(now);
         }
     }
@@ -59,7 +59,7 @@
             // the servers of all flows in progress look as if they hung.
             let has_heard = self.heard.is_some_and(|heard| heard > watch.asked);
             let has_turned = self.turned.is_some_and(|turned| turned >= watch.asked);
-            let flow = self.table.find(&watch.pair);
+            let flow = self.table.find(&watch.flow_key);
             let flow = flow.and_then(|key| self.table.get(key));
             let flow = flow.filter(|flow| flow.asked == Some(watch.asked));
             let Some(server) = flow
@@ -71,10 +71,10 @@
             let Some(record) = self.directory.get_mut(server) else {
                 continue;
             };
-            record.experience.stalled(now);
+            record.outcomes.stalled(now);
             record.weigh(now);
-            let note = Note::Stalled {
-                pair: watch.pair,
+            let note = FlowEvent::Stalled {
+                flow_key: watch.flow_key,
                 server: record.server.id.clone(),
                 waited_ms: (now - watch.asked).as_millis() as u64,
             };
--- a/src/flow/plane/opening.rs
+++ b/src/flow/plane/opening.rs
@@ -5,10 +5,10 @@
 
 use tokio::time::Instant;
 
-use crate::flow::Drop;
-use crate::flow::Note;
-use crate::flow::Pair;
-use crate::flow::Plane;
+use crate::flow::DropReason;
+use crate::flow::FlowEvent;
+use crate::flow::FlowKey;
+use crate::flow::DataPlane;
 use crate::flow::Resend;
 use crate::flow::Target;
 use crate::flow::Verdict;
@@ -33,12 +33,12 @@
 /// server: an answer may wait in the socket's buffer.
 const STALL: Duration = Duration::from_millis(20);
 
-impl Plane {
+impl DataPlane {
     /// A copy shows that the caller has heard nothing: a server that had time
     /// to answer is passed over.
     pub(super) fn receive_copy(&mut self, now: Instant, key: Key) -> Verdict {
         let Some(flow) = self.table.get_mut(key) else {
-            return Verdict::Drop(Drop::UnknownTag);
+            return Verdict::Drop(DropReason::UnknownTag);
         };
         flow.seen = now;
         let server = flow.server;
@@ -52,7 +52,7 @@
                 Some(target) => Verdict::Forward(target),
                 // The server may have answered the first packet, so that a reset could
                 // break a flow that is open.
-                None => Verdict::Drop(Drop::Evacuated),
+                None => Verdict::Drop(DropReason::Evacuated),
             };
         }
         if is_silent && let Some(resend) = self.reopen(now, key) {
@@ -60,7 +60,7 @@
         }
         match self.directory.get(server) {
             Some(record) => Verdict::Forward(record.target()),
-            None => Verdict::Drop(Drop::UnknownTag),
+            None => Verdict::Drop(DropReason::UnknownTag),
         }
     }
 
@@ -76,11 +76,11 @@
     /// [`Plane::receive`] first: the answers may be among them.
     pub fn expire(&mut self, now: Instant) -> Vec<Resend> {
         let mut resends = Vec::new();
-        while let Some(Reverse((due, pair))) = self.due.peek().copied()
+        while let Some(Reverse((due, flow_key))) = self.due.peek().copied()
             && due <= now
         {
             self.due.pop();
-            let Some(key) = self.still_opening(&pair, due) else {
+            let Some(key) = self.still_opening(&flow_key, due) else {
                 continue;
             };
             if now > due + STALL || !self.is_silence_told(key) {
@@ -95,8 +95,8 @@
     }
 
     /// The flow, if its handshake still waits for this deadline.
-    fn still_opening(&self, pair: &Pair, due: Instant) -> Option<Key> {
-        let key = self.table.find(pair)?;
+    fn still_opening(&self, flow_key: &FlowKey, due: Instant) -> Option<Key> {
+        let key = self.table.find(flow_key)?;
         let is_due = match &self.table.get(key)?.phase {
             Phase::Opening(opening) => opening.due == due,
             Phase::Open | Phase::Closing => false,
@@ -131,17 +131,17 @@
         let Some(flow) = self.table.get_mut(key) else {
             return;
         };
-        let pair = flow.pair;
+        let flow_key = flow.flow_key;
         if let Phase::Opening(opening) = &mut flow.phase {
             opening.due = now + wait;
-            self.due.push(Reverse((opening.due, pair)));
+            self.due.push(Reverse((opening.due, flow_key)));
         }
     }
 
     /// Takes the last server of an opening flow for silent and picks another.
     pub(super) fn reopen(&mut self, now: Instant, key: Key) -> Option<Resend> {
         let flow = self.table.get(key)?;
-        let pair = flow.pair;
+        let flow_key = flow.flow_key;
         let Phase::Opening(opening) = &flow.phase else {
             return None;
         };
@@ -156,8 +156,8 @@
             false => None,
         };
         let chosen = choice.and_then(|choice| self.directory.get(choice.slot));
-        let note = Note::Reopened {
-            pair,
+        let note = FlowEvent::Reopened {
+            flow_key,
             silent: self.directory.get(silent)?.server.id.clone(),
             server: chosen.map(|record| record.server.id.clone()),
             waited_ms: (now - sent).as_millis() as u64,
@@ -174,11 +174,11 @@
         let Phase::Opening(opening) = &flow.phase else {
             return None;
         };
-        let pair = flow.pair;
+        let flow_key = flow.flow_key;
         let tried = opening.tried.clone();
         let left = &self.directory.get(flow.server)?.server;
-        let note = Note::Evacuated {
-            pair,
+        let note = FlowEvent::Evacuated {
+            flow_key,
             left: left.id.clone(),
         };
         let service = left.service.clone();
@@ -194,12 +194,12 @@
         self.move_flow(key, slot);
         let due = now + self.round_trip.wait();
         let flow = self.table.get_mut(key)?;
-        let pair = flow.pair;
+        let flow_key = flow.flow_key;
         if let Phase::Opening(opening) = &mut flow.phase {
             opening.tried.push(slot);
             opening.sent = now;
             opening.due = due;
-            self.due.push(Reverse((due, pair)));
+            self.due.push(Reverse((due, flow_key)));
         }
         Some(target)
     }
@@ -212,24 +212,24 @@
     /// 30 ms. An opening of the same caller that is still unanswered after a round
     /// trip shows this; where it only comes from another of the caller's users,
     /// the new flow merely goes to another server.
-    pub(super) fn abandoned(&mut self, now: Instant, pair: &Pair) -> Vec<Slot> {
+    pub(super) fn abandoned(&mut self, now: Instant, flow_key: &FlowKey) -> Vec<Slot> {
         let usual = self.round_trip.usual();
-        let is_old = |(at, _): &(Instant, Pair)| now >= *at + COPY_GAP;
+        let is_old = |(at, _): &(Instant, FlowKey)| now >= *at + COPY_GAP;
         while self.openings.front().is_some_and(is_old) {
             self.openings.pop_front();
         }
-        let is_earlier = |other: &Pair| {
-            other.caller.ip() == pair.caller.ip() && other.service == pair.service && other != pair
+        let is_earlier = |other: &FlowKey| {
+            other.caller.ip() == flow_key.caller.ip() && other.service == flow_key.service && other != flow_key
         };
-        let earlier: Vec<Pair> = self
+        let earlier: Vec<FlowKey> = self
             .openings
             .iter()
             .filter(|(_, other)| is_earlier(other))
             .map(|(_, other)| *other)
             .collect();
         let mut refusing = Vec::new();
-        for pair in earlier {
-            let Some(key) = self.table.find(&pair) else {
+        for flow_key in earlier {
+            let Some(key) = self.table.find(&flow_key) else {
                 continue;
             };
             let Some(flow) = self.table.get(key) else {
--- a/src/flow/route.rs
+++ b/src/flow/route.rs
@@ -8,7 +8,7 @@
 
 use siphasher::sip::SipHasher13;
 
-use crate::flow::Pair;
+use crate::flow::FlowKey;
 use crate::flow::Warmup;
 use crate::id;
 
@@ -35,12 +35,12 @@
     ///
     /// It depends on the flow alone, so that copies of an opening packet get
     /// the same service at every instance. `None` when no share has weight.
-    pub fn service(&self, pair: &Pair) -> Option<&id::Service> {
+    pub fn service(&self, flow_key: &FlowKey) -> Option<&id::Service> {
         if let [only] = self.backends.as_slice() {
             return Some(&only.service);
         }
         let total: u64 = self.backends.iter().map(|b| u64::from(b.weight)).sum();
-        let mut point = spread(pair).checked_rem(total)?;
+        let mut point = spread(flow_key).checked_rem(total)?;
         for backend in &self.backends {
             let weight = u64::from(backend.weight);
             if point < weight {
@@ -52,9 +52,9 @@
     }
 }
 
-fn spread(pair: &Pair) -> u64 {
+fn spread(flow_key: &FlowKey) -> u64 {
     let mut hasher = SipHasher13::new();
-    pair.hash(&mut hasher);
+    flow_key.hash(&mut hasher);
     hasher.finish()
 }
 
--- a/src/flow/segment.rs
+++ b/src/flow/segment.rs
@@ -9,7 +9,7 @@
 
 /// The two ends that name a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Pair {
+pub struct FlowKey {
     /// The caller's address and port.
     pub caller: SocketAddrV4,
     /// The service's public address and port.
@@ -18,7 +18,7 @@
 
 /// Hashes two words. What the compiler derives hashes each address as a slice
 /// with its length, which takes twice as long.
-impl Hash for Pair {
+impl Hash for FlowKey {
     fn hash<H: Hasher>(&self, state: &mut H) {
         let word = |end: &SocketAddrV4| u64::from(end.ip().to_bits()) << 16 | u64::from(end.port());
         state.write_u64(word(&self.caller));
@@ -26,7 +26,7 @@
     }
 }
 
-impl fmt::Display for Pair {
+impl fmt::Display for FlowKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}>{}", self.caller, self.service)
     }
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Segment {
     /// The flow.
-    pub pair: Pair,
+    pub flow_key: FlowKey,
     /// Control flags.
     pub flags: Flags,
     /// Sequence number of the first byte.
--- a/src/flow/table.rs
+++ b/src/flow/table.rs
@@ -8,7 +8,7 @@
 use hashbrown::HashTable;
 use tokio::time::Instant;
 
-use crate::flow::Pair;
+use crate::flow::FlowKey;
 use crate::flow::Segment;
 use crate::flow::directory::Slot;
 use crate::flow::segment::is_after;
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 #[repr(align(64))]
 pub(crate) struct Flow {
-    pub(crate) pair: Pair,
+    pub(crate) flow_key: FlowKey,
     pub(crate) server: Slot,
     pub(crate) phase: Phase,
     /// Several servers got its opening packet, so that a later answer of the
@@ -81,7 +81,7 @@
 impl Flow {
     pub(crate) fn opening(segment: &Segment, opening: Opening, now: Instant) -> Self {
         Self {
-            pair: segment.pair,
+            flow_key: segment.flow_key,
             server: opening.tried[0],
             phase: Phase::Opening(Box::new(opening)),
             is_pinned: false,
@@ -101,7 +101,7 @@
     /// A flow whose opening packet another instance has passed on.
     pub(crate) fn adopted(segment: &Segment, server: Slot, now: Instant) -> Self {
         Self {
-            pair: segment.pair,
+            flow_key: segment.flow_key,
             server,
             phase: Phase::Open,
             is_pinned: false,
@@ -233,15 +233,15 @@
         self.len() < self.limit
     }
 
-    pub(crate) fn find(&self, pair: &Pair) -> Option<Key> {
-        let hash = self.hasher.hash_one(pair);
+    pub(crate) fn find(&self, flow_key: &FlowKey) -> Option<Key> {
+        let hash = self.hasher.hash_one(flow_key);
         self.index
-            .find(hash, |key| self.has_ends(*key, pair))
+            .find(hash, |key| self.has_ends(*key, flow_key))
             .copied()
     }
 
-    fn has_ends(&self, key: Key, pair: &Pair) -> bool {
-        self.get(key).is_some_and(|flow| flow.pair == *pair)
+    fn has_ends(&self, key: Key, flow_key: &FlowKey) -> bool {
+        self.get(key).is_some_and(|flow| flow.flow_key == *flow_key)
     }
 
     pub(crate) fn get(&self, key: Key) -> Option<&Flow> {
@@ -258,13 +258,13 @@
             self.flows.push(None);
             Key(self.flows.len() as u32 - 1)
         });
-        let hash = self.hasher.hash_one(flow.pair);
+        let hash = self.hasher.hash_one(flow.flow_key);
         self.flows[key.index()] = Some(flow);
         let (flows, hasher) = (&self.flows, &self.hasher);
         let rehash = |key: &Key| {
             flows[key.index()]
                 .as_ref()
-                .map_or(0, |f| hasher.hash_one(f.pair))
+                .map_or(0, |f| hasher.hash_one(f.flow_key))
         };
         self.index.insert_unique(hash, key, rehash);
         key
@@ -272,7 +272,7 @@
 
     pub(crate) fn remove(&mut self, key: Key) -> Option<Flow> {
         let flow = self.flows.get_mut(key.index())?.take()?;
-        let hash = self.hasher.hash_one(flow.pair);
+        let hash = self.hasher.hash_one(flow.flow_key);
         if let Ok(entry) = self.index.find_entry(hash, |other| *other == key) {
             entry.remove();
         }
--- a/src/flow/warmup.rs
+++ b/src/flow/warmup.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Warmup {
     /// How long a server stays cold.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Requests a second that a cold server bears, from all instances together;
     /// 0 when that is not limited.
     pub rate: f64,
@@ -80,7 +80,7 @@
 ///
 /// The shares of all add up to the rate, rounded down, or to one. All zones share
 /// alike, since a service may have servers in one zone only.
-pub fn share(me: &id::Instance, peers: &[Peer], server: &Server, rate: f64) -> usize {
+pub fn cold_flow_quota(me: &id::Instance, peers: &[Peer], server: &Server, rate: f64) -> usize {
     let total = (rate as usize).max(1);
     let mine = place(me, server);
     let places = peers.iter().map(|peer| place(&peer.instance, server));
--- a/src/replica/copy.rs
+++ b/src/replica/copy.rs
@@ -24,7 +24,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::flow::Contact;
+use crate::flow::StoreContact;
 use crate::id;
 use crate::platform::Change;
 use crate::platform::Entry;
@@ -64,7 +64,7 @@
     /// A key whose new value could not be read.
     Refused(Refusal),
     /// Everything that the store knew by the end of this contact has been told.
-    Contact(Contact),
+    Contact(StoreContact),
     /// The store does not answer; told once for each silence.
     Silent {
         /// The first error.
--- a/src/replica/follow.rs
+++ b/src/replica/follow.rs
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 
 use crate::error::Error;
-use crate::flow::Contact;
+use crate::flow::StoreContact;
 use crate::pacing::Backoff;
 use crate::platform::Change;
 use crate::platform::Entry;
@@ -227,7 +227,7 @@
         if !self.is_old() {
             self.is_silent = false;
             self.presence = Presence::Unknown;
-            let contact = Contact::at(contact);
+            let contact = StoreContact::at(contact);
             self.sender.send(Update::Contact(contact)).await?;
         }
         Ok(())
@@ -250,10 +250,10 @@
         self.large = Large::default();
         self.reset(listing.entries, listing.refused, listing.revision)
             .await?;
-        self.answered(Contact::at(listing.asked)).await
+        self.answered(StoreContact::at(listing.asked)).await
     }
 
-    async fn answered(&mut self, contact: Contact) -> Result<(), End> {
+    async fn answered(&mut self, contact: StoreContact) -> Result<(), End> {
         self.is_silent = false;
         self.presence = Presence::Unknown;
         self.backoff.reset();
--- a/src/replica/follow/poll.rs
+++ b/src/replica/follow/poll.rs
@@ -21,7 +21,7 @@
 
 use crate::error::Error;
 use crate::error::Result;
-use crate::flow::Contact;
+use crate::flow::StoreContact;
 use crate::platform::poll::Batch;
 use crate::platform::poll::Page;
 use crate::platform::poll::Reader;
@@ -292,7 +292,7 @@
         let until = asked + waited.min(asked.elapsed());
         // Small values may have been polled again beside a large one.
         let until = self.shared.contact().map_or(until, |at| at.max(until));
-        self.answered(Contact { from: asked, until }).await?;
+        self.answered(StoreContact { from: asked, until }).await?;
         store::pause(&self.sources.pace, asked, wait, has_changes).await;
         Ok(())
     }
--- a/tests/flow/backlog.rs
+++ b/tests/flow/backlog.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use godwitreel::flow::Backlog;
-use godwitreel::flow::Early;
+use godwitreel::flow::PendingPacket;
 use godwitreel::flow::Segment;
 use godwitreel::flow::Tag;
 use proptest::prelude::*;
@@ -13,8 +13,8 @@
 use crate::support::Caller;
 use crate::support::ms;
 
-fn early(at: Instant, segment: Segment) -> Early {
-    Early {
+fn early(at: Instant, segment: Segment) -> PendingPacket {
+    PendingPacket {
         at,
         segment,
         packet: b"packet".to_vec(),
@@ -30,7 +30,7 @@
 }
 
 fn taken(backlog: &mut Backlog, now: Instant) -> Vec<Segment> {
-    backlog.take(now).map(|early| early.segment).collect()
+    backlog.drain(now).map(|early| early.segment).collect()
 }
 
 // Guards against packets that are lost, or change places, while the copy comes.
@@ -38,8 +38,8 @@
 fn what_comes_early_is_taken_once_and_in_order() {
     let now = Instant::now();
     let mut backlog = Backlog::default();
-    backlog.keep(early(now, data(1)));
-    backlog.keep(early(now + ms(1), opening(2)));
+    backlog.push(early(now, data(1)));
+    backlog.push(early(now + ms(1), opening(2)));
     let both = vec![data(1), opening(2)];
     assert_eq!(taken(&mut backlog, now + ms(100)), both);
     assert_eq!(taken(&mut backlog, now + ms(100)), Vec::new());
@@ -51,8 +51,8 @@
 fn no_opening_packet_outlives_its_callers_copy() {
     let now = Instant::now();
     let mut backlog = Backlog::default();
-    backlog.keep(early(now, opening(1)));
-    backlog.keep(early(now, data(2)));
+    backlog.push(early(now, opening(1)));
+    backlog.push(early(now, data(2)));
     assert_eq!(taken(&mut backlog, now + ms(200)), vec![data(2)]);
 }
 
@@ -61,7 +61,7 @@
 fn no_packet_outlives_the_longest_pause_between_repeats() {
     let now = Instant::now();
     let mut backlog = Backlog::default();
-    backlog.keep(early(now, data(1)));
+    backlog.push(early(now, data(1)));
     assert_eq!(taken(&mut backlog, now + ms(1_600)), Vec::new());
 }
 
@@ -72,7 +72,7 @@
     let now = Instant::now();
     let mut backlog = Backlog::default();
     for port in 0..10_000 {
-        backlog.keep(early(now, data(port)));
+        backlog.push(early(now, data(port)));
     }
     let kept = taken(&mut backlog, now);
     assert!(kept.len() <= 1_024, "{}", kept.len());
@@ -84,7 +84,7 @@
 fn a_cleared_backlog_holds_nothing() {
     let now = Instant::now();
     let mut backlog = Backlog::default();
-    backlog.keep(early(now, opening(1)));
+    backlog.push(early(now, opening(1)));
     backlog.clear();
     assert_eq!(taken(&mut backlog, now), Vec::new());
 }
@@ -97,9 +97,9 @@
         let mut backlog = Backlog::default();
         for (gap, opens) in gaps {
             now += ms(gap);
-            backlog.keep(early(now, if opens { opening(1) } else { data(1) }));
+            backlog.push(early(now, if opens { opening(1) } else { data(1) }));
         }
-        for early in backlog.take(now) {
+        for early in backlog.drain(now) {
             let most = if early.segment.opens() { 200 } else { 1_600 };
             prop_assert!(now - early.at < Duration::from_millis(most));
         }
--- a/tests/flow/choice.rs
+++ b/tests/flow/choice.rs
@@ -2,9 +2,9 @@
 
 use std::collections::HashMap;
 
-use godwitreel::flow::Belief;
+use godwitreel::flow::StateUpdate;
 use godwitreel::flow::Options;
-use godwitreel::flow::Plane;
+use godwitreel::flow::DataPlane;
 use tokio::time::Instant;
 
 use crate::support::*;
@@ -67,7 +67,7 @@
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
     let mut cold = server(2, "dispatch", LOCAL);
     cold.cold_for = ms(5_000);
-    plane.learn(now, Belief::Server(cold));
+    plane.apply(now, StateUpdate::Server(cold));
     let mut counts = HashMap::new();
     for port in 0..16 {
         let target = open(&mut plane, now, &Caller::new(port, BOOKINGS));
@@ -88,22 +88,22 @@
     let now = Instant::now();
     let mut arrivals = 0;
     for number in 0..INSTANCES {
-        let mut plane = Plane::new(Options {
+        let mut plane = DataPlane::new(Options {
             seed: number,
             ..options()
         });
         let rows = [(BOOKINGS, "dispatch")];
-        plane.learn(now, Belief::Routes(routes(1, &rows)));
+        plane.apply(now, StateUpdate::Routes(routes(1, &rows)));
         let listed = (1..=SERVERS).map(|n| server(n, "dispatch", LOCAL));
         let listed = listed.collect();
         let unreadable = Vec::new();
-        plane.learn(now, Belief::Servers { listed, unreadable });
+        plane.apply(now, StateUpdate::Servers { listed, unreadable });
         for port in 0..4 * u16::from(SERVERS) {
             let caller = Caller::new(port, BOOKINGS);
             let target = open(&mut plane, now, &caller);
             plane.receive(now + ms(20), &caller.acknowledge(500, target.tag), b"");
         }
-        plane.learn(now, Belief::Server(server(SERVERS + 1, "dispatch", LOCAL)));
+        plane.apply(now, StateUpdate::Server(server(SERVERS + 1, "dispatch", LOCAL)));
         let packet = Caller::new(1_000, BOOKINGS).opening(0);
         let target = forwarded(plane.receive(now + ms(30), &packet, b"packet"));
         arrivals += usize::from(target.serial.0 == u64::from(SERVERS) + 1);
--- a/tests/flow/config.rs
+++ b/tests/flow/config.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use godwitreel::flow::Backend;
-use godwitreel::flow::Belief;
-use godwitreel::flow::Drop;
-use godwitreel::flow::Plane;
+use godwitreel::flow::StateUpdate;
+use godwitreel::flow::DropReason;
+use godwitreel::flow::DataPlane;
 use godwitreel::flow::Route;
 use godwitreel::flow::Verdict;
 use tokio::time::Instant;
@@ -16,8 +16,8 @@
 fn an_older_configuration_is_refused() {
     let now = Instant::now();
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
-    assert!(plane.learn(now, Belief::Routes(routes(5, &[]))));
-    assert!(!plane.learn(now, Belief::Routes(routes(4, &[(BOOKINGS, "dispatch")]))));
+    assert!(plane.apply(now, StateUpdate::Routes(routes(5, &[]))));
+    assert!(!plane.apply(now, StateUpdate::Routes(routes(4, &[(BOOKINGS, "dispatch")]))));
     let verdict = plane.receive(now, &Caller::new(1, BOOKINGS).opening(0), b"");
     assert_eq!(verdict, Verdict::Reset);
     assert_eq!(plane.version(), 5);
@@ -31,7 +31,7 @@
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
     let caller = Caller::new(1, BOOKINGS);
     let target = open(&mut plane, now, &caller);
-    plane.learn(now, Belief::Routes(routes(2, &[])));
+    plane.apply(now, StateUpdate::Routes(routes(2, &[])));
     let verdict = plane.receive(now + ms(10), &caller.data(100, target.tag), b"");
     assert_eq!(forwarded(verdict), target);
 }
@@ -39,9 +39,9 @@
 #[test]
 fn nothing_is_refused_before_anything_is_known() {
     let now = Instant::now();
-    let mut plane = Plane::new(options());
+    let mut plane = DataPlane::new(options());
     let verdict = plane.receive(now, &Caller::new(1, BOOKINGS).opening(0), b"");
-    assert_eq!(verdict, Verdict::Drop(Drop::NoView));
+    assert_eq!(verdict, Verdict::Drop(DropReason::NoView));
     assert!(!plane.is_ready());
 }
 
@@ -71,8 +71,8 @@
         backends: vec![backend("dispatch", 90), backend("ledger", 10)],
     };
     shared.by_address.insert(BOOKINGS, route);
-    one.learn(now, Belief::Routes(shared.clone()));
-    two.learn(now, Belief::Routes(shared));
+    one.apply(now, StateUpdate::Routes(shared.clone()));
+    two.apply(now, StateUpdate::Routes(shared));
     let mut ledger = 0;
     for port in 0..1_000 {
         let opening = Caller::new(port, BOOKINGS).opening(0);
--- a/tests/flow/egress.rs
+++ b/tests/flow/egress.rs
@@ -34,7 +34,7 @@
 
 /// Lets a datagram wait although the link is free.
 fn queue(egress: &mut Egress, segment: &Segment, mark: u8, length: usize) -> Admission {
-    egress.wait(segment, datagram(mark, length))
+    egress.enqueue(segment, datagram(mark, length))
 }
 
 /// What goes out within this time.
@@ -127,13 +127,13 @@
         for upload in &mut uploads {
             for number in upload.send(at) {
                 let segment = data(upload.port, number);
-                if egress.passes(now, FULL as usize) {
+                if egress.try_pass(now, FULL as usize) {
                     link.send((upload.port, number));
                     continue;
                 }
                 let mut datagram = datagram(upload.port as u8, FULL as usize);
                 datagram.bytes[1..5].copy_from_slice(&number.to_be_bytes());
-                egress.wait(&segment, datagram);
+                egress.enqueue(&segment, datagram);
             }
         }
         while let Some(datagram) = egress.next(now) {
@@ -194,12 +194,12 @@
     let now = Instant::now();
     let mut egress = Egress::new(THIN, now);
     let segment = data(1, 0);
-    assert_eq!(queue(&mut egress, &segment, 1, 1_242), Admission::Waits);
-    let bytes = egress.bytes();
-    assert_eq!(queue(&mut egress, &segment, 2, 1_242), Admission::Replaces);
-    assert_eq!(egress.bytes(), bytes);
+    assert_eq!(queue(&mut egress, &segment, 1, 1_242), Admission::Queued);
+    let bytes = egress.queued_bytes();
+    assert_eq!(queue(&mut egress, &segment, 2, 1_242), Admission::ReplacedQueued);
+    assert_eq!(egress.queued_bytes(), bytes);
     assert_eq!(marks(&mut egress, now, 100), [2]);
-    assert_eq!(queue(&mut egress, &segment, 3, 1_242), Admission::Waits);
+    assert_eq!(queue(&mut egress, &segment, 3, 1_242), Admission::Queued);
 }
 
 // Acknowledgements without data each say something else, and all go out.
@@ -210,7 +210,7 @@
     let caller = Caller::new(1, BOOKINGS);
     for bytes in [100, 200, 300] {
         let segment = caller.acknowledge(bytes, Tag::NONE);
-        assert_eq!(queue(&mut egress, &segment, 1, 42), Admission::Waits);
+        assert_eq!(queue(&mut egress, &segment, 1, 42), Admission::Queued);
     }
     assert_eq!(marks(&mut egress, now, 10).len(), 3);
 }
@@ -229,9 +229,9 @@
         }
     }
     assert!(refused > 0);
-    assert!(egress.bytes() as f64 <= THIN, "a second's worth");
+    assert!(egress.queued_bytes() as f64 <= THIN, "a second's worth");
     let opening = Caller::new(50, BOOKINGS).opening(0);
-    assert_eq!(queue(&mut egress, &opening, 2, 42), Admission::Waits);
+    assert_eq!(queue(&mut egress, &opening, 2, 42), Admission::Queued);
 }
 
 // On a wide link nothing waits: the windows of a hundred uploads pass as they come.
@@ -240,7 +240,7 @@
     let now = Instant::now();
     let mut egress = Egress::new(THIN * 500.0, now);
     for _ in 0..100 {
-        assert!((0..4).all(|_| egress.passes(now, 1_242)));
+        assert!((0..4).all(|_| egress.try_pass(now, 1_242)));
     }
     assert_eq!(egress.next_due(), None);
 }
@@ -254,10 +254,10 @@
     let segment = data(1, 0);
     queue(&mut egress, &segment, 1, 100);
     queue(&mut egress, &segment, 2, 1_242);
-    assert_eq!(egress.bytes(), 1_242 + 42);
+    assert_eq!(egress.queued_bytes(), 1_242 + 42);
     queue(&mut egress, &segment, 3, 100);
     assert_eq!(marks(&mut egress, now, 100), [3]);
-    assert_eq!(egress.bytes(), 0);
+    assert_eq!(egress.queued_bytes(), 0);
 }
 
 // Short packets fill what may wait, and their senders repeat them at full size: more than a
@@ -273,5 +273,5 @@
             }
         }
     }
-    assert!(egress.bytes() as f64 <= THIN, "{} bytes", egress.bytes());
+    assert!(egress.queued_bytes() as f64 <= THIN, "{} bytes", egress.queued_bytes());
 }
--- a/tests/flow/evacuation.rs
+++ b/tests/flow/evacuation.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeSet;
 
-use godwitreel::flow::Belief;
-use godwitreel::flow::Drop;
-use godwitreel::flow::Note;
-use godwitreel::flow::Plane;
+use godwitreel::flow::StateUpdate;
+use godwitreel::flow::DropReason;
+use godwitreel::flow::FlowEvent;
+use godwitreel::flow::DataPlane;
 use godwitreel::flow::Refusal;
 use godwitreel::flow::Server;
 use godwitreel::flow::Verdict;
@@ -27,8 +27,8 @@
     name.parse().unwrap()
 }
 
-fn evacuate(plane: &mut Plane, now: Instant, name: &str) -> bool {
-    plane.learn(now, Belief::Evacuated(zone(name)))
+fn evacuate(plane: &mut DataPlane, now: Instant, name: &str) -> bool {
+    plane.apply(now, StateUpdate::ZoneEvacuated(zone(name)))
 }
 
 fn two_zones() -> Vec<Server> {
@@ -39,7 +39,7 @@
     ]
 }
 
-fn serials(plane: &mut Plane, now: Instant, ports: std::ops::Range<u16>) -> BTreeSet<u64> {
+fn serials(plane: &mut DataPlane, now: Instant, ports: std::ops::Range<u16>) -> BTreeSet<u64> {
     let open = |port| open(plane, now, &Caller::new(port, BOOKINGS)).serial.0;
     ports.map(open).collect()
 }
@@ -52,7 +52,7 @@
     assert!(evacuate(&mut plane, now, LOCAL));
     assert!(!evacuate(&mut plane, now, LOCAL), "known already");
     assert_eq!(serials(&mut plane, now, 1..200), BTreeSet::from([3]));
-    assert!(plane.learn(now, Belief::Returned(zone(LOCAL))));
+    assert!(plane.apply(now, StateUpdate::ZoneRestored(zone(LOCAL))));
     assert!(serials(&mut plane, now, 200..230).contains(&1));
 }
 
@@ -79,18 +79,18 @@
     evacuate(&mut plane, now, LOCAL);
     let copy = plane.receive(now + ms(200), &caller.opening(1), b"packet");
     assert_eq!(forwarded(copy).serial.0, 3);
-    let (notes, _) = plane.take_notes();
+    let (notes, _) = plane.take_events();
     assert!(
         notes
             .iter()
-            .any(|note| matches!(note, Note::Evacuated { .. }))
+            .any(|note| matches!(note, FlowEvent::Evacuated { .. }))
     );
-    let is_suspected = |note: &Note| matches!(note, Note::Suspected { .. });
+    let is_suspected = |note: &FlowEvent| matches!(note, FlowEvent::Suspected { .. });
     assert!(!notes.iter().any(is_suspected), "{notes:?}");
-    let evacuated = plane.learn(now, Belief::Evacuated(zone(REMOTE)));
+    let evacuated = plane.apply(now, StateUpdate::ZoneEvacuated(zone(REMOTE)));
     assert!(evacuated);
     let copy = plane.receive(now + ms(600), &caller.opening(2), b"packet");
-    assert_eq!(copy, Verdict::Drop(Drop::Evacuated));
+    assert_eq!(copy, Verdict::Drop(DropReason::Evacuated));
 }
 
 // Guards against further openings, after a silence, into an evacuated zone.
@@ -115,16 +115,16 @@
     let now = Instant::now();
     let mut plane = plane(now, two_zones());
     let all = BTreeSet::from([zone(LOCAL), zone(REMOTE)]);
-    assert!(plane.learn(now, Belief::Evacuation(all.clone())));
-    assert!(!plane.learn(now, Belief::Evacuation(all)), "known already");
+    assert!(plane.apply(now, StateUpdate::EvacuatedZones(all.clone())));
+    assert!(!plane.apply(now, StateUpdate::EvacuatedZones(all)), "known already");
     let caller = Caller::new(1, BOOKINGS);
     let verdict = plane.receive(now, &caller.opening(0), b"packet");
     assert_eq!(verdict, Verdict::Reset);
-    let (notes, _) = plane.take_notes();
-    let is_told = |note: &Note| {
+    let (notes, _) = plane.take_events();
+    let is_told = |note: &FlowEvent| {
         matches!(
             note,
-            Note::Refused {
+            FlowEvent::Refused {
                 reason: Refusal::Evacuated,
                 ..
             }
@@ -143,9 +143,9 @@
         vec![server(1, "dispatch", LOCAL), server(2, "dispatch", LOCAL)],
     );
     evacuate(&mut plane, now, LOCAL);
-    plane.learn(now, Belief::Silence);
-    plane.learn(now, Belief::Gone("s-1".parse().unwrap()));
-    plane.learn(now, Belief::Unreadable("s-2".parse().unwrap()));
+    plane.apply(now, StateUpdate::StoreUnreachable);
+    plane.apply(now, StateUpdate::ServerRemoved("s-1".parse().unwrap()));
+    plane.apply(now, StateUpdate::ServerUnreadable("s-2".parse().unwrap()));
     let caller = Caller::new(1, BOOKINGS);
     let verdict = plane.receive(now, &caller.opening(0), b"packet");
     assert_eq!(verdict, Verdict::Reset);
@@ -157,9 +157,9 @@
     let now = Instant::now();
     let mut plane = plane(now, vec![server(3, "dispatch", REMOTE)]);
     evacuate(&mut plane, now, LOCAL);
-    plane.learn(now, Belief::Server(server(1, "dispatch", LOCAL)));
-    plane.learn(now, Belief::Server(server(4, "dispatch", REMOTE)));
-    plane.learn(now, Belief::Server(server(4, "dispatch", LOCAL)));
+    plane.apply(now, StateUpdate::Server(server(1, "dispatch", LOCAL)));
+    plane.apply(now, StateUpdate::Server(server(4, "dispatch", REMOTE)));
+    plane.apply(now, StateUpdate::Server(server(4, "dispatch", LOCAL)));
     assert_eq!(serials(&mut plane, now, 1..100), BTreeSet::from([3]));
 }
 
@@ -191,7 +191,7 @@
 const ZONES: [&str; 3] = [LOCAL, REMOTE, "ayat"];
 
 /// The zone of a server, as it was written last.
-fn zone_of(plane: &Plane, address: std::net::SocketAddrV4) -> String {
+fn zone_of(plane: &DataPlane, address: std::net::SocketAddrV4) -> String {
     let mut servers = plane.directory().servers();
     let server = servers.find(|server| server.address == address);
     server.unwrap().zone.to_string()
@@ -210,16 +210,16 @@
             let mut targets = Vec::new();
             match event {
                 Event::Begin(number) => {
-                    plane.learn(now, Belief::Evacuated(zone(ZONES[usize::from(number)])));
+                    plane.apply(now, StateUpdate::ZoneEvacuated(zone(ZONES[usize::from(number)])));
                     evacuated.insert(number);
                 }
                 Event::End(number) => {
-                    plane.learn(now, Belief::Returned(zone(ZONES[usize::from(number)])));
+                    plane.apply(now, StateUpdate::ZoneRestored(zone(ZONES[usize::from(number)])));
                     evacuated.remove(&number);
                 }
                 Event::Listed(numbers) => {
                     let zones = numbers.iter().map(|number| zone(ZONES[usize::from(*number)]));
-                    plane.learn(now, Belief::Evacuation(zones.collect()));
+                    plane.apply(now, StateUpdate::EvacuatedZones(zones.collect()));
                     evacuated = numbers;
                 }
                 Event::Open | Event::Copy => {
@@ -237,10 +237,10 @@
                 }
                 Event::Write(number, zone) => {
                     let zone = ZONES[usize::from(zone)];
-                    plane.learn(now, Belief::Server(server(number, "dispatch", zone)));
+                    plane.apply(now, StateUpdate::Server(server(number, "dispatch", zone)));
                 }
                 Event::Gone(number) => {
-                    plane.learn(now, Belief::Gone(format!("s-{number}").parse().unwrap()));
+                    plane.apply(now, StateUpdate::ServerRemoved(format!("s-{number}").parse().unwrap()));
                 }
             }
             for target in targets {
--- a/tests/flow/experience.rs
+++ b/tests/flow/experience.rs
@@ -1,13 +1,13 @@
 //! Servers that hang, or fail at once, while health and handshakes are good.
 
-use godwitreel::flow::Belief;
-use godwitreel::flow::Counts;
+use godwitreel::flow::StateUpdate;
+use godwitreel::flow::OutcomeCounts;
 use godwitreel::flow::Incarnation;
-use godwitreel::flow::Plane;
+use godwitreel::flow::DataPlane;
 use godwitreel::flow::Server;
 use godwitreel::flow::Tag;
 use godwitreel::flow::Target;
-use godwitreel::flow::Testimony;
+use godwitreel::flow::ServerOutcomes;
 use tokio::time::Instant;
 
 use crate::support::*;
@@ -42,7 +42,7 @@
 
 /// Callers' load on a plane: a new request every 10 ms.
 pub(crate) struct Load {
-    pub(crate) plane: Plane,
+    pub(crate) plane: DataPlane,
     pub(crate) now: Instant,
     port: u16,
     pending: Vec<Pending>,
@@ -119,17 +119,17 @@
         .collect()
 }
 
-fn told(number: u64, counts: Counts) -> Belief {
-    Belief::Testimony(vec![Testimony {
+fn told(number: u64, counts: OutcomeCounts) -> StateUpdate {
+    StateUpdate::ZoneOutcomes(vec![ServerOutcomes {
         serial: godwitreel::flow::Serial(number),
         incarnation: None,
         counts,
     }])
 }
 
-const HANGS: Counts = Counts {
+const HANGS: OutcomeCounts = OutcomeCounts {
     answers: 0.0,
-    hollow: 0.0,
+    premature: 0.0,
     stalls: 3.0,
 };
 
@@ -194,7 +194,7 @@
     load.run(100, |_| GOOD);
     load.now += ms(5_000);
     load.settle();
-    load.plane.learn(load.now, told(1, HANGS));
+    load.plane.apply(load.now, told(1, HANGS));
     let counts = load.run(100, |_| GOOD);
     assert!(counts[1] < 10, "{counts:?}");
 }
@@ -207,7 +207,7 @@
     load.run(100, |_| GOOD);
     let mut total = 0;
     for _ in 0..20 {
-        load.plane.learn(load.now, told(1, HANGS));
+        load.plane.apply(load.now, told(1, HANGS));
         total += load.run(20, |_| GOOD)[1];
     }
     assert!(total > 60, "{total} of 400");
@@ -221,15 +221,15 @@
     let mut load = Load::new(servers.clone());
     for server in &mut servers[1..] {
         server.incarnation = Some(Incarnation(1));
-        load.plane.learn(load.now, Belief::Server(server.clone()));
+        load.plane.apply(load.now, StateUpdate::Server(server.clone()));
     }
     load.run(100, |_| GOOD);
     let hanging = |number| if number == 1 { HANGING } else { GOOD };
     load.run(200, hanging);
     servers[0].incarnation = Some(Incarnation(20));
     load.plane
-        .learn(load.now, Belief::Server(servers[0].clone()));
-    load.plane.learn(load.now, told(1, HANGS));
+        .apply(load.now, StateUpdate::Server(servers[0].clone()));
+    load.plane.apply(load.now, told(1, HANGS));
     let counts = load.run(100, |_| GOOD);
     assert!(counts[1] >= 15, "{counts:?}");
 }
@@ -253,5 +253,5 @@
         load.plane
             .receive(load.now, &other.acknowledge(5, tag), b"");
     }
-    assert_eq!(load.plane.testimony(load.now), Vec::new());
+    assert_eq!(load.plane.server_outcomes(load.now), Vec::new());
 }
--- a/tests/flow/gone.rs
+++ b/tests/flow/gone.rs
@@ -1,7 +1,7 @@
 //! Servers that leave, crash, or only seem to be gone.
 
-use godwitreel::flow::Belief;
-use godwitreel::flow::Contact;
+use godwitreel::flow::StateUpdate;
+use godwitreel::flow::StoreContact;
 use godwitreel::flow::Incarnation;
 use godwitreel::flow::Server;
 use godwitreel::flow::Verdict;
@@ -27,7 +27,7 @@
     let caller = Caller::new(1, BOOKINGS);
     let target = open(&mut plane, now, &caller);
     let id = format!("s-{}", target.serial);
-    plane.learn(now + ms(100), Belief::Gone(id.parse().unwrap()));
+    plane.apply(now + ms(100), StateUpdate::ServerRemoved(id.parse().unwrap()));
 
     stay_in_contact(&mut plane, now, now + ms(2_000));
     let early = plane.receive(now + ms(2_000), &caller.data(0, target.tag), b"");
@@ -45,14 +45,14 @@
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
     let caller = Caller::new(1, BOOKINGS);
     let target = open(&mut plane, now, &caller);
-    plane.learn(now + ms(100), Belief::Silence);
+    plane.apply(now + ms(100), StateUpdate::StoreUnreachable);
     let returned = now + ms(8_000);
-    let lapsed = Belief::Servers {
+    let lapsed = StateUpdate::Servers {
         listed: Vec::new(),
         unreadable: Vec::new(),
     };
-    plane.learn(returned, lapsed);
-    plane.learn(returned, Belief::Contact(Contact::at(returned)));
+    plane.apply(returned, lapsed);
+    plane.apply(returned, StateUpdate::StoreContact(StoreContact::at(returned)));
 
     let fresh = Caller::new(2, BOOKINGS);
     let verdict = plane.receive(returned + ms(500), &fresh.opening(0), b"");
@@ -60,9 +60,9 @@
     stay_in_contact(&mut plane, returned, returned + ms(1_900));
     let verdict = plane.receive(returned + ms(1_900), &caller.data(0, target.tag), b"");
     assert_eq!(forwarded(verdict), target);
-    plane.learn(
+    plane.apply(
         returned + ms(1_950),
-        Belief::Server(server(1, "dispatch", LOCAL)),
+        StateUpdate::Server(server(1, "dispatch", LOCAL)),
     );
     stay_in_contact(&mut plane, returned + ms(1_950), returned + ms(9_000));
     let verdict = plane.receive(returned + ms(9_000), &caller.data(0, target.tag), b"");
@@ -74,7 +74,7 @@
 fn an_entry_that_stays_away_after_an_outage_is_gone() {
     let now = Instant::now();
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
-    plane.learn(now, Belief::Gone("s-1".parse().unwrap()));
+    plane.apply(now, StateUpdate::ServerRemoved("s-1".parse().unwrap()));
     stay_in_contact(&mut plane, now, now + ms(2_600));
     let verdict = plane.receive(now + ms(2_600), &Caller::new(1, BOOKINGS).opening(0), b"");
     assert_eq!(verdict, Verdict::Reset);
@@ -88,12 +88,12 @@
     let caller = Caller::new(1, BOOKINGS);
     let target = open(&mut plane, now, &caller);
     // After the last answer, which alone would show that it lives.
-    plane.learn(now + ms(100), Belief::Gone("s-1".parse().unwrap()));
-    plane.learn(now + ms(110), Belief::Silence);
+    plane.apply(now + ms(100), StateUpdate::ServerRemoved("s-1".parse().unwrap()));
+    plane.apply(now + ms(110), StateUpdate::StoreUnreachable);
     let verdict = plane.receive(now + ms(9_000), &caller.data(0, target.tag), b"");
     assert_eq!(forwarded(verdict), target);
     let back = now + ms(9_000);
-    plane.learn(back, Belief::Contact(Contact::at(back)));
+    plane.apply(back, StateUpdate::StoreContact(StoreContact::at(back)));
     stay_in_contact(&mut plane, back, now + ms(10_000));
     let verdict = plane.receive(now + ms(10_000), &caller.data(0, target.tag), b"");
     assert_eq!(forwarded(verdict), target);
@@ -107,7 +107,7 @@
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
     let caller = Caller::new(1, BOOKINGS);
     let target = open(&mut plane, now, &caller);
-    plane.learn(now + ms(100), Belief::Gone("s-1".parse().unwrap()));
+    plane.apply(now + ms(100), StateUpdate::ServerRemoved("s-1".parse().unwrap()));
     plane.receive(now + ms(200), &caller.acknowledge(50, target.tag), b"");
     stay_in_contact(&mut plane, now, now + ms(5_000));
     let verdict = plane.receive(now + ms(5_000), &caller.data(100, target.tag), b"");
@@ -119,11 +119,11 @@
 fn an_unreadable_entry_leaves_its_server() {
     let now = Instant::now();
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
-    let unreadable = Belief::Servers {
+    let unreadable = StateUpdate::Servers {
         listed: Vec::new(),
         unreadable: vec!["s-1".parse().unwrap()],
     };
-    plane.learn(now + ms(100), unreadable);
+    plane.apply(now + ms(100), unreadable);
     stay_in_contact(&mut plane, now, now + ms(9_000));
     let verdict = plane.receive(now + ms(9_000), &Caller::new(1, BOOKINGS).opening(0), b"");
     forwarded(verdict);
@@ -136,8 +136,8 @@
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
     let caller = Caller::new(1, BOOKINGS);
     let target = open(&mut plane, now, &caller);
-    plane.learn(now, Belief::Server(draining(1, "dispatch", LOCAL)));
-    plane.learn(now, Belief::Server(server(2, "dispatch", REMOTE)));
+    plane.apply(now, StateUpdate::Server(draining(1, "dispatch", LOCAL)));
+    plane.apply(now, StateUpdate::Server(server(2, "dispatch", REMOTE)));
     for port in 2..10 {
         let fresh = Caller::new(port, BOOKINGS);
         let verdict = plane.receive(now + ms(1), &fresh.opening(0), b"");
@@ -156,7 +156,7 @@
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
     let caller = Caller::new(1, BOOKINGS);
     let target = open(&mut plane, now, &caller);
-    plane.learn(now + ms(100), Belief::Gone("s-1".parse().unwrap()));
+    plane.apply(now + ms(100), StateUpdate::ServerRemoved("s-1".parse().unwrap()));
     for at in [2_700, 6_000, 30_000] {
         let verdict = plane.receive(now + ms(at), &caller.data(0, target.tag), b"");
         assert_eq!(forwarded(verdict), target, "after {at} ms");
@@ -170,7 +170,7 @@
 fn new_flows_go_to_lapsed_servers_until_the_store_is_back() {
     let now = Instant::now();
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
-    plane.learn(now + ms(100), Belief::Gone("s-1".parse().unwrap()));
+    plane.apply(now + ms(100), StateUpdate::ServerRemoved("s-1".parse().unwrap()));
     for (port, at) in [(1, 2_700), (2, 6_000), (3, 30_000)] {
         let fresh = Caller::new(port, BOOKINGS);
         let verdict = plane.receive(now + ms(at), &fresh.opening(0), b"");
@@ -187,9 +187,9 @@
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
     let caller = Caller::new(1, BOOKINGS);
     let target = open(&mut plane, now, &caller);
-    plane.learn(now + ms(100), Belief::Gone("s-1".parse().unwrap()));
+    plane.apply(now + ms(100), StateUpdate::ServerRemoved("s-1".parse().unwrap()));
     let back = now + ms(2_200);
-    plane.learn(back, Belief::Contact(Contact::at(back)));
+    plane.apply(back, StateUpdate::StoreContact(StoreContact::at(back)));
     stay_in_contact(&mut plane, back, back + ms(2_400));
     let verdict = plane.receive(back + ms(2_400), &caller.data(0, target.tag), b"");
     assert_eq!(forwarded(verdict), target);
@@ -207,11 +207,11 @@
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
     let caller = Caller::new(1, BOOKINGS);
     let target = open(&mut plane, now, &caller);
-    plane.learn(now + ms(100), Belief::Gone("s-1".parse().unwrap()));
+    plane.apply(now + ms(100), StateUpdate::ServerRemoved("s-1".parse().unwrap()));
     for poll in 0..2 {
         let from = now + ms(110 + poll * 2_210);
         let until = from + ms(2_200);
-        plane.learn(until, Belief::Contact(Contact { from, until }));
+        plane.apply(until, StateUpdate::StoreContact(StoreContact { from, until }));
     }
     let verdict = plane.receive(now + ms(4_600), &caller.data(0, target.tag), b"");
     assert_eq!(verdict, Verdict::Reset);
@@ -226,7 +226,7 @@
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
     let caller = Caller::new(1, BOOKINGS);
     let target = open(&mut plane, now, &caller);
-    plane.learn(now + ms(2_000), Belief::Server(successor(2)));
+    plane.apply(now + ms(2_000), StateUpdate::Server(successor(2)));
     let early = plane.receive(now + ms(2_400), &caller.data(0, target.tag), b"");
     assert_eq!(forwarded(early), target, "it may still be heard");
     let late = plane.receive(now + ms(2_600), &caller.data(0, target.tag), b"");
@@ -245,10 +245,10 @@
         let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
         let caller = Caller::new(1, BOOKINGS);
         let target = open(&mut plane, now, &caller);
-        plane.learn(now + ms(2_000), Belief::Server(successor(2)));
+        plane.apply(now + ms(2_000), StateUpdate::Server(successor(2)));
         if writes {
-            let alive = Belief::Server(server(1, "dispatch", LOCAL));
-            plane.learn(now + ms(2_200), alive);
+            let alive = StateUpdate::Server(server(1, "dispatch", LOCAL));
+            plane.apply(now + ms(2_200), alive);
         } else {
             plane.receive(now + ms(2_200), &caller.acknowledge(50, target.tag), b"");
         }
@@ -280,7 +280,7 @@
     let mut plane = plane(now, vec![at(20, server(1, "dispatch", LOCAL))]);
     let caller = Caller::new(1, BOOKINGS);
     let target = open(&mut plane, now, &caller);
-    plane.learn(now + ms(100), Belief::Server(at(10, successor(2))));
+    plane.apply(now + ms(100), StateUpdate::Server(at(10, successor(2))));
     let verdict = plane.receive(now + ms(2_000), &caller.data(0, target.tag), b"");
     assert_eq!(forwarded(verdict), target);
 }
--- a/tests/flow/incarnation.rs
+++ b/tests/flow/incarnation.rs
@@ -1,9 +1,9 @@
 //! Servers that start again under their names, and entries that are somebody else's.
 
-use godwitreel::flow::Belief;
-use godwitreel::flow::Contact;
+use godwitreel::flow::StateUpdate;
+use godwitreel::flow::StoreContact;
 use godwitreel::flow::Incarnation;
-use godwitreel::flow::Plane;
+use godwitreel::flow::DataPlane;
 use godwitreel::flow::Server;
 use godwitreel::flow::Target;
 use godwitreel::flow::Verdict;
@@ -20,13 +20,13 @@
 }
 
 /// Where a new flow goes.
-fn opening(plane: &mut Plane, now: Instant, port: u16) -> Target {
+fn opening(plane: &mut DataPlane, now: Instant, port: u16) -> Target {
     let caller = Caller::new(port, BOOKINGS);
     forwarded(plane.receive(now, &caller.opening(0), b"packet"))
 }
 
 /// Flows that each of two servers gets out of so many.
-fn spread(plane: &mut Plane, now: Instant, ports: std::ops::Range<u16>) -> [usize; 2] {
+fn spread(plane: &mut DataPlane, now: Instant, ports: std::ops::Range<u16>) -> [usize; 2] {
     let mut counts = [0; 2];
     for port in ports {
         let caller = Caller::new(port, BOOKINGS);
@@ -45,7 +45,7 @@
     let mut plane = plane(now, vec![born(1, 10), born(2, 10)]);
     let [first, second] = spread(&mut plane, now, 1..21);
     assert_eq!((first, second), (10, 10));
-    plane.learn(now + ms(10), Belief::Server(born(1, 20)));
+    plane.apply(now + ms(10), StateUpdate::Server(born(1, 20)));
     let counts = spread(&mut plane, now + ms(11), 21..31);
     assert_eq!(counts, [10, 0], "the empty server gets them");
     let before = plane.directory().load();
@@ -70,7 +70,7 @@
     for caller in &callers {
         open(&mut plane, now, caller);
     }
-    plane.learn(now + ms(10), Belief::Server(born(1, 20)));
+    plane.apply(now + ms(10), StateUpdate::Server(born(1, 20)));
     assert_eq!(plane.directory().load(), 0);
     let tag = godwitreel::flow::Tag::of(godwitreel::flow::Serial(1));
     for caller in &callers {
@@ -92,7 +92,7 @@
         address: "10.0.0.99:8080".parse().unwrap(),
         ..born(1, 20)
     };
-    plane.learn(now + ms(10), Belief::Server(moved.clone()));
+    plane.apply(now + ms(10), StateUpdate::Server(moved.clone()));
     for at in [20, 3_000, 9_000] {
         let verdict = plane.receive(now + ms(at), &caller.data(0, target.tag), b"");
         assert_eq!(forwarded(verdict).address, moved.address, "at {at} ms");
@@ -107,7 +107,7 @@
     let mut plane = plane(now, vec![born(1, 10)]);
     let caller = Caller::new(1, BOOKINGS);
     let target = open(&mut plane, now, &caller);
-    plane.learn(now + ms(500), Belief::Server(born(1, 20)));
+    plane.apply(now + ms(500), StateUpdate::Server(born(1, 20)));
     let mut told = now;
     for at in [600, 4_000, 12_000] {
         stay_in_contact(&mut plane, told, now + ms(at));
@@ -123,18 +123,18 @@
 fn a_server_that_starts_again_while_the_store_is_away_keeps_its_flows() {
     let now = Instant::now();
     let mut plane = plane(now, vec![born(1, 10)]);
-    plane.learn(now + ms(100), Belief::Silence);
+    plane.apply(now + ms(100), StateUpdate::StoreUnreachable);
     let caller = Caller::new(1, BOOKINGS);
     let target = open(&mut plane, now + ms(2_000), &caller);
     let back = now + ms(6_000);
-    let lapsed = Belief::Servers {
+    let lapsed = StateUpdate::Servers {
         listed: Vec::new(),
         unreadable: Vec::new(),
     };
-    plane.learn(back, lapsed);
-    plane.learn(back, Belief::Contact(Contact::at(back)));
+    plane.apply(back, lapsed);
+    plane.apply(back, StateUpdate::StoreContact(StoreContact::at(back)));
     stay_in_contact(&mut plane, back, back + ms(1_500));
-    plane.learn(back + ms(1_500), Belief::Server(born(1, 20)));
+    plane.apply(back + ms(1_500), StateUpdate::Server(born(1, 20)));
     stay_in_contact(&mut plane, back + ms(1_500), back + ms(9_000));
     let verdict = plane.receive(back + ms(9_000), &caller.data(0, target.tag), b"");
     assert_eq!(forwarded(verdict), target);
@@ -150,7 +150,7 @@
         address: "10.0.0.99:8080".parse().unwrap(),
         ..born(1, 10)
     };
-    assert!(!plane.learn(now, Belief::Server(late)));
+    assert!(!plane.apply(now, StateUpdate::Server(late)));
     assert_eq!(opening(&mut plane, now, 1).address.port(), 8080);
     assert_eq!(opening(&mut plane, now, 2).address, born(1, 20).address);
 }
@@ -175,10 +175,10 @@
         }
     };
     let is_suspected =
-        |plane: &mut Plane| (500..520).all(|port| opening(plane, at, port) != silent);
+        |plane: &mut DataPlane| (500..520).all(|port| opening(plane, at, port) != silent);
     assert!(is_suspected(&mut plane));
     let number = silent.serial.0 as u8;
-    plane.learn(at, Belief::Server(born(number, 20)));
+    plane.apply(at, StateUpdate::Server(born(number, 20)));
     let fresh = (600..640).any(|port| opening(&mut plane, at, port) == silent);
     assert!(fresh, "it gets new flows again");
 }
@@ -194,14 +194,14 @@
         .find(|caller| open(&mut plane, now, caller).serial.0 == 1)
         .expect("one of many goes to the first");
     let tag = godwitreel::flow::Tag::of(godwitreel::flow::Serial(1));
-    plane.learn(now + ms(10), Belief::Unreadable("s-1".parse().unwrap()));
+    plane.apply(now + ms(10), StateUpdate::ServerUnreadable("s-1".parse().unwrap()));
     // Many, so that the other one is busier by far in the end.
     for port in 100..180 {
         assert_eq!(opening(&mut plane, now + ms(20), port).serial.0, 2);
     }
     let verdict = plane.receive(now + ms(9_000), &caller.data(0, tag), b"");
     assert!(matches!(verdict, Verdict::Forward(target) if target.serial.0 == 1));
-    plane.learn(now + ms(9_100), Belief::Server(born(1, 10)));
+    plane.apply(now + ms(9_100), StateUpdate::Server(born(1, 10)));
     let back = (200..260).any(|port| opening(&mut plane, now + ms(9_200), port).serial.0 == 1);
     assert!(back, "its own next write makes it usable again");
 }
@@ -222,7 +222,7 @@
         id: "s-2".parse().unwrap(),
         ..nameless
     };
-    plane.learn(now, Belief::Server(over));
+    plane.apply(now, StateUpdate::Server(over));
     for port in 30..50 {
         let target = opening(&mut plane, now, port);
         assert_ne!(target.address.ip().octets()[3], 99);
--- a/tests/flow/neighbours.rs
+++ b/tests/flow/neighbours.rs
@@ -4,8 +4,8 @@
 
 use godwitreel::entry::remark;
 use godwitreel::entry::testimony;
-use godwitreel::flow::Belief;
-use godwitreel::flow::Testimony;
+use godwitreel::flow::StateUpdate;
+use godwitreel::flow::ServerOutcomes;
 use godwitreel::replica::Board;
 use godwitreel::replica::Remark;
 use godwitreel::replica::Remarks;
@@ -69,7 +69,7 @@
                         *count += sent;
                     }
                 }
-                let own = load.plane.testimony(load.now);
+                let own = load.plane.server_outcomes(load.now);
                 let mut remarks: Vec<Remark> = own.iter().map(remark).collect();
                 if let Some(said) = first_says.filter(|_| number == 0) {
                     remarks = vec![said];
@@ -82,9 +82,9 @@
                     .hear_below(load.now, self.subscribers[number], told);
             }
             let now = self.loads[0].now;
-            let sum: Vec<Testimony> = self.board.confirmed(now).iter().map(testimony).collect();
+            let sum: Vec<ServerOutcomes> = self.board.confirmed(now).iter().map(testimony).collect();
             for load in &mut self.loads {
-                load.plane.learn(load.now, Belief::Testimony(sum.clone()));
+                load.plane.apply(load.now, StateUpdate::ZoneOutcomes(sum.clone()));
             }
         }
         counts
--- a/tests/flow/opening.rs
+++ b/tests/flow/opening.rs
@@ -1,6 +1,6 @@
 //! Handshakes: silent servers, copies, and a process that stood still.
 
-use godwitreel::flow::Note;
+use godwitreel::flow::FlowEvent;
 use godwitreel::flow::Resend;
 use tokio::time::Instant;
 
@@ -51,8 +51,8 @@
         let Some(due) = plane.next_due() else { break };
         assert_eq!(plane.expire(due), Vec::new());
     }
-    let notes = plane.take_notes().0;
-    let is_blame = |note: &Note| matches!(note, Note::Suspected { .. });
+    let notes = plane.take_events().0;
+    let is_blame = |note: &FlowEvent| matches!(note, FlowEvent::Suspected { .. });
     assert!(!notes.iter().any(is_blame), "{notes:?}");
 }
 
@@ -76,8 +76,8 @@
         resends.extend(plane.expire(due));
     }
     assert_eq!(resends, Vec::new());
-    let notes = plane.take_notes().0;
-    let is_blame = |note: &Note| matches!(note, Note::Suspected { .. });
+    let notes = plane.take_events().0;
+    let is_blame = |note: &FlowEvent| matches!(note, FlowEvent::Suspected { .. });
     assert!(!notes.iter().any(is_blame), "{notes:?}");
 }
 
--- a/tests/flow/sequence.rs
+++ b/tests/flow/sequence.rs
@@ -3,9 +3,9 @@
 use std::collections::HashMap;
 use std::collections::HashSet;
 
-use godwitreel::flow::Belief;
-use godwitreel::flow::Contact;
-use godwitreel::flow::Plane;
+use godwitreel::flow::StateUpdate;
+use godwitreel::flow::StoreContact;
+use godwitreel::flow::DataPlane;
 use godwitreel::flow::Tag;
 use godwitreel::flow::Verdict;
 use proptest::prelude::*;
@@ -43,7 +43,7 @@
 }
 
 struct World {
-    plane: Plane,
+    plane: DataPlane,
     now: Instant,
     listed: HashSet<u8>,
     draining: HashSet<u8>,
@@ -84,22 +84,22 @@
             Step::List(n) => {
                 self.listed.insert(*n);
                 self.draining.remove(n);
-                Belief::Server(server(*n, "dispatch", LOCAL))
+                StateUpdate::Server(server(*n, "dispatch", LOCAL))
             }
             Step::Drain(n) => {
                 self.listed.insert(*n);
                 self.draining.insert(*n);
-                Belief::Server(draining(*n, "dispatch", LOCAL))
+                StateUpdate::Server(draining(*n, "dispatch", LOCAL))
             }
             Step::Gone(n) => {
                 self.listed.remove(n);
-                Belief::Gone(format!("s-{n}").parse().unwrap())
+                StateUpdate::ServerRemoved(format!("s-{n}").parse().unwrap())
             }
             Step::Contact(is_answering) => {
                 self.is_answering = *is_answering;
                 match is_answering {
-                    true => Belief::Contact(Contact::at(self.now)),
-                    false => Belief::Silence,
+                    true => StateUpdate::StoreContact(StoreContact::at(self.now)),
+                    false => StateUpdate::StoreUnreachable,
                 }
             }
             Step::Pause(pause) => {
@@ -112,7 +112,7 @@
             }
             _ => return,
         };
-        self.plane.learn(self.now, belief);
+        self.plane.apply(self.now, belief);
     }
 
     fn check(&mut self, step: &Step, port: u16, verdict: Verdict) {
--- a/tests/flow/support.rs
+++ b/tests/flow/support.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use godwitreel::flow::Backend;
-use godwitreel::flow::Belief;
-use godwitreel::flow::Contact;
+use godwitreel::flow::StateUpdate;
+use godwitreel::flow::StoreContact;
 use godwitreel::flow::Flags;
 use godwitreel::flow::Options;
-use godwitreel::flow::Pair;
-use godwitreel::flow::Plane;
-use godwitreel::flow::Presence;
+use godwitreel::flow::FlowKey;
+use godwitreel::flow::DataPlane;
+use godwitreel::flow::ServerState;
 use godwitreel::flow::Route;
 use godwitreel::flow::Routes;
 use godwitreel::flow::Segment;
@@ -39,7 +39,7 @@
         address: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 8080),
         zone: zone.parse().unwrap(),
         slots: 2,
-        presence: Presence::Ready,
+        state: ServerState::Ready,
         incarnation: None,
         cold_for: Duration::ZERO,
     }
@@ -47,7 +47,7 @@
 
 pub(crate) fn draining(number: u8, service: &str, zone: &str) -> Server {
     Server {
-        presence: Presence::Draining,
+        state: ServerState::Draining,
         ..server(number, service, zone)
     }
 }
@@ -81,14 +81,14 @@
 }
 
 /// A plane in contact with its store, with the routes of both services.
-pub(crate) fn plane(now: Instant, servers: Vec<Server>) -> Plane {
-    let mut plane = Plane::new(options());
+pub(crate) fn plane(now: Instant, servers: Vec<Server>) -> DataPlane {
+    let mut plane = DataPlane::new(options());
     let rows = [(BOOKINGS, "dispatch"), (SHEETS, "ledger")];
-    plane.learn(now, Belief::Contact(Contact::at(now)));
-    plane.learn(now, Belief::Routes(routes(1, &rows)));
-    plane.learn(
+    plane.apply(now, StateUpdate::StoreContact(StoreContact::at(now)));
+    plane.apply(now, StateUpdate::Routes(routes(1, &rows)));
+    plane.apply(
         now,
-        Belief::Servers {
+        StateUpdate::Servers {
             listed: servers,
             unreadable: Vec::new(),
         },
@@ -100,18 +100,18 @@
 const HEARTBEAT: Duration = Duration::from_millis(250);
 
 /// Lets time pass in which the copy stays in contact with the store.
-pub(crate) fn stay_in_contact(plane: &mut Plane, from: Instant, until: Instant) {
+pub(crate) fn stay_in_contact(plane: &mut DataPlane, from: Instant, until: Instant) {
     let mut now = from;
     while now < until {
         now = (now + HEARTBEAT).min(until);
-        plane.learn(now, Belief::Contact(Contact::at(now)));
+        plane.apply(now, StateUpdate::StoreContact(StoreContact::at(now)));
     }
 }
 
 /// One caller's flow.
 #[derive(Clone, Copy)]
 pub(crate) struct Caller {
-    pub(crate) pair: Pair,
+    pub(crate) flow_key: FlowKey,
     pub(crate) seq: u32,
     pub(crate) ack: u32,
 }
@@ -119,7 +119,7 @@
 impl Caller {
     pub(crate) fn new(port: u16, service: SocketAddrV4) -> Self {
         Self {
-            pair: Pair {
+            flow_key: FlowKey {
                 caller: SocketAddrV4::new(Ipv4Addr::new(100, 64, 0, 1), port),
                 service,
             },
@@ -130,7 +130,7 @@
 
     fn segment(&self, flags: Flags, len: u16, tag: Tag) -> Segment {
         Segment {
-            pair: self.pair,
+            flow_key: self.flow_key,
             flags,
             seq: self.seq + 1,
             ack: self.ack,
@@ -180,7 +180,7 @@
 }
 
 /// Opens a flow in 5 ms and returns its server.
-pub(crate) fn open(plane: &mut Plane, now: Instant, caller: &Caller) -> Target {
+pub(crate) fn open(plane: &mut DataPlane, now: Instant, caller: &Caller) -> Target {
     let target = forwarded(plane.receive(now, &caller.opening(0), b"packet"));
     let data = caller.data(0, target.tag);
     assert_eq!(forwarded(plane.receive(now + ms(5), &data, b"")), target);
--- a/tests/flow/tag.rs
+++ b/tests/flow/tag.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use godwitreel::flow::Drop;
+use godwitreel::flow::DropReason;
 use godwitreel::flow::Flags;
 use godwitreel::flow::Serial;
 use godwitreel::flow::Tag;
@@ -62,9 +62,9 @@
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
     let caller = Caller::new(1, BOOKINGS);
     let unknown = plane.receive(now, &caller.data(0, Tag(12_345)), b"");
-    assert_eq!(unknown, Verdict::Drop(Drop::UnknownTag));
+    assert_eq!(unknown, Verdict::Drop(DropReason::UnknownTag));
     let untagged = plane.receive(now, &caller.data(0, Tag::NONE), b"");
-    assert_eq!(untagged, Verdict::Drop(Drop::UnknownTag));
+    assert_eq!(untagged, Verdict::Drop(DropReason::UnknownTag));
     let mut answer = caller.opening(0);
     answer.flags = Flags {
         syn: true,
@@ -72,5 +72,5 @@
         ..Flags::default()
     };
     let forged = plane.receive(now, &answer, b"");
-    assert_eq!(forged, Verdict::Drop(Drop::ServerSide));
+    assert_eq!(forged, Verdict::Drop(DropReason::ServerSide));
 }
--- a/tests/flow/warmup.rs
+++ b/tests/flow/warmup.rs
@@ -4,17 +4,17 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use godwitreel::flow::Belief;
-use godwitreel::flow::Contact;
-use godwitreel::flow::Drop;
+use godwitreel::flow::StateUpdate;
+use godwitreel::flow::StoreContact;
+use godwitreel::flow::DropReason;
 use godwitreel::flow::Options;
 use godwitreel::flow::Peer;
-use godwitreel::flow::Plane;
+use godwitreel::flow::DataPlane;
 use godwitreel::flow::Routes;
 use godwitreel::flow::Server;
 use godwitreel::flow::Verdict;
 use godwitreel::flow::Warmup;
-use godwitreel::flow::share;
+use godwitreel::flow::cold_flow_quota;
 use proptest::prelude::*;
 use tokio::time::Instant;
 
@@ -48,7 +48,7 @@
 }
 
 fn with_warmup(rate: f64) -> Routes {
-    let warmup = Warmup { lasts: COLD, rate };
+    let warmup = Warmup { duration: COLD, rate };
     Routes {
         warmups: HashMap::from([("dispatch".parse().unwrap(), warmup)]),
         ..routes(1, &[(BOOKINGS, "dispatch")])
@@ -56,17 +56,17 @@
 }
 
 /// An instance that knows these peers and servers.
-fn instance(now: Instant, me: &Peer, peers: &[Peer], rate: f64, listed: Vec<Server>) -> Plane {
-    let mut plane = Plane::new(Options {
+fn instance(now: Instant, me: &Peer, peers: &[Peer], rate: f64, listed: Vec<Server>) -> DataPlane {
+    let mut plane = DataPlane::new(Options {
         instance: me.instance.clone(),
         zone: me.zone.clone(),
         ..options()
     });
-    plane.learn(now, Belief::Contact(Contact::at(now)));
-    plane.learn(now, Belief::Routes(with_warmup(rate)));
-    plane.learn(now, Belief::Peers(peers.to_vec()));
+    plane.apply(now, StateUpdate::StoreContact(StoreContact::at(now)));
+    plane.apply(now, StateUpdate::Routes(with_warmup(rate)));
+    plane.apply(now, StateUpdate::Peers(peers.to_vec()));
     let unreadable = Vec::new();
-    plane.learn(now, Belief::Servers { listed, unreadable });
+    plane.apply(now, StateUpdate::Servers { listed, unreadable });
     plane
 }
 
@@ -75,7 +75,7 @@
 fn most_in_a_second(count: usize, rate: f64, servers: &[Server], pause: Duration) -> usize {
     let now = Instant::now();
     let peers = peers(count);
-    let mut planes: Vec<Plane> = peers
+    let mut planes: Vec<DataPlane> = peers
         .iter()
         .map(|me| instance(now, me, &peers, rate, servers.to_vec()))
         .collect();
@@ -141,7 +141,7 @@
         Verdict::Forward(_)
     ));
     let verdict = plane.receive(now + ms(600), &second.opening(0), b"packet");
-    assert_eq!(verdict, Verdict::Drop(Drop::Cold));
+    assert_eq!(verdict, Verdict::Drop(DropReason::Cold));
     let verdict = plane.receive(now + ms(1_200), &second.opening(1), b"packet");
     assert!(matches!(verdict, Verdict::Forward(_)));
 }
@@ -162,8 +162,8 @@
     let now = Instant::now();
     let me = peer(0);
     let mut plane = instance(now, &me, &peers(1), 2.0, vec![server(1, "dispatch", LOCAL)]);
-    plane.learn(now, Belief::Evacuated(LOCAL.parse().unwrap()));
-    plane.learn(now, Belief::Returned(LOCAL.parse().unwrap()));
+    plane.apply(now, StateUpdate::ZoneEvacuated(LOCAL.parse().unwrap()));
+    plane.apply(now, StateUpdate::ZoneRestored(LOCAL.parse().unwrap()));
     let opened = (1..20).filter(|port| {
         let packet = Caller::new(*port, BOOKINGS).opening(0);
         matches!(plane.receive(now, &packet, b"packet"), Verdict::Forward(_))
@@ -179,7 +179,7 @@
     fn shares_add_up_to_the_rate(count in 1..1_200usize, rate in 0.1..500.0f64, number in 1..250u8) {
         let peers = peers(count);
         let server = cold(number, LOCAL);
-        let shares = peers.iter().map(|me| share(&me.instance, &peers, &server, rate));
+        let shares = peers.iter().map(|me| cold_flow_quota(&me.instance, &peers, &server, rate));
         prop_assert_eq!(shares.sum::<usize>(), (rate as usize).max(1));
     }
 
@@ -198,7 +198,7 @@
         let total: usize = peers.iter().enumerate().map(|(number, me)| {
             let has_heard = known[number] % 2 == 0;
             let list = if has_heard { &peers[..] } else { &peers[..joined.max(number + 1)] };
-            share(&me.instance, list, &server, rate)
+            cold_flow_quota(&me.instance, list, &server, rate)
         }).sum();
         prop_assert!(total as f64 <= rate * 1.5 + 5.0, "{} of {}", total, rate);
     }
