--- a/src/entry/metric.rs
+++ b/src/entry/metric.rs
@@ -47,7 +47,7 @@
 }
 
 impl Metrics {
-    pub(crate) fn new(store: Arc<Transport>, replica: Arc<replica::Shared>) -> Self {
+    pub(crate) fn new(store: Arc<Transport>, replica: Arc<replica::SharedCopy>) -> Self {
         let mut metrics = Self {
             registry: Registry::with_prefix("godwitreel_entry"),
             packets: Family::default(),
@@ -68,7 +68,7 @@
         metrics
     }
 
-    fn register(&mut self, store: Arc<Transport>, replica: Arc<replica::Shared>) {
+    fn register(&mut self, store: Arc<Transport>, replica: Arc<replica::SharedCopy>) {
         let registry = &mut self.registry;
         registry.register(
             "packets",
--- a/src/entry/outcome.rs
+++ b/src/entry/outcome.rs
@@ -5,28 +5,28 @@
 use crate::flow::Incarnation;
 use crate::flow::Serial;
 use crate::flow::ServerOutcomes;
-use crate::replica::Remark;
+use crate::replica::OutcomeEntry;
 
 /// What an instance counted, as it is told to the others.
-pub fn remark(told: &ServerOutcomes) -> Remark {
-    Remark {
+pub fn remark(told: &ServerOutcomes) -> OutcomeEntry {
+    OutcomeEntry {
         serial: told.serial.0,
         incarnation: told.incarnation.map(|life| life.0),
         answers: told.counts.answers as f32,
-        hollow: told.counts.premature as f32,
+        premature: told.counts.premature as f32,
         stalls: told.counts.stalls as f32,
-        ..Remark::default()
+        ..OutcomeEntry::default()
     }
 }
 
 /// What others told, as the decisions take it.
-pub fn testimony(remark: &Remark) -> ServerOutcomes {
+pub fn testimony(remark: &OutcomeEntry) -> ServerOutcomes {
     ServerOutcomes {
         serial: Serial(remark.serial),
         incarnation: remark.incarnation.map(Incarnation),
         counts: OutcomeCounts {
             answers: remark.answers.into(),
-            premature: remark.hollow.into(),
+            premature: remark.premature.into(),
             stalls: remark.stalls.into(),
         },
     }
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -56,8 +56,8 @@
 use crate::poll::Reader;
 use crate::replica;
 use crate::replica::Handover;
-use crate::replica::TELL_EVERY;
-use crate::replica::Tally;
+use crate::replica::OUTCOME_REPORT_INTERVAL;
+use crate::replica::FleetLiveness;
 use crate::replica::Update;
 
 /// Packets taken before anything else gets its turn.
@@ -82,7 +82,7 @@
     /// Where changes come from; `None` for the store itself.
     upstream: Option<id::Instance>,
     /// The copy of the store, and what instances tell each other.
-    replica: Arc<replica::Shared>,
+    replica: Arc<replica::SharedCopy>,
     /// When servers were last told of.
     told: Instant,
     stop: Option<Stop>,
@@ -327,13 +327,13 @@
     /// Tells the zone what speaks against servers here, and hears what it counted.
     fn share(&mut self) {
         let now = Instant::now();
-        if now < self.told + TELL_EVERY {
+        if now < self.told + OUTCOME_REPORT_INTERVAL {
             return;
         }
         self.told = now;
         let own = self.plane.server_outcomes(now);
-        self.replica.board.set_own(own.iter().map(remark).collect());
-        let zone = self.replica.board.confirmed(now);
+        self.replica.outcomes.set_local(own.iter().map(remark).collect());
+        let zone = self.replica.outcomes.confirmed_outcomes(now);
         let zone = zone.iter().map(testimony).collect();
         self.plane.apply(now, StateUpdate::ZoneOutcomes(zone));
     }
@@ -385,7 +385,7 @@
     /// Logs lost and regained contact.
     fn tell_contact(&mut self, now: Instant, update: &Update) {
         match update {
-            Update::Silent { reason } => {
+            Update::StoreUnreachable { reason } => {
                 warn!(self.log, "store lost"; "reason" => reason,
                     "view_age_ms" => self.contact_age_ms(now));
             }
@@ -393,7 +393,7 @@
                 entries, revision, ..
             } => info!(self.log, "store read"; "entries" => entries.len(),
                 "revision" => revision, "view_age_ms" => self.contact_age_ms(now)),
-            Update::Source { upstream } => {
+            Update::UpstreamChanged { upstream } => {
                 self.upstream.clone_from(upstream);
                 let upstream = upstream.as_ref().map(ToString::to_string);
                 info!(self.log, "source of changes"; "upstream" => upstream);
@@ -432,7 +432,7 @@
                 self.backlog.clear();
                 self.stop = Some(Stop::new(Instant::now(), self.settings.grace()));
                 self.set_gauges();
-                self.replica.begin_leaving();
+                self.replica.set_stopping();
                 self.hand_over();
             }
             Asked::Stop => {}
@@ -441,7 +441,7 @@
     }
 
     /// Takes in who of the fleet answers.
-    fn note_tally(&mut self, tally: &Tally) {
+    fn note_tally(&mut self, tally: &FleetLiveness) {
         let before = self.withdrawal.is_withdrawn();
         self.withdrawal.note(tally);
         let is_withdrawn = self.withdrawal.is_withdrawn();
@@ -449,8 +449,8 @@
             return;
         }
         info!(self.log, "withdrawal"; "is_withdrawn" => is_withdrawn,
-            "answering" => tally.here.answering, "all" => tally.here.all,
-            "zones_asked" => tally.elsewhere.len());
+            "answering" => tally.local_zone.answering, "all" => tally.local_zone.probed,
+            "zones_asked" => tally.other_zones.len());
         self.replica.set_withdrawn(is_withdrawn);
         self.set_gauges();
     }
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -127,7 +127,7 @@
 }
 
 fn default_link() -> Bandwidth {
-    Bandwidth::USUAL
+    Bandwidth::DEFAULT
 }
 
 fn default_max_flows() -> u32 {
--- a/src/entry/start.rs
+++ b/src/entry/start.rs
@@ -22,10 +22,10 @@
 use crate::poll::Reader;
 use crate::replica;
 use crate::replica::Member;
-use crate::replica::Pace;
+use crate::replica::PollTiming;
 use crate::replica::Pacer;
 use crate::replica::Registration;
-use crate::replica::Sources;
+use crate::replica::FollowOptions;
 use crate::replica::Update;
 
 /// Updates of the copy that may wait; its source waits for room beyond.
@@ -104,20 +104,20 @@
     Ok(Reader::new(client, adapter.dialect))
 }
 
-fn pace(settings: &Settings) -> Pace {
+fn pace(settings: &Settings) -> PollTiming {
     let bound = settings.bound().unwrap_or(USUAL_BOUND);
     let bound = bound.clamp(LEAST_BOUND, USUAL_BOUND);
     let share = bound.div_duration_f64(USUAL_BOUND);
-    Pace {
-        wait: settings
+    PollTiming {
+        background_wait: settings
             .notice()
             .saturating_sub(CALL_TIMEOUT)
             .mul_f64(share),
-        wait_for_others: WAIT_FOR_OTHERS.mul_f64(share),
-        gather: settings.gather().mul_f64(share),
+        subscribed_wait: WAIT_FOR_OTHERS.mul_f64(share),
+        gather_pause: settings.gather().mul_f64(share),
         copy_wait: settings.copy_wait(),
-        most_age: MOST_AGE.mul_f64(share),
-        fresh: FRESH.mul_f64(share),
+        max_age: MOST_AGE.mul_f64(share),
+        fresh_age: FRESH.mul_f64(share),
     }
 }
 
@@ -137,7 +137,7 @@
     adapter: &Adapter,
     reader: Reader,
     log: &Logger,
-) -> Result<(mpsc::Receiver<Update>, Arc<replica::Shared>)> {
+) -> Result<(mpsc::Receiver<Update>, Arc<replica::SharedCopy>)> {
     let listener = TcpListener::bind(settings.peers).await;
     let listener = listener.map_err(|source| Error::Io {
         step: "bind peer address",
@@ -145,19 +145,19 @@
         source,
     })?;
     let pacer = Pacer::new(settings.link_mbps, Instant::now());
-    let shared = Arc::new(replica::Shared::new(pacer));
+    let shared = Arc::new(replica::SharedCopy::new(pacer));
     let (sender, updates) = mpsc::channel(UPDATES);
     let member = member(settings);
-    let sources = Sources {
+    let sources = FollowOptions {
         reader: reader.clone(),
-        keys: replica::Keys {
-            all: adapter.vocabulary.prefix,
-            small: adapter.vocabulary.small,
-            operators: adapter.vocabulary.operators,
-            orders: adapter.vocabulary.orders,
-            large: adapter.vocabulary.large,
+        keys: replica::KeyLayout {
+            root_prefix: adapter.vocabulary.prefix,
+            server_prefix: adapter.vocabulary.small,
+            operator_prefix: adapter.vocabulary.operator_prefix,
+            evacuation_prefix: adapter.vocabulary.orders,
+            config_key: adapter.vocabulary.large,
         },
-        pace: pace(settings),
+        timing: pace(settings),
         me: member.clone(),
         seeds: settings.seeds.clone(),
         log: log.clone(),
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -32,12 +32,12 @@
             }
             Update::Refused(refusal) => reading.refuse(vocabulary, refusal),
             Update::Contact(contact) => reading.beliefs.push(StateUpdate::StoreContact(contact)),
-            Update::Silent { .. } => reading.beliefs.push(StateUpdate::StoreUnreachable),
+            Update::StoreUnreachable { .. } => reading.beliefs.push(StateUpdate::StoreUnreachable),
             Update::Members(members) => {
                 let peers = members.into_iter().map(peer).collect();
                 reading.beliefs.push(StateUpdate::Peers(peers));
             }
-            Update::Source { .. } => {}
+            Update::UpstreamChanged { .. } => {}
         }
         reading
     }
--- a/src/entry/withdrawal.rs
+++ b/src/entry/withdrawal.rs
@@ -13,8 +13,8 @@
 //! It goes on to pass on what it gets. What it may be wrong about costs its zone's callers the
 //! way to the next zone.
 
-use crate::replica::Headcount;
-use crate::replica::Tally;
+use crate::replica::ZoneLiveness;
+use crate::replica::FleetLiveness;
 
 /// Looks in a row that must agree before anything changes, either way.
 const LOOKS: u32 = 2;
@@ -29,9 +29,9 @@
 
 impl Withdrawal {
     /// Takes in a look.
-    pub fn note(&mut self, tally: &Tally) {
-        let is_better_elsewhere = tally.elsewhere.iter().any(can_take_callers);
-        let should_withdraw = tally.here.is_minority() && is_better_elsewhere;
+    pub fn note(&mut self, tally: &FleetLiveness) {
+        let is_better_elsewhere = tally.other_zones.iter().any(can_take_callers);
+        let should_withdraw = tally.local_zone.is_mostly_unresponsive() && is_better_elsewhere;
         if should_withdraw == self.is_withdrawn {
             self.contrary = 0;
             return;
@@ -49,6 +49,6 @@
     }
 }
 
-fn can_take_callers(zone: &Headcount) -> bool {
-    zone.answering > 0 && !zone.is_minority() && zone.withdrawn == 0
+fn can_take_callers(zone: &ZoneLiveness) -> bool {
+    zone.answering > 0 && !zone.is_mostly_unresponsive() && zone.withdrawn == 0
 }
--- a/src/metric/collector.rs
+++ b/src/metric/collector.rs
@@ -41,7 +41,7 @@
 
 /// Reads the age of the copy of the store at each scrape.
 #[derive(Debug)]
-pub(crate) struct View(pub(crate) Arc<replica::Shared>);
+pub(crate) struct View(pub(crate) Arc<replica::SharedCopy>);
 
 impl Collector for View {
     fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> fmt::Result {
--- a/src/replica/bandwidth.rs
+++ b/src/replica/bandwidth.rs
@@ -14,7 +14,7 @@
 
 impl Bandwidth {
     /// What is assumed of a link that nobody tells anything of.
-    pub const USUAL: Self = Self(1_000.0);
+    pub const DEFAULT: Self = Self(1_000.0);
 
     /// Bytes that it carries in a second.
     pub fn bytes_per_second(self) -> f64 {
--- a/src/replica/copy.rs
+++ b/src/replica/copy.rs
@@ -31,7 +31,7 @@
 use crate::platform::poll::Refusal;
 use crate::replica::Member;
 use crate::replica::message::Held;
-use crate::replica::outcome::Board;
+use crate::replica::outcome::OutcomeAggregator;
 use crate::replica::pacer::Pacer;
 use crate::replica::pack::Base;
 use crate::replica::pack::Shelf;
@@ -66,14 +66,14 @@
     /// Everything that the store knew by the end of this contact has been told.
     Contact(StoreContact),
     /// The store does not answer; told once for each silence.
-    Silent {
+    StoreUnreachable {
         /// The first error.
         reason: String,
     },
     /// The instances that are registered.
     Members(Vec<Member>),
     /// Changes come from here from now on.
-    Source {
+    UpstreamChanged {
         /// The instance; `None` for the store itself.
         upstream: Option<id::Instance>,
     },
@@ -274,7 +274,7 @@
 ///
 /// Its lock is a leaf: nothing else is locked while it is held.
 #[derive(Debug)]
-pub(crate) struct Shared {
+pub(crate) struct SharedCopy {
     state: Mutex<State>,
     /// Told after each change of the copy.
     changed: watch::Sender<()>,
@@ -290,10 +290,10 @@
     /// Bytes a second that go to all subscribers together.
     pub(crate) pacer: Pacer,
     /// What the instances of the zone tell each other of servers.
-    pub(crate) board: Board,
+    pub(crate) outcomes: OutcomeAggregator,
 }
 
-impl Shared {
+impl SharedCopy {
     pub(crate) fn new(pacer: Pacer) -> Self {
         Self {
             state: Mutex::default(),
@@ -305,7 +305,7 @@
             is_withdrawn: AtomicBool::new(false),
             shelf: Shelf::default(),
             pacer,
-            board: Board::default(),
+            outcomes: OutcomeAggregator::default(),
         }
     }
 
@@ -426,7 +426,7 @@
     }
 
     /// From now on nobody should count on this copy.
-    pub(crate) fn begin_leaving(&self) {
+    pub(crate) fn set_stopping(&self) {
         self.is_leaving.store(true, Ordering::Relaxed);
     }
 
--- a/src/replica/follow.rs
+++ b/src/replica/follow.rs
@@ -24,10 +24,10 @@
 use crate::platform::Entry;
 use crate::platform::poll::Reader;
 use crate::platform::poll::Refusal;
-use crate::replica::Keys;
+use crate::replica::KeyLayout;
 use crate::replica::Member;
-use crate::replica::Pace;
-use crate::replica::Shared;
+use crate::replica::PollTiming;
+use crate::replica::SharedCopy;
 use crate::replica::Update;
 use crate::replica::copy;
 use crate::replica::follow::poll::Large;
@@ -50,10 +50,10 @@
 const PROBE_PAUSE: Duration = Duration::from_secs(4);
 
 /// Where changes can come from.
-pub(crate) struct Sources {
+pub(crate) struct FollowOptions {
     pub(crate) reader: Reader,
-    pub(crate) keys: Keys,
-    pub(crate) pace: Pace,
+    pub(crate) keys: KeyLayout,
+    pub(crate) timing: PollTiming,
     /// This instance, as others know it.
     pub(crate) me: Member,
     /// Instances to ask when the store does not answer at the start.
@@ -91,8 +91,8 @@
 }
 
 struct Follower {
-    sources: Sources,
-    shared: Arc<Shared>,
+    sources: FollowOptions,
+    shared: Arc<SharedCopy>,
     sender: mpsc::Sender<Update>,
     members: HashMap<String, Member>,
     /// The instances above this one, until the members change.
@@ -120,7 +120,7 @@
 }
 
 /// Keeps the copy up to date until the receiver is dropped.
-pub(crate) async fn follow(sources: Sources, shared: Arc<Shared>, sender: mpsc::Sender<Update>) {
+pub(crate) async fn follow(sources: FollowOptions, shared: Arc<SharedCopy>, sender: mpsc::Sender<Update>) {
     let options = sources.reader.client().options().clone();
     let mut follower = Follower {
         sources,
@@ -162,7 +162,7 @@
 
     fn is_old(&self) -> bool {
         let age = self.shared.age(Instant::now());
-        age.is_none_or(|age| age > self.sources.pace.most_age)
+        age.is_none_or(|age| age > self.sources.timing.max_age)
     }
 
     /// Asks the store without waiting for a change.
@@ -198,7 +198,7 @@
     async fn take(&mut self, report: Report) -> Result<(), End> {
         let now = Instant::now();
         let contact = report.age.map(|age| now - age);
-        self.shared.board.hear_above(now, report.remarks);
+        self.shared.outcomes.receive_from_upstream(now, report.remarks);
         if let Some(received) = report.received {
             info!(self.sources.log, "large value received"; "revision" => received.revision,
                 "bytes" => received.bytes, "took_ms" => received.took.as_millis() as u64);
@@ -237,7 +237,7 @@
         match self.shared.horizon() {
             None => self.begin().await,
             Some(_) if self.is_compacted => {
-                let all = self.sources.keys.all;
+                let all = self.sources.keys.root_prefix;
                 let listing = store::list(&self.sources.reader, all).await?;
                 self.take_listing(listing).await
             }
@@ -299,7 +299,7 @@
 
     async fn apply(&mut self, changes: Vec<Change>, revision: u64) -> Result<(), End> {
         for change in self.shared.apply(changes, revision) {
-            if copy::key(&change) == self.sources.keys.large {
+            if copy::key(&change) == self.sources.keys.config_key {
                 self.large.note_change(Instant::now());
             }
             match &change {
@@ -338,6 +338,6 @@
         }
         self.is_silent = true;
         let reason = error.to_string();
-        Ok(self.sender.send(Update::Silent { reason }).await?)
+        Ok(self.sender.send(Update::StoreUnreachable { reason }).await?)
     }
 }
--- a/src/replica/follow/poll.rs
+++ b/src/replica/follow/poll.rs
@@ -119,7 +119,7 @@
 impl Follower {
     /// Polls for what has come after the horizon.
     pub(super) async fn poll(&mut self, horizon: u64) -> Outcome<()> {
-        let key = self.sources.keys.large;
+        let key = self.sources.keys.config_key;
         let large = self
             .shared
             .look(|copy| copy.get(key).map(|entry| entry.value.len()));
@@ -136,7 +136,7 @@
     async fn poll_all(&mut self, horizon: u64) -> Outcome<()> {
         let wait = self.wait();
         let asked = Instant::now();
-        let all = self.sources.keys.all;
+        let all = self.sources.keys.root_prefix;
         let batch = self.sources.reader.poll(all, horizon, wait).await?;
         let revision = batch.revision;
         let has_changes = self.take_batch(batch, revision).await?;
@@ -158,20 +158,20 @@
         // One poll brings both while nothing changes.
         let both_from = horizon.max(self.large.horizon.min(self.large.orders));
         let newest = self.large.is_changing(asked);
-        let pace = self.sources.pace;
-        let short = pace.wait_for_others / 3;
+        let pace = self.sources.timing;
+        let short = pace.subscribed_wait / 3;
         let small_wait = self.wait();
         // What changes seldom is asked for seldom: three polls a third of a second long
         // made 2,400 calls a minute in a calm fleet of 24. All end before the next round.
         let wait = match (small_wait.is_zero(), newest) {
             (true, _) => Duration::ZERO,
             (false, true) => short,
-            (false, false) => pace.wait,
+            (false, false) => pace.background_wait,
         };
         let (over, is_over) = watch::channel(false);
         let again = Again {
             reader: &reader,
-            orders: keys.orders,
+            orders: keys.evacuation_prefix,
             wait: small_wait,
             seldom: wait,
             short: short.min(small_wait),
@@ -179,20 +179,20 @@
             is_over,
         };
         let mut polls = FuturesUnordered::new();
-        polls.push(again.poll(keys.small, horizon, Duration::ZERO).boxed());
+        polls.push(again.poll(keys.server_prefix, horizon, Duration::ZERO).boxed());
         polls.push(poll_members(&reader, horizon, wait).boxed());
         let orders_after = match newest {
             true => Duration::ZERO,
             false => wait + ANSWER,
         };
-        polls.push(again.poll(keys.orders, horizon, orders_after).boxed());
+        polls.push(again.poll(keys.evacuation_prefix, horizon, orders_after).boxed());
         let large = async {
             let asked = Instant::now();
             let batch = match newest {
-                true => read_newest(&reader, keys.large).await,
-                false => reader.poll(keys.operators, both_from, wait).await,
+                true => read_newest(&reader, keys.config_key).await,
+                false => reader.poll(keys.operator_prefix, both_from, wait).await,
             };
-            Polled::new(keys.large, asked, wait, batch)
+            Polled::new(keys.config_key, asked, wait, batch)
         };
         polls.push(large.boxed());
         let mut round = Round {
@@ -202,7 +202,7 @@
         // A poll that is never sent has reached nothing.
         round
             .reached
-            .extend([(keys.small, horizon), (keys.orders, horizon)]);
+            .extend([(keys.server_prefix, horizon), (keys.evacuation_prefix, horizon)]);
         while let Some(polled) = polls.next().await {
             let next = self.take_polled(polled, horizon, &mut round).await?;
             if round.is_large_over {
@@ -234,11 +234,11 @@
             is_vain,
             batch,
         } = polled;
-        let is_small = key == self.sources.keys.small;
-        let is_repeated = is_small || key == self.sources.keys.orders;
-        let is_large = key == self.sources.keys.large;
+        let is_small = key == self.sources.keys.server_prefix;
+        let is_repeated = is_small || key == self.sources.keys.evacuation_prefix;
+        let is_large = key == self.sources.keys.config_key;
         round.is_large_over |= is_large;
-        let gather = self.sources.pace.gather;
+        let gather = self.sources.timing.gather_pause;
         let batch = match batch {
             // The large one was over before this one was sent.
             None => return Ok(None),
@@ -259,7 +259,7 @@
         }
         round.failures.remove(key);
         round.reached.insert(key, revision);
-        let orders = self.sources.keys.orders;
+        let orders = self.sources.keys.evacuation_prefix;
         if key == orders || is_large && round.has_orders {
             self.large.orders = revision.max(self.large.orders);
             round.reached.insert(orders, self.large.orders);
@@ -293,7 +293,7 @@
         // Small values may have been polled again beside a large one.
         let until = self.shared.contact().map_or(until, |at| at.max(until));
         self.answered(StoreContact { from: asked, until }).await?;
-        store::pause(&self.sources.pace, asked, wait, has_changes).await;
+        store::pause(&self.sources.timing, asked, wait, has_changes).await;
         Ok(())
     }
 
@@ -305,11 +305,11 @@
     /// half as long. That holds also while nobody subscribes: whoever begins to in the
     /// middle of a longer poll would find the copy too old and leave again.
     fn wait(&self) -> Duration {
-        let pace = self.sources.pace;
+        let pace = self.sources.timing;
         match self.is_silent {
             true => Duration::ZERO,
-            false if self.had_changes => pace.wait_for_others / 3,
-            false => pace.wait_for_others,
+            false if self.had_changes => pace.subscribed_wait / 3,
+            false => pace.subscribed_wait,
         }
     }
 }
--- a/src/replica/follow/start.rs
+++ b/src/replica/follow/start.rs
@@ -82,7 +82,7 @@
         Search {
             me: self.sources.me.clone(),
             seeds: self.sources.seeds.clone(),
-            fresh: self.sources.pace.fresh,
+            fresh: self.sources.timing.fresh_age,
             begun: self.begun,
             introduced: self.shared.introduced(),
             log: self.sources.log.clone(),
@@ -101,7 +101,7 @@
     /// Gets the first copy while the store answers.
     async fn begin_from(&mut self, feeders: Feeders) -> Result<(), End> {
         let reader = self.sources.reader.clone();
-        let all = self.sources.keys.all;
+        let all = self.sources.keys.root_prefix;
         if feeders.addresses.is_empty() {
             let listing = store::list(&reader, all).await?;
             return self.take_listing(listing).await;
@@ -136,7 +136,7 @@
         let above = self.above();
         let is_head = above.len() < HEADS;
         let members: Vec<Member> = self.members.values().cloned().collect();
-        let (me, first) = (&self.sources.me, self.sources.pace.copy_wait);
+        let (me, first) = (&self.sources.me, self.sources.timing.copy_wait);
         Ok(Feeders {
             addresses: if is_head { Vec::new() } else { above },
             wait: tree::copy_wait(&me.instance, &me.zone, &members, first),
--- a/src/replica/follow/upstream.rs
+++ b/src/replica/follow/upstream.rs
@@ -16,7 +16,7 @@
 use crate::replica::follow::End;
 use crate::replica::follow::Follower;
 use crate::replica::follow::Presence;
-use crate::replica::outcome::TELL_EVERY;
+use crate::replica::outcome::OUTCOME_REPORT_INTERVAL;
 use crate::replica::publish::HEARTBEAT;
 use crate::replica::store;
 use crate::replica::subscribe;
@@ -145,7 +145,7 @@
         };
         self.rest(last, pause);
         warn!(self.sources.log, "upstream lost"; "peer" => %last, "reason" => reason);
-        self.sender.send(Update::Source { upstream: None }).await?;
+        self.sender.send(Update::UpstreamChanged { upstream: None }).await?;
         self.catch_up().await
     }
 
@@ -210,7 +210,7 @@
                 }
                 Event::Heard(Err(error)) => return Ok((peer, error.to_string())),
                 Event::Tell => {
-                    tell_at = Instant::now() + TELL_EVERY;
+                    tell_at = Instant::now() + OUTCOME_REPORT_INTERVAL;
                     if let Err(error) = self.tell(&mut subscription, &mut has_told).await {
                         return Ok((peer, error.to_string()));
                     }
@@ -258,7 +258,7 @@
     /// is left out: on a thin link its versions would hold up the answer for seconds.
     fn probe_store(&self) -> impl Future<Output = crate::Result<Batch>> + Send + use<> {
         let reader = self.sources.reader.clone();
-        let small = self.sources.keys.small;
+        let small = self.sources.keys.server_prefix;
         let horizon = self.shared.horizon().unwrap_or_default();
         async move { reader.poll(small, horizon, Duration::ZERO).await }
     }
@@ -272,7 +272,7 @@
         }
         let is_head = self.above().len() < tree::HEADS;
         let share = if is_head { HEADS_PROBE_AT } else { 1.0 };
-        let due = self.sources.pace.most_age.mul_f64(share);
+        let due = self.sources.timing.max_age.mul_f64(share);
         let age = self.shared.age(Instant::now());
         age.is_none_or(|age| age > due)
     }
@@ -327,8 +327,8 @@
         subscription: &mut Subscription,
         has_told: &mut bool,
     ) -> crate::Result<()> {
-        let remarks = self.shared.board.upward(Instant::now());
-        let has_remarks = !remarks.remarks.is_empty();
+        let remarks = self.shared.outcomes.report_for_upstream(Instant::now());
+        let has_remarks = !remarks.outcomes.is_empty();
         if has_remarks || *has_told {
             subscription.tell(&remarks).await?;
         }
@@ -351,7 +351,7 @@
     }
 
     pub(super) fn is_fresh(&self, report: &Report) -> bool {
-        report.age.is_some_and(|age| age < self.sources.pace.fresh)
+        report.age.is_some_and(|age| age < self.sources.timing.fresh_age)
     }
 
     /// Whether an upstream with this report is worth a subscription. One that follows
@@ -371,7 +371,7 @@
     async fn tell_source(&mut self, peer: SocketAddrV4) -> Result<(), End> {
         let member = self.members.values().find(|m| m.address == peer);
         let upstream = member.map(|member| member.instance.clone());
-        Ok(self.sender.send(Update::Source { upstream }).await?)
+        Ok(self.sender.send(Update::UpstreamChanged { upstream }).await?)
     }
 
     /// An instance that should be followed rather than this one, if any.
--- a/src/replica/handover.rs
+++ b/src/replica/handover.rs
@@ -21,7 +21,7 @@
 use crate::error::Error;
 use crate::platform::poll::Reader;
 use crate::replica::Member;
-use crate::replica::Shared;
+use crate::replica::SharedCopy;
 use crate::replica::register;
 use crate::replica::subscribe::Report;
 use crate::replica::subscribe::Subscription;
@@ -43,7 +43,7 @@
 pub(crate) struct Handover {
     pub(crate) reader: Reader,
     pub(crate) me: Member,
-    pub(crate) shared: Arc<Shared>,
+    pub(crate) shared: Arc<SharedCopy>,
     pub(crate) log: Logger,
 }
 
--- a/src/replica/liveness.rs
+++ b/src/replica/liveness.rs
@@ -15,7 +15,7 @@
 
 use crate::id;
 use crate::replica::Member;
-use crate::replica::Shared;
+use crate::replica::SharedCopy;
 use crate::replica::subscribe;
 
 /// Time between two looks. An instance that stands still does so for seconds, and
@@ -32,33 +32,33 @@
 
 /// How many of a zone answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Headcount {
+pub struct ZoneLiveness {
     /// Instances that answer; the one that asks counts as one.
     pub answering: usize,
     /// Those of them that have withdrawn from their routers.
     pub withdrawn: usize,
     /// Instances that are registered or, elsewhere, were asked.
-    pub all: usize,
+    pub probed: usize,
 }
 
 /// One look at the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct FleetLiveness {
     /// This zone.
-    pub here: Headcount,
+    pub local_zone: ZoneLiveness,
     /// Other zones; empty while all is well here.
-    pub elsewhere: Vec<Headcount>,
+    pub other_zones: Vec<ZoneLiveness>,
 }
 
-impl Headcount {
+impl ZoneLiveness {
     /// Whether less than half answer: routers then use those that do not, too.
-    pub fn is_minority(&self) -> bool {
-        self.answering * 2 < self.all
+    pub fn is_mostly_unresponsive(&self) -> bool {
+        self.answering * 2 < self.probed
     }
 }
 
 /// Looks at the fleet until the receiver is dropped.
-pub(crate) async fn monitor_liveness(me: Member, shared: Arc<Shared>, sender: mpsc::Sender<Tally>) {
+pub(crate) async fn monitor_liveness(me: Member, shared: Arc<SharedCopy>, sender: mpsc::Sender<FleetLiveness>) {
     loop {
         time::sleep(LOOK_EVERY).await;
         let tally = look(&me, &shared).await;
@@ -68,19 +68,19 @@
     }
 }
 
-async fn look(me: &Member, shared: &Shared) -> Tally {
+async fn look(me: &Member, shared: &SharedCopy) -> FleetLiveness {
     let members = shared.members();
     let (here, abroad): (Vec<Member>, Vec<Member>) = members
         .into_iter()
         .partition(|member| member.zone == me.zone);
     if here.len() > LARGEST_ZONE {
-        return Tally::default();
+        return FleetLiveness::default();
     }
     let here = count(me, &here).await;
-    if !here.is_minority() {
-        return Tally {
-            here,
-            elsewhere: Vec::new(),
+    if !here.is_mostly_unresponsive() {
+        return FleetLiveness {
+            local_zone: here,
+            other_zones: Vec::new(),
         };
     }
     let mut zones: BTreeMap<id::Zone, Vec<Member>> = BTreeMap::new();
@@ -91,14 +91,14 @@
         }
     }
     let counts = zones.values().map(|zone| count(me, zone));
-    Tally {
-        here,
-        elsewhere: future::join_all(counts).await,
+    FleetLiveness {
+        local_zone: here,
+        other_zones: future::join_all(counts).await,
     }
 }
 
 /// Asks these instances, all at once.
-async fn count(me: &Member, members: &[Member]) -> Headcount {
+async fn count(me: &Member, members: &[Member]) -> ZoneLiveness {
     let looks = members.iter().map(async |member| {
         if member.instance == me.instance {
             return Some(false);
@@ -108,13 +108,13 @@
         sign.map(|sign| sign.is_withdrawn)
     });
     let signs = future::join_all(looks).await;
-    Headcount {
+    ZoneLiveness {
         answering: signs.iter().flatten().count(),
         withdrawn: signs
             .iter()
             .flatten()
             .filter(|withdrawn| **withdrawn)
             .count(),
-        all: members.len(),
+        probed: members.len(),
     }
 }
--- a/src/replica/message.rs
+++ b/src/replica/message.rs
@@ -16,7 +16,7 @@
 use crate::error::Result;
 use crate::platform;
 use crate::platform::Change;
-use crate::replica::outcome::Remark;
+use crate::replica::outcome::OutcomeEntry;
 use crate::replica::pack;
 use crate::replica::pack::Base;
 
@@ -161,7 +161,7 @@
     pub awaits_copy: bool,
     /// What the zone's instances counted against servers.
     #[prost(message, repeated, tag = "7")]
-    pub remarks: Vec<Remark>,
+    pub outcomes: Vec<OutcomeEntry>,
     /// Whether more small rows follow at once.
     #[prost(bool, tag = "8")]
     pub has_more: bool,
--- a/src/replica/outbox.rs
+++ b/src/replica/outbox.rs
@@ -145,7 +145,7 @@
             age_ms: age_ms.filter(|_| !awaits_copy && !has_more),
             part,
             awaits_copy: awaits_copy && copy.horizon().is_some(),
-            remarks: Vec::new(),
+            outcomes: Vec::new(),
             has_more,
             packed: None,
             is_detour: false,
--- a/src/replica/outcome.rs
+++ b/src/replica/outcome.rs
@@ -19,7 +19,7 @@
 
 /// Time between two messages while there is something to tell. What one instance
 /// saw is known to all after two steps up and two down, within a second.
-pub(crate) const TELL_EVERY: Duration = Duration::from_millis(200);
+pub(crate) const OUTCOME_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Age at which what somebody told is forgotten: five messages missed.
 const MOST_AGE: Duration = Duration::from_secs(1);
@@ -39,7 +39,7 @@
 
 /// Ends of requests at one server, counted by one or several instances.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct Remark {
+pub struct OutcomeEntry {
     /// What datagrams to the server are named with.
     #[prost(fixed64, tag = "1")]
     pub serial: u64,
@@ -51,25 +51,25 @@
     pub answers: f32,
     /// Those of them that ended too soon with too little.
     #[prost(float, tag = "4")]
-    pub hollow: f32,
+    pub premature: f32,
     /// Requests open for too long.
     #[prost(float, tag = "5")]
     pub stalls: f32,
     /// What the one instance counted that says most against the server: answers that
     /// ended too soon.
     #[prost(float, tag = "6")]
-    pub loudest_hollow: f32,
+    pub worst_instance_premature: f32,
     /// The same: requests open for too long.
     #[prost(float, tag = "7")]
-    pub loudest_stalls: f32,
+    pub worst_instance_stalls: f32,
 }
 
 /// What a subscriber tells the instance above it.
 #[derive(Clone, PartialEq, Message)]
-pub struct Remarks {
+pub struct OutcomeReport {
     /// One for each server that something speaks against.
     #[prost(message, repeated, tag = "1")]
-    pub remarks: Vec<Remark>,
+    pub outcomes: Vec<OutcomeEntry>,
     /// Instances that counted, the subscriber included.
     #[prost(uint32, tag = "2")]
     pub instances: u32,
@@ -77,7 +77,7 @@
 
 type Key = (u64, Option<u64>);
 
-impl Remark {
+impl OutcomeEntry {
     fn key(&self) -> Key {
         (self.serial, self.incarnation)
     }
@@ -95,33 +95,33 @@
             }
         };
         let (hollow, stalls) = (
-            limit(self.hollow, MOST_HOLLOW),
+            limit(self.premature, MOST_HOLLOW),
             limit(self.stalls, MOST_STALLS),
         );
         let is_alone = instances == 1;
         let loudest = |told: f32, all: f32| if is_alone { all } else { told.clamp(0.0, all) };
         Self {
             answers: limit(self.answers, MOST_ANSWERS),
-            hollow,
+            premature: hollow,
             stalls,
-            loudest_hollow: loudest(self.loudest_hollow, hollow),
-            loudest_stalls: loudest(self.loudest_stalls, stalls),
+            worst_instance_premature: loudest(self.worst_instance_premature, hollow),
+            worst_instance_stalls: loudest(self.worst_instance_stalls, stalls),
             ..self
         }
     }
 
     fn add(&mut self, other: &Self) {
         self.answers += other.answers;
-        self.hollow += other.hollow;
+        self.premature += other.premature;
         self.stalls += other.stalls;
         if other.loudness() > self.loudness() {
-            self.loudest_hollow = other.loudest_hollow;
-            self.loudest_stalls = other.loudest_stalls;
+            self.worst_instance_premature = other.worst_instance_premature;
+            self.worst_instance_stalls = other.worst_instance_stalls;
         }
     }
 
     fn loudness(&self) -> f32 {
-        self.loudest_hollow + self.loudest_stalls
+        self.worst_instance_premature + self.worst_instance_stalls
     }
 
     /// What more than one instance says: the word of the loudest counts as much as all
@@ -137,14 +137,14 @@
             others + others.min(loudest)
         };
         Self {
-            hollow: confirmed(self.hollow, self.loudest_hollow),
-            stalls: confirmed(self.stalls, self.loudest_stalls),
+            premature: confirmed(self.premature, self.worst_instance_premature),
+            stalls: confirmed(self.stalls, self.worst_instance_stalls),
             ..self
         }
     }
 
     fn weight(&self) -> f32 {
-        self.hollow + self.stalls
+        self.premature + self.stalls
     }
 }
 
@@ -152,7 +152,7 @@
 #[derive(Debug)]
 struct Told {
     at: Instant,
-    remarks: Remarks,
+    remarks: OutcomeReport,
 }
 
 impl Told {
@@ -163,7 +163,7 @@
 
 #[derive(Debug, Default)]
 struct Sides {
-    own: Vec<Remark>,
+    own: Vec<OutcomeEntry>,
     below: HashMap<u64, Told>,
     above: Option<Told>,
     next_subscriber: u64,
@@ -173,56 +173,56 @@
 ///
 /// Its lock is a leaf.
 #[derive(Debug, Default)]
-pub struct Board {
+pub struct OutcomeAggregator {
     sides: Mutex<Sides>,
 }
 
-impl Board {
+impl OutcomeAggregator {
     fn lock(&self) -> MutexGuard<'_, Sides> {
         self.sides.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Sets what this instance counted, the worst first.
-    pub fn set_own(&self, own: Vec<Remark>) {
+    pub fn set_local(&self, own: Vec<OutcomeEntry>) {
         self.lock().own = own;
     }
 
     /// A number for a subscriber, under which it is heard.
-    pub fn enter(&self) -> u64 {
+    pub fn add_subscriber(&self) -> u64 {
         let mut sides = self.lock();
         sides.next_subscriber += 1;
         sides.next_subscriber
     }
 
     /// Takes in what a subscriber tells.
-    pub fn hear_below(&self, now: Instant, subscriber: u64, remarks: Remarks) {
+    pub fn receive_from_subscriber(&self, now: Instant, subscriber: u64, remarks: OutcomeReport) {
         let told = Told { at: now, remarks };
         self.lock().below.insert(subscriber, told);
     }
 
     /// Forgets a subscriber that has left.
-    pub fn leave(&self, subscriber: u64) {
+    pub fn remove_subscriber(&self, subscriber: u64) {
         self.lock().below.remove(&subscriber);
     }
 
     /// Takes in what the instance above tells.
-    pub fn hear_above(&self, now: Instant, remarks: Vec<Remark>) {
-        let remarks = Remarks {
-            remarks,
+    pub fn receive_from_upstream(&self, now: Instant, remarks: Vec<OutcomeEntry>) {
+        let remarks = OutcomeReport {
+            outcomes: remarks,
             instances: MOST_INSTANCES,
         };
         self.lock().above = Some(Told { at: now, remarks });
     }
 
     /// What to tell the instance above: this instance's counts and those below.
-    pub fn upward(&self, now: Instant) -> Remarks {
+    pub fn report_for_upstream(&self, now: Instant) -> OutcomeReport {
         let sides = self.lock();
-        let mut sums: BTreeMap<Key, Remark> = BTreeMap::new();
-        let mut add = |remark: Remark| {
-            let sum = sums.entry(remark.key()).or_insert(Remark {
+        let mut sums: BTreeMap<Key, OutcomeEntry> = BTreeMap::new();
+        let mut add = |remark: OutcomeEntry| {
+            let sum = sums.entry(remark.key()).or_insert(OutcomeEntry {
                 serial: remark.serial,
                 incarnation: remark.incarnation,
-                ..Remark::default()
+                ..OutcomeEntry::default()
             });
             sum.add(&remark);
         };
@@ -235,34 +235,34 @@
             let count = told.remarks.instances.clamp(1, MOST_INSTANCES);
             instances += count;
             // One that names a server many times counts once.
-            let remarks = told.remarks.remarks.iter().take(MOST_REMARKS);
-            let remarks: BTreeMap<Key, &Remark> = remarks.map(|r| (r.key(), r)).collect();
+            let remarks = told.remarks.outcomes.iter().take(MOST_REMARKS);
+            let remarks: BTreeMap<Key, &OutcomeEntry> = remarks.map(|r| (r.key(), r)).collect();
             for remark in remarks.values() {
                 add(remark.limited(count));
             }
         }
-        let mut remarks: Vec<Remark> = sums.into_values().collect();
+        let mut remarks: Vec<OutcomeEntry> = sums.into_values().collect();
         remarks.sort_by(|a, b| b.weight().total_cmp(&a.weight()));
         remarks.truncate(MOST_REMARKS);
-        Remarks { remarks, instances }
+        OutcomeReport { outcomes: remarks, instances }
     }
 
     /// What the zone counted and more than one instance says.
-    pub fn confirmed(&self, now: Instant) -> Vec<Remark> {
-        let zone = self.zone(now).into_iter();
-        zone.map(Remark::confirmed).collect()
+    pub fn confirmed_outcomes(&self, now: Instant) -> Vec<OutcomeEntry> {
+        let zone = self.zone_outcomes(now).into_iter();
+        zone.map(OutcomeEntry::confirmed).collect()
     }
 
     /// What the zone counted, as far as it is known here: what is told from above,
     /// or the sum of this instance and those below where nobody is above.
-    pub fn zone(&self, now: Instant) -> Vec<Remark> {
+    pub fn zone_outcomes(&self, now: Instant) -> Vec<OutcomeEntry> {
         let sides = self.lock();
         let above = sides.above.as_ref().filter(|told| told.is_fresh(now));
         if let Some(told) = above {
-            let remarks = told.remarks.remarks.iter().take(MOST_REMARKS);
+            let remarks = told.remarks.outcomes.iter().take(MOST_REMARKS);
             return remarks.map(|r| r.limited(MOST_INSTANCES)).collect();
         }
         drop(sides);
-        self.upward(now).remarks
+        self.report_for_upstream(now).outcomes
     }
 }
--- a/src/replica/publish.rs
+++ b/src/replica/publish.rs
@@ -20,14 +20,14 @@
 
 use crate::error::Error;
 use crate::error::Result;
-use crate::replica::Shared;
+use crate::replica::SharedCopy;
 use crate::replica::message;
 use crate::replica::message::News;
 use crate::replica::message::Subscribe;
 use crate::replica::outbox::Outbox;
 use crate::replica::outcome::MOST_REMARKS;
-use crate::replica::outcome::Remarks;
-use crate::replica::outcome::TELL_EVERY;
+use crate::replica::outcome::OutcomeReport;
+use crate::replica::outcome::OUTCOME_REPORT_INTERVAL;
 use crate::replica::pack::Base;
 use crate::replica::tree::FAN_OUT;
 
@@ -48,7 +48,7 @@
 const MOST_SUBSCRIBERS: usize = 2 * FAN_OUT;
 
 /// Accepts subscribers until the process ends.
-pub(crate) async fn publish(listener: TcpListener, shared: Arc<Shared>, log: Logger) {
+pub(crate) async fn publish(listener: TcpListener, shared: Arc<SharedCopy>, log: Logger) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
@@ -64,7 +64,7 @@
     }
 }
 
-async fn serve(stream: TcpStream, peer: SocketAddr, shared: Arc<Shared>, log: Logger) {
+async fn serve(stream: TcpStream, peer: SocketAddr, shared: Arc<SharedCopy>, log: Logger) {
     let mut framed = Framed::new(stream, message::codec());
     let outcome = match read(&mut framed, peer).await {
         Ok(subscribe) if subscribe.is_look => answer_look(&mut framed, peer, &shared).await,
@@ -77,7 +77,7 @@
 }
 
 /// Tells that this instance runs, to whoever wants to know just that.
-async fn answer_look(framed: &mut Stream, peer: SocketAddr, shared: &Shared) -> Result<()> {
+async fn answer_look(framed: &mut Stream, peer: SocketAddr, shared: &SharedCopy) -> Result<()> {
     let news = News {
         is_leaving: shared.is_leaving(),
         is_withdrawn: shared.is_withdrawn(),
@@ -91,7 +91,7 @@
     framed: &mut Stream,
     peer: SocketAddr,
     subscribe: &Subscribe,
-    shared: &Arc<Shared>,
+    shared: &Arc<SharedCopy>,
     log: &Logger,
 ) -> Result<()> {
     let count = shared.join();
@@ -112,16 +112,16 @@
     framed: &mut Stream,
     peer: SocketAddr,
     subscribe: &Subscribe,
-    shared: &Arc<Shared>,
+    shared: &Arc<SharedCopy>,
     log: &Logger,
 ) -> Result<()> {
     info!(log, "subscriber joined"; "subscriber" => &subscribe.instance,
         "peer" => %peer, "horizon" => subscribe.horizon, "held" => subscribe.held.len());
     introduce(subscribe, shared, log);
-    let subscriber = shared.board.enter();
+    let subscriber = shared.outcomes.add_subscriber();
     let mut outbox = Outbox::new(subscribe, shared.known(&subscribe.held));
     let outcome = feed(framed, peer, shared, &mut outbox, subscriber).await;
-    shared.board.leave(subscriber);
+    shared.outcomes.remove_subscriber(subscriber);
     let waiting = outbox.waiting();
     if waiting.rows > 0 || waiting.bytes > 0 {
         // Tells a link that is too slow from a subscriber that is gone.
@@ -136,7 +136,7 @@
 /// An instance that has lost its own while the store is away knows its seeds only,
 /// which may have lost theirs, too. Those that followed it before come back to it, and
 /// have what it needs.
-fn introduce(subscribe: &Subscribe, shared: &Shared, log: &Logger) {
+fn introduce(subscribe: &Subscribe, shared: &SharedCopy, log: &Logger) {
     if subscribe.horizon.is_none() {
         return;
     }
@@ -150,7 +150,7 @@
 async fn feed(
     framed: &mut Stream,
     peer: SocketAddr,
-    shared: &Arc<Shared>,
+    shared: &Arc<SharedCopy>,
     outbox: &mut Outbox,
     subscriber: u64,
 ) -> Result<()> {
@@ -159,12 +159,12 @@
         changed.mark_unchanged();
         let news = compose(shared, outbox, peer)?;
         let is_more = news.part.is_some();
-        let has_remarks = !news.remarks.is_empty();
+        let has_remarks = !news.outcomes.is_empty();
         send(framed, peer, &news).await?;
         if news.has_more || is_more && outbox.has_parts() {
             continue;
         }
-        let pause = if has_remarks { TELL_EVERY } else { HEARTBEAT };
+        let pause = if has_remarks { OUTCOME_REPORT_INTERVAL } else { HEARTBEAT };
         let next = Instant::now() + pause;
         // What the subscriber tells is no cause to answer: each answer would be one
         // for it to tell again, without end.
@@ -176,7 +176,7 @@
                 () = shared.pacer.rest(), if outbox.next_part().is_some() => break,
                 () = time::sleep_until(next) => break,
                 remarks = hear(framed, peer) => {
-                    shared.board.hear_below(Instant::now(), subscriber, remarks?);
+                    shared.outcomes.receive_from_subscriber(Instant::now(), subscriber, remarks?);
                 }
             }
         }
@@ -184,29 +184,29 @@
 }
 
 /// What the subscriber tells of servers.
-async fn hear(framed: &mut Stream, peer: SocketAddr) -> Result<Remarks> {
+async fn hear(framed: &mut Stream, peer: SocketAddr) -> Result<OutcomeReport> {
     const STEP: &str = "remarks of subscriber";
     let frame = framed
         .next()
         .await
         .ok_or_else(|| lost(STEP, peer, "closed"))?;
     let frame = frame.map_err(|error| lost(STEP, peer, error))?;
-    let remarks: Remarks = message::decode(STEP, &peer.to_string(), frame)?;
-    if remarks.remarks.len() > MOST_REMARKS {
+    let remarks: OutcomeReport = message::decode(STEP, &peer.to_string(), frame)?;
+    if remarks.outcomes.len() > MOST_REMARKS {
         return Err(lost(STEP, peer, "too many"));
     }
     Ok(remarks)
 }
 
 /// The next message, of which parts are counted against the pace.
-fn compose(shared: &Shared, outbox: &mut Outbox, peer: SocketAddr) -> Result<News> {
+fn compose(shared: &SharedCopy, outbox: &mut Outbox, peer: SocketAddr) -> Result<News> {
     let now = Instant::now();
     let age_ms = shared.age(now).map(|age| age.as_millis() as u64);
     let pack = |value: &Base, base: Option<&Base>| shared.shelf.pack(value, base);
     let may_send = |bytes: usize| shared.pacer.may_send(bytes, now);
     let news = shared.look(|copy| outbox.compose(copy, age_ms, &pack, may_send));
     let mut news = news.map_err(|error| lost("packing for subscriber", peer, error))?;
-    news.remarks = shared.board.zone(now);
+    news.outcomes = shared.outcomes.zone_outcomes(now);
     news.is_detour = shared.is_detour();
     news.is_leaving = shared.is_leaving();
     let packed = news.pack_rows();
--- a/src/replica/store.rs
+++ b/src/replica/store.rs
@@ -16,42 +16,42 @@
 
 /// Where in the store everything lies.
 #[derive(Clone, Copy, Debug)]
-pub struct Keys {
+pub struct KeyLayout {
     /// Prefix of all keys.
-    pub all: &'static str,
+    pub root_prefix: &'static str,
     /// Prefix under it of small values that are urgent.
-    pub small: &'static str,
+    pub server_prefix: &'static str,
     /// Prefix under it of all that operators write: orders and the large value.
-    pub operators: &'static str,
+    pub operator_prefix: &'static str,
     /// Prefix under that of their orders, which are small and few.
-    pub orders: &'static str,
+    pub evacuation_prefix: &'static str,
     /// Key under it of the large value.
-    pub large: &'static str,
+    pub config_key: &'static str,
 }
 
 /// Times of polling.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct PollTiming {
     /// Longest time that a poll of what changes seldom waits beside others.
     ///
     /// A connection that something in between has forgotten shows only by the
     /// missing answer, so this bounds how old the copy can become unnoticed.
-    pub wait: Duration,
+    pub background_wait: Duration,
     /// Longest time that a poll waits on which subscribers depend; shorter,
     /// since what they need beside it adds up.
-    pub wait_for_others: Duration,
+    pub subscribed_wait: Duration,
     /// Pause after changes, in which further ones gather for the next poll.
     ///
     /// Without it, each change of any server costs a call.
-    pub gather: Duration,
+    pub gather_pause: Duration,
     /// Longest time that the first instance after the heads of a zone waits for another
     /// one's copy, when it starts, before it reads the store as well.
     pub copy_wait: Duration,
     /// Age of the last contact with the store at which an upstream is left.
-    pub most_age: Duration,
+    pub max_age: Duration,
     /// Age below which an upstream is worth a subscription; lower than
     /// `most_age`, or instances would come and go around it.
-    pub fresh: Duration,
+    pub fresh_age: Duration,
 }
 
 /// A whole listing.
@@ -87,9 +87,9 @@
 /// The pause before the next poll.
 ///
 /// A store that answers at once without a change would be asked without end.
-pub(crate) async fn pause(pace: &Pace, started: Instant, wait: Duration, has_changes: bool) {
+pub(crate) async fn pause(pace: &PollTiming, started: Instant, wait: Duration, has_changes: bool) {
     if has_changes || started.elapsed() < wait / 2 {
-        time::sleep(pace.gather).await;
+        time::sleep(pace.gather_pause).await;
     }
 }
 
--- a/src/replica/subscribe.rs
+++ b/src/replica/subscribe.rs
@@ -26,8 +26,8 @@
 use crate::replica::message::Held;
 use crate::replica::message::News;
 use crate::replica::message::Subscribe;
-use crate::replica::outcome::Remark;
-use crate::replica::outcome::Remarks;
+use crate::replica::outcome::OutcomeEntry;
+use crate::replica::outcome::OutcomeReport;
 use crate::replica::pack::Base;
 
 /// Time for a connection and its first message.
@@ -77,7 +77,7 @@
     /// Whether the upstream is about to end.
     pub(crate) is_leaving: bool,
     /// What the zone's instances counted against servers.
-    pub(crate) remarks: Vec<Remark>,
+    pub(crate) remarks: Vec<OutcomeEntry>,
     /// The value that is complete with this.
     pub(crate) received: Option<Received>,
 }
@@ -168,7 +168,7 @@
     }
 
     /// Tells the upstream of servers.
-    pub(crate) async fn tell(&mut self, remarks: &Remarks) -> Result<()> {
+    pub(crate) async fn tell(&mut self, remarks: &OutcomeReport) -> Result<()> {
         let bytes: Bytes = remarks.encode_to_vec().into();
         let sent = time::timeout(SILENCE, self.framed.send(bytes)).await;
         let sent = sent.map_err(|_| lost(self.peer, "takes nothing"))?;
@@ -199,7 +199,7 @@
             has_more: news.has_more,
             is_detour: news.is_detour,
             is_leaving: news.is_leaving,
-            remarks: news.remarks,
+            remarks: news.outcomes,
             received: None,
         };
         let Some(part) = news.part else {
--- a/tests/flow/neighbours.rs
+++ b/tests/flow/neighbours.rs
@@ -6,9 +6,9 @@
 use godwitreel::entry::testimony;
 use godwitreel::flow::StateUpdate;
 use godwitreel::flow::ServerOutcomes;
-use godwitreel::replica::Board;
-use godwitreel::replica::Remark;
-use godwitreel::replica::Remarks;
+use godwitreel::replica::OutcomeAggregator;
+use godwitreel::replica::OutcomeEntry;
+use godwitreel::replica::OutcomeReport;
 
 use crate::experience::GOOD;
 use crate::experience::HANGING;
@@ -25,7 +25,7 @@
 /// The zone's instances: who tells what, and how servers answer each.
 struct Zone {
     loads: Vec<Load>,
-    board: Board,
+    board: OutcomeAggregator,
     subscribers: Vec<u64>,
     /// Requests of an instance between two messages, and the rest of the time.
     requests: usize,
@@ -43,10 +43,10 @@
     }
 
     fn new(instances: usize, requests: usize, rest: Duration) -> Self {
-        let board = Board::default();
+        let board = OutcomeAggregator::default();
         Self {
             loads: (0..instances).map(|_| Load::new(four())).collect(),
-            subscribers: (0..instances).map(|_| board.enter()).collect(),
+            subscribers: (0..instances).map(|_| board.add_subscriber()).collect(),
             board,
             requests,
             rest,
@@ -56,7 +56,7 @@
     /// Requests of all instances but the first to each server, over the whole time.
     fn run(
         &mut self,
-        first_says: Option<Remark>,
+        first_says: Option<OutcomeEntry>,
         manner: impl Fn(usize, u64) -> Manner,
     ) -> Vec<usize> {
         let mut counts = vec![0; 10];
@@ -70,19 +70,19 @@
                     }
                 }
                 let own = load.plane.server_outcomes(load.now);
-                let mut remarks: Vec<Remark> = own.iter().map(remark).collect();
+                let mut remarks: Vec<OutcomeEntry> = own.iter().map(remark).collect();
                 if let Some(said) = first_says.filter(|_| number == 0) {
                     remarks = vec![said];
                 }
-                let told = Remarks {
-                    remarks,
+                let told = OutcomeReport {
+                    outcomes: remarks,
                     instances: 1,
                 };
                 self.board
-                    .hear_below(load.now, self.subscribers[number], told);
+                    .receive_from_subscriber(load.now, self.subscribers[number], told);
             }
             let now = self.loads[0].now;
-            let sum: Vec<ServerOutcomes> = self.board.confirmed(now).iter().map(testimony).collect();
+            let sum: Vec<ServerOutcomes> = self.board.confirmed_outcomes(now).iter().map(testimony).collect();
             for load in &mut self.loads {
                 load.plane.apply(load.now, StateUpdate::ZoneOutcomes(sum.clone()));
             }
@@ -101,13 +101,13 @@
 // hangs and fails. The others get its answers, and it keeps its work.
 #[test]
 fn one_that_lies_takes_little_work_from_a_good_server() {
-    let lie = Remark {
+    let lie = OutcomeEntry {
         serial: 1,
         incarnation: None,
         answers: 0.0,
-        hollow: 1e9,
+        premature: 1e9,
         stalls: 1e9,
-        ..Remark::default()
+        ..OutcomeEntry::default()
     };
     for mut zone in [Zone::busy(3), Zone::busy(8), Zone::calm(8), Zone::calm(23)] {
         let counts = zone.run(Some(lie), |_, _| GOOD);
--- a/tests/replica.rs
+++ b/tests/replica.rs
@@ -14,7 +14,7 @@
         instance: format!("entry-{number}").parse().unwrap(),
         zone: zone.parse().unwrap(),
         address: format!("127.0.0.1:{}", 1_000 + number).parse().unwrap(),
-        link_mbps: Bandwidth::USUAL,
+        link_mbps: Bandwidth::DEFAULT,
     }
 }
 
--- a/tests/withdrawal.rs
+++ b/tests/withdrawal.rs
@@ -1,26 +1,26 @@
 //! Telling routers to go elsewhere while most of a zone stands still.
 
 use godwitreel::entry::Withdrawal;
-use godwitreel::replica::Headcount;
-use godwitreel::replica::Tally;
+use godwitreel::replica::ZoneLiveness;
+use godwitreel::replica::FleetLiveness;
 
-fn zone(answering: usize, all: usize) -> Headcount {
-    Headcount {
+fn zone(answering: usize, all: usize) -> ZoneLiveness {
+    ZoneLiveness {
         answering,
         withdrawn: 0,
-        all,
+        probed: all,
     }
 }
 
-fn tally(here: Headcount, elsewhere: &[Headcount]) -> Tally {
-    Tally {
-        here,
-        elsewhere: elsewhere.to_vec(),
+fn tally(here: ZoneLiveness, elsewhere: &[ZoneLiveness]) -> FleetLiveness {
+    FleetLiveness {
+        local_zone: here,
+        other_zones: elsewhere.to_vec(),
     }
 }
 
 /// What an instance says after each of these looks.
-fn said(looks: &[Tally]) -> Vec<bool> {
+fn said(looks: &[FleetLiveness]) -> Vec<bool> {
     let mut withdrawal = Withdrawal::default();
     let looks = looks.iter().map(|tally| {
         withdrawal.note(tally);
@@ -59,7 +59,7 @@
 // withdrawn itself. If all withdrew, nobody would be left.
 #[test]
 fn nobody_withdraws_where_no_other_zone_is_better() {
-    let withdrawn = Headcount {
+    let withdrawn = ZoneLiveness {
         withdrawn: 1,
         ..zone(3, 3)
     };
