--- a/src/bin/godwitreel/app.rs
+++ b/src/bin/godwitreel/app.rs
@@ -10,7 +10,7 @@
 use bpaf::parsers::NamedArg;
 use bpaf::positional;
 use godwitreel::id;
-use godwitreel::platform::Base;
+use godwitreel::platform::BaseUrl;
 use godwitreel::render::Output;
 
 use crate::exit;
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Common {
     pub(crate) config: Option<PathBuf>,
-    pub(crate) platform: Vec<Base>,
+    pub(crate) platform: Vec<BaseUrl>,
     pub(crate) operator: Option<id::Operator>,
     pub(crate) output: Option<Output>,
 }
@@ -227,7 +227,7 @@
 fn common(config: impl Parser<Option<PathBuf>>) -> impl Parser<Common> {
     let platform = long("platform")
         .help("Address of the platform, http://IP:PORT; may be repeated")
-        .argument::<Base>("URL")
+        .argument::<BaseUrl>("URL")
         .many();
     let operator = long("operator")
         .help("Name that changes carry")
--- a/src/bin/godwitreel/config.rs
+++ b/src/bin/godwitreel/config.rs
@@ -7,7 +7,7 @@
 use godwitreel::Error;
 use godwitreel::Result;
 use godwitreel::id;
-use godwitreel::platform::Base;
+use godwitreel::platform::BaseUrl;
 use godwitreel::render::Output;
 use godwitreel::settings;
 use serde::Deserialize;
@@ -24,7 +24,7 @@
 #[serde(default, deny_unknown_fields)]
 struct File {
     /// Addresses of the platform's service, which are one store.
-    platform: Vec<Base>,
+    platform: Vec<BaseUrl>,
     /// Who makes the changes.
     operator: Option<id::Operator>,
     /// Status addresses that are asked also when the platform is down.
@@ -35,7 +35,7 @@
 
 /// What holds for this call.
 pub(crate) struct Config {
-    pub(crate) platform: Vec<Base>,
+    pub(crate) platform: Vec<BaseUrl>,
     pub(crate) operator: Option<id::Operator>,
     pub(crate) instances: BTreeMap<id::Instance, id::Endpoint>,
     pub(crate) instance_timeout: Duration,
@@ -76,7 +76,7 @@
     }
 
     /// The platform's addresses.
-    pub(crate) fn platform(&self) -> Result<Vec<Base>> {
+    pub(crate) fn platform(&self) -> Result<Vec<BaseUrl>> {
         if self.platform.is_empty() {
             let allowed = "--platform http://IP:PORT, or platform in the settings";
             return Err(refuse("platform", "missing", allowed));
--- a/src/command/change.rs
+++ b/src/command/change.rs
@@ -10,7 +10,7 @@
 use crate::id;
 use crate::path;
 use crate::platform::Client;
-use crate::platform::Resolved;
+use crate::platform::ResolvedWrite;
 use crate::query::stored;
 use crate::query::stored::Stored;
 
@@ -87,22 +87,22 @@
         let value = encode(self.key, &ours)?;
         let expected = current.map(|stored| stored.mod_revision);
         let resolved = client
-            .swap_and_resolve(self.key, expected, &value, None)
+            .compare_and_swap_resolved(self.key, expected, &value, None)
             .await?;
         let outcome = match resolved {
-            Resolved::Done(_) => Outcome::Accepted {
+            ResolvedWrite::Done(_) => Outcome::Accepted {
                 ours,
                 replaced_by: None,
             },
-            Resolved::Lost(entry) => {
+            ResolvedWrite::Lost(entry) => {
                 let found = entry.as_ref().and_then(readable);
                 self.refused(client, ours, found).await
             }
-            Resolved::Overtaken(entry) => {
+            ResolvedWrite::Superseded(entry) => {
                 let found = entry.as_ref().and_then(readable);
                 self.overtaken(client, ours, found).await
             }
-            Resolved::Unknown => Outcome::Unknown { ours, found: None },
+            ResolvedWrite::Unknown => Outcome::Unknown { ours, found: None },
         };
         Ok(self.change(outcome))
     }
--- a/src/command/drain.rs
+++ b/src/command/drain.rs
@@ -18,7 +18,7 @@
 use crate::path;
 use crate::platform::Client;
 use crate::platform::Entry;
-use crate::platform::Resolved;
+use crate::platform::ResolvedWrite;
 
 /// Who wishes that something leaves.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -166,18 +166,18 @@
         write_id: command::write_id(),
     };
     let value = change::encode(key, &wish)?;
-    let resolved = client.swap_and_resolve(key, None, &value, None).await?;
+    let resolved = client.compare_and_swap_resolved(key, None, &value, None).await?;
     Ok(match resolved {
-        Resolved::Done(_) => Drain {
+        ResolvedWrite::Done(_) => Drain {
             wish: Some(wish),
             ..drained(key, false, Outcome::Accepted, None)
         },
         // Another operator was first with the same wish, which is what was ordered.
-        Resolved::Lost(Some(entry)) | Resolved::Overtaken(Some(entry)) => {
+        ResolvedWrite::Lost(Some(entry)) | ResolvedWrite::Superseded(Some(entry)) => {
             drained(key, false, Outcome::Accepted, Some(&entry))
         }
-        Resolved::Lost(None) => drained(key, false, Outcome::Refused, None),
-        Resolved::Overtaken(None) | Resolved::Unknown => {
+        ResolvedWrite::Lost(None) => drained(key, false, Outcome::Refused, None),
+        ResolvedWrite::Superseded(None) | ResolvedWrite::Unknown => {
             drained(key, false, Outcome::Unknown, None)
         }
     })
@@ -186,15 +186,15 @@
 /// Takes back the wish that was seen, and no later one: an order that was late
 /// on its way would otherwise undo what another operator has wished since.
 async fn erase(client: &Client, key: &str, seen: &Entry) -> Result<Drain> {
-    let resolved = client.erase_and_resolve(key, seen.mod_revision).await?;
+    let resolved = client.compare_and_delete_resolved(key, seen.mod_revision).await?;
     Ok(match resolved {
-        Resolved::Done(_) | Resolved::Lost(None) | Resolved::Overtaken(None) => {
+        ResolvedWrite::Done(_) | ResolvedWrite::Lost(None) | ResolvedWrite::Superseded(None) => {
             drained(key, true, Outcome::Accepted, None)
         }
-        Resolved::Lost(Some(entry)) | Resolved::Overtaken(Some(entry)) => {
+        ResolvedWrite::Lost(Some(entry)) | ResolvedWrite::Superseded(Some(entry)) => {
             drained(key, true, Outcome::Refused, Some(&entry))
         }
-        Resolved::Unknown => drained(key, true, Outcome::Unknown, None),
+        ResolvedWrite::Unknown => drained(key, true, Outcome::Unknown, None),
     })
 }
 
--- a/src/command/history.rs
+++ b/src/command/history.rs
@@ -11,7 +11,7 @@
 use crate::error::Result;
 use crate::path;
 use crate::platform::Client;
-use crate::platform::Resolved;
+use crate::platform::ResolvedWrite;
 
 /// Envelopes kept of each profile.
 const KEPT: usize = 10;
@@ -26,7 +26,7 @@
     for envelope in envelopes {
         let revision = envelope.revision;
         match write(client, prefix, envelope).await {
-            Ok(Resolved::Unknown) => notes.push(format!(
+            Ok(ResolvedWrite::Unknown) => notes.push(format!(
                 "revision {revision} may be missing in history: no answer"
             )),
             // An envelope that is there already is the same one, as a revision
@@ -47,10 +47,10 @@
     client: &Client,
     prefix: &str,
     envelope: &Envelope<T>,
-) -> Result<Resolved> {
+) -> Result<ResolvedWrite> {
     let key = format!("{prefix}{}", envelope.revision);
     let value = change::encode(&key, envelope)?;
-    client.swap_and_resolve(&key, None, &value, None).await
+    client.compare_and_swap_resolved(&key, None, &value, None).await
 }
 
 async fn prune(client: &Client, prefix: &str) -> Result<()> {
--- a/src/entry/adapter.rs
+++ b/src/entry/adapter.rs
@@ -7,30 +7,30 @@
 use crate::flow::Tag;
 use crate::id;
 use crate::platform;
-use crate::platform::gateway::Decoded;
+use crate::platform::gateway::DecodeResult;
 use crate::platform::poll::Dialect;
 
 /// Bytes in front of a packet that name the server it is meant for.
-pub const ENVELOPE: usize = 8;
+pub const SERVER_HEADER_LEN: usize = 8;
 
 /// How packets look.
 #[derive(Clone, Copy, Debug)]
 pub struct Codec {
     /// Largest packet, in bytes.
-    pub largest: usize,
+    pub max_packet_len: usize,
     /// Reads a packet; the error is a short code for logs and metrics.
     pub decode: fn(&[u8]) -> Result<Segment, &'static str>,
     /// Writes the routing tag into a packet that was decoded.
     pub set_tag: fn(&mut [u8], Tag),
     /// The packet that resets the flow of a caller's packet.
-    pub reset: fn(&Segment) -> Vec<u8>,
+    pub reset_packet: fn(&Segment) -> Vec<u8>,
     /// What names the server in front of a packet.
-    pub envelope: fn(Serial) -> [u8; ENVELOPE],
+    pub server_header: fn(Serial) -> [u8; SERVER_HEADER_LEN],
 }
 
 /// What an entry of the store means.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Entry {
+pub enum DecodedEntry {
     /// A backend server.
     Server(Server),
     /// The configuration.
@@ -52,21 +52,21 @@
 
 /// How the store's entries look.
 #[derive(Clone, Copy, Debug)]
-pub struct Vocabulary {
+pub struct StoreSchema {
     /// Prefix of all keys that are read.
-    pub prefix: &'static str,
+    pub root_prefix: &'static str,
     /// Prefix under it of small values that are urgent.
-    pub small: &'static str,
+    pub server_prefix: &'static str,
     /// Prefix under it of all that operators write: orders and the large value.
-    pub operators: &'static str,
+    pub operator_prefix: &'static str,
     /// Prefix under that of their orders, which are small and few.
-    pub orders: &'static str,
+    pub evacuation_prefix: &'static str,
     /// Key under it of the large value.
-    pub large: &'static str,
+    pub config_key: &'static str,
     /// Reads an entry.
-    pub read: fn(&platform::Entry) -> Decoded<Entry>,
+    pub decode_entry: fn(&platform::Entry) -> DecodeResult<DecodedEntry>,
     /// What the entry of this key is about; `None` for what has no subject.
-    pub subject: fn(&str) -> Option<Subject>,
+    pub key_subject: fn(&str) -> Option<Subject>,
 }
 
 /// Everything that translates between the product and a platform.
@@ -77,5 +77,5 @@
     /// Calls to the store.
     pub dialect: Dialect,
     /// The store's entries.
-    pub vocabulary: Vocabulary,
+    pub schema: StoreSchema,
 }
--- a/src/entry/beliefs.rs
+++ b/src/entry/beliefs.rs
@@ -14,7 +14,7 @@
 
 use crate::flow::StateUpdate;
 use crate::flow::ServerState;
-use crate::platform::rate_limit::Bucket;
+use crate::platform::rate_limit::TokenBucket;
 use crate::platform::rate_limit::Rate;
 
 /// Lines a second. On an ordinary day servers come and go one by one.
@@ -26,7 +26,7 @@
 /// Writes beliefs as log lines.
 pub(crate) struct Beliefs {
     log: Logger,
-    bucket: Bucket,
+    bucket: TokenBucket,
     /// Beliefs without a line of their own, by what they say.
     counts: BTreeMap<&'static str, u64>,
     /// When the first of them came.
@@ -37,7 +37,7 @@
     pub(crate) fn new(log: Logger, now: Instant) -> Self {
         Self {
             log,
-            bucket: Bucket::new(RATE, now),
+            bucket: TokenBucket::new(RATE, now),
             counts: BTreeMap::new(),
             since: None,
         }
--- a/src/entry/journal.rs
+++ b/src/entry/journal.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 use crate::flow::FlowEvent;
-use crate::platform::rate_limit::Bucket;
+use crate::platform::rate_limit::TokenBucket;
 use crate::platform::rate_limit::Rate;
 
 /// What the lines tell beside the decision itself.
@@ -24,7 +24,7 @@
 /// Writes notes as log lines.
 pub(crate) struct Journal {
     log: Logger,
-    bucket: Bucket,
+    bucket: TokenBucket,
     omitted: u64,
 }
 
@@ -32,7 +32,7 @@
     pub(crate) fn new(log: Logger, rate: Rate, now: Instant) -> Self {
         Self {
             log,
-            bucket: Bucket::new(rate, now),
+            bucket: TokenBucket::new(rate, now),
             omitted: 0,
         }
     }
--- a/src/entry/outcome.rs
+++ b/src/entry/outcome.rs
@@ -8,7 +8,7 @@
 use crate::replica::OutcomeEntry;
 
 /// What an instance counted, as it is told to the others.
-pub fn remark(told: &ServerOutcomes) -> OutcomeEntry {
+pub fn outcomes_to_message(told: &ServerOutcomes) -> OutcomeEntry {
     OutcomeEntry {
         serial: told.serial.0,
         incarnation: told.incarnation.map(|life| life.0),
@@ -20,7 +20,7 @@
 }
 
 /// What others told, as the decisions take it.
-pub fn testimony(remark: &OutcomeEntry) -> ServerOutcomes {
+pub fn outcomes_from_message(remark: &OutcomeEntry) -> ServerOutcomes {
     ServerOutcomes {
         serial: Serial(remark.serial),
         incarnation: remark.incarnation.map(Incarnation),
--- a/src/entry/refusals.rs
+++ b/src/entry/refusals.rs
@@ -10,8 +10,8 @@
 use tokio::time::Instant;
 
 use crate::platform::Change;
-use crate::platform::poll::Refusal;
-use crate::platform::rate_limit::Bucket;
+use crate::platform::poll::UnreadableEntry;
+use crate::platform::rate_limit::TokenBucket;
 use crate::platform::rate_limit::Rate;
 use crate::replica::Update;
 
@@ -27,7 +27,7 @@
 /// The entries that cannot be read, and the allowance to say so.
 pub(crate) struct Refusals {
     by_key: BTreeMap<String, String>,
-    bucket: Bucket,
+    bucket: TokenBucket,
     omitted: u64,
 }
 
@@ -35,7 +35,7 @@
     pub(crate) fn new(now: Instant) -> Self {
         Self {
             by_key: BTreeMap::new(),
-            bucket: Bucket::new(LINES, now),
+            bucket: TokenBucket::new(LINES, now),
             omitted: 0,
         }
     }
@@ -55,7 +55,7 @@
     }
 
     /// Remembers an entry, and logs it if the rate allows.
-    pub(crate) fn note(&mut self, now: Instant, refusal: &Refusal, log: &Logger) {
+    pub(crate) fn note(&mut self, now: Instant, refusal: &UnreadableEntry, log: &Logger) {
         let reason: String = refusal.reason.chars().take(MOST_REASON).collect();
         if self.bucket.take_urgent(now) {
             let omitted = std::mem::take(&mut self.omitted);
@@ -70,8 +70,8 @@
     }
 
     /// The keys, with the reasons.
-    pub(crate) fn list(&self) -> Vec<Refusal> {
-        let row = |(key, reason): (&String, &String)| Refusal {
+    pub(crate) fn list(&self) -> Vec<UnreadableEntry> {
+        let row = |(key, reason): (&String, &String)| UnreadableEntry {
             key: key.clone(),
             reason: reason.clone(),
         };
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 use crate::entry::Adapter;
-use crate::entry::Evacuated;
+use crate::entry::EvacuatedZone;
 use crate::entry::Server;
 use crate::entry::Settings;
 use crate::entry::Status;
@@ -28,8 +28,8 @@
 use crate::entry::journal::Context;
 use crate::entry::journal::Journal;
 use crate::entry::metric::Metrics;
-use crate::entry::outcome::remark;
-use crate::entry::outcome::testimony;
+use crate::entry::outcome::outcomes_to_message;
+use crate::entry::outcome::outcomes_from_message;
 use crate::entry::refusals::Refusals;
 use crate::entry::signals::Asked;
 use crate::entry::signals::Signals;
@@ -332,9 +332,9 @@
         }
         self.told = now;
         let own = self.plane.server_outcomes(now);
-        self.replica.outcomes.set_local(own.iter().map(remark).collect());
+        self.replica.outcomes.set_local(own.iter().map(outcomes_to_message).collect());
         let zone = self.replica.outcomes.confirmed_outcomes(now);
-        let zone = zone.iter().map(testimony).collect();
+        let zone = zone.iter().map(outcomes_from_message).collect();
         self.plane.apply(now, StateUpdate::ZoneOutcomes(zone));
     }
 
@@ -370,7 +370,7 @@
         let now = Instant::now();
         self.tell_contact(now, &update);
         self.refusals.renew(&update);
-        let reading = Reading::new(&self.adapter.vocabulary, update);
+        let reading = Reading::new(&self.adapter.schema, update);
         for refusal in &reading.refused {
             self.shared.metrics.refused_entries.inc();
             self.refusals.note(now, refusal, &self.log);
@@ -508,9 +508,9 @@
         }
     }
 
-    fn evacuated(&self, now: Instant) -> Vec<Evacuated> {
+    fn evacuated(&self, now: Instant) -> Vec<EvacuatedZone> {
         let zones = self.plane.directory().evacuation().zones();
-        let evacuated = zones.map(|(zone, since)| Evacuated {
+        let evacuated = zones.map(|(zone, since)| EvacuatedZone {
             zone: zone.clone(),
             known_ms: (now - since).as_millis() as u64,
         });
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -9,7 +9,7 @@
 use crate::entry::checks;
 use crate::error::Result;
 use crate::id;
-use crate::platform::Base;
+use crate::platform::BaseUrl;
 use crate::platform::rate_limit::Rate;
 use crate::replica::Bandwidth;
 use crate::settings;
@@ -21,7 +21,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Store {
     /// Its addresses, which are one store.
-    pub addresses: Vec<Base>,
+    pub addresses: Vec<BaseUrl>,
     /// Reads that this instance may make.
     #[serde(default = "default_reads")]
     pub reads_per_second: Rate,
--- a/src/entry/socket.rs
+++ b/src/entry/socket.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 use crate::entry::Codec;
-use crate::entry::ENVELOPE;
+use crate::entry::SERVER_HEADER_LEN;
 use crate::error::Error;
 use crate::error::Result;
 use crate::flow::Admission;
@@ -33,7 +33,7 @@
             source,
         })?;
         // One byte more than the largest packet shows one that is too large.
-        let buffer = vec![0; ENVELOPE + codec.largest + 1];
+        let buffer = vec![0; SERVER_HEADER_LEN + codec.max_packet_len + 1];
         Ok(Self {
             udp,
             codec,
@@ -48,7 +48,7 @@
 
     /// Reads the next packet that waits; its length, or `None`.
     pub(crate) fn receive(&mut self) -> io::Result<Option<usize>> {
-        match self.udp.try_recv(&mut self.buffer[ENVELOPE..]) {
+        match self.udp.try_recv(&mut self.buffer[SERVER_HEADER_LEN..]) {
             Ok(length) => Ok(Some(length)),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(None),
             Err(error) => Err(error),
@@ -57,13 +57,13 @@
 
     /// Puts a packet back in the place of the one read last; its length.
     pub(crate) fn load(&mut self, packet: &[u8]) -> usize {
-        self.buffer[ENVELOPE..ENVELOPE + packet.len()].copy_from_slice(packet);
+        self.buffer[SERVER_HEADER_LEN..SERVER_HEADER_LEN + packet.len()].copy_from_slice(packet);
         packet.len()
     }
 
     /// The packet read last.
     pub(crate) fn packet(&self, length: usize) -> &[u8] {
-        &self.buffer[ENVELOPE..ENVELOPE + length]
+        &self.buffer[SERVER_HEADER_LEN..SERVER_HEADER_LEN + length]
     }
 
     /// Passes on the packet read last, or lets it wait for the link; `false` when too
@@ -75,7 +75,7 @@
         length: usize,
         target: &Target,
     ) -> io::Result<bool> {
-        let datagram = &mut self.buffer[..ENVELOPE + length];
+        let datagram = &mut self.buffer[..SERVER_HEADER_LEN + length];
         address(&self.codec, datagram, target);
         if self.egress.try_pass(now, datagram.len()) {
             self.udp.try_send_to(datagram, target.address.into())?;
@@ -107,7 +107,7 @@
 
     /// Sends a kept packet. It is small, and its caller has waited already.
     pub(crate) fn resend(&mut self, now: Instant, resend: &Resend) -> io::Result<()> {
-        let mut datagram = vec![0; ENVELOPE];
+        let mut datagram = vec![0; SERVER_HEADER_LEN];
         datagram.extend_from_slice(&resend.packet);
         address(&self.codec, &mut datagram, &resend.target);
         let to = resend.target.address.into();
@@ -121,14 +121,14 @@
     pub(crate) fn reset(&self, segment: &Segment) -> io::Result<()> {
         let port = self.udp.local_addr()?.port();
         let to = SocketAddrV4::new(*segment.flow_key.caller.ip(), port);
-        let packet = (self.codec.reset)(segment);
+        let packet = (self.codec.reset_packet)(segment);
         self.udp.try_send_to(&packet, to.into())?;
         Ok(())
     }
 }
 
 fn address(codec: &Codec, datagram: &mut [u8], target: &Target) {
-    let (envelope, packet) = datagram.split_at_mut(ENVELOPE);
-    envelope.copy_from_slice(&(codec.envelope)(target.serial));
+    let (envelope, packet) = datagram.split_at_mut(SERVER_HEADER_LEN);
+    envelope.copy_from_slice(&(codec.server_header)(target.serial));
     (codec.set_tag)(packet, target.tag);
 }
--- a/src/entry/start.rs
+++ b/src/entry/start.rs
@@ -96,7 +96,7 @@
         call_timeout: CALL_TIMEOUT,
         connect_timeout: CONNECT_TIMEOUT,
         backoff: BACKOFF,
-        reads: settings.store.reads_per_second,
+        read_rate: settings.store.reads_per_second,
         seed: seed(settings),
         ..platform::Options::default()
     };
@@ -151,11 +151,11 @@
     let sources = FollowOptions {
         reader: reader.clone(),
         keys: replica::KeyLayout {
-            root_prefix: adapter.vocabulary.prefix,
-            server_prefix: adapter.vocabulary.small,
-            operator_prefix: adapter.vocabulary.operator_prefix,
-            evacuation_prefix: adapter.vocabulary.orders,
-            config_key: adapter.vocabulary.large,
+            root_prefix: adapter.schema.root_prefix,
+            server_prefix: adapter.schema.server_prefix,
+            operator_prefix: adapter.schema.operator_prefix,
+            evacuation_prefix: adapter.schema.evacuation_prefix,
+            config_key: adapter.schema.config_key,
         },
         timing: pace(settings),
         me: member.clone(),
--- a/src/entry/status.rs
+++ b/src/entry/status.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 
 use crate::id;
-use crate::platform::poll::Refusal;
+use crate::platform::poll::UnreadableEntry;
 
 /// What an instance believes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -25,17 +25,17 @@
     pub upstream: Option<id::Instance>,
     /// Zones whose servers get no new flows, as operators ordered.
     #[serde(default)]
-    pub evacuated: Vec<Evacuated>,
+    pub evacuated: Vec<EvacuatedZone>,
     /// The backend servers, those that are gone included.
     pub servers: Vec<Server>,
     /// Entries of the store that cannot be read at present, 32 at most.
     #[serde(default)]
-    pub refused: Vec<Refusal>,
+    pub refused: Vec<UnreadableEntry>,
 }
 
 /// A zone that operators have evacuated.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Evacuated {
+pub struct EvacuatedZone {
     /// The zone.
     pub zone: id::Zone,
     /// Time since the order is known here, in milliseconds.
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -1,13 +1,13 @@
 //! From the store's entries to beliefs of the decisions.
 
-use crate::entry::Entry;
+use crate::entry::DecodedEntry;
 use crate::entry::Subject;
-use crate::entry::Vocabulary;
+use crate::entry::StoreSchema;
 use crate::flow::StateUpdate;
 use crate::flow::Peer;
 use crate::platform;
 use crate::platform::Change;
-use crate::platform::poll::Refusal;
+use crate::platform::poll::UnreadableEntry;
 use crate::replica::Member;
 use crate::replica::Update;
 
@@ -15,22 +15,22 @@
 #[derive(Debug, Default)]
 pub(crate) struct Reading {
     pub(crate) beliefs: Vec<StateUpdate>,
-    pub(crate) refused: Vec<Refusal>,
+    pub(crate) refused: Vec<UnreadableEntry>,
 }
 
 impl Reading {
-    pub(crate) fn new(vocabulary: &Vocabulary, update: Update) -> Self {
+    pub(crate) fn new(schema: &StoreSchema, update: Update) -> Self {
         let mut reading = Self::default();
         match update {
             Update::Reset {
                 entries, refused, ..
-            } => reading.reset(vocabulary, &entries, refused),
-            Update::Change(Change::Put(entry)) => reading.put(vocabulary, &entry),
+            } => reading.reset(schema, &entries, refused),
+            Update::Change(Change::Put(entry)) => reading.put(schema, &entry),
             Update::Change(Change::Delete { key, .. }) => {
-                let subject = (vocabulary.subject)(&key);
+                let subject = (schema.key_subject)(&key);
                 reading.beliefs.extend(subject.map(deleted));
             }
-            Update::Refused(refusal) => reading.refuse(vocabulary, refusal),
+            Update::Refused(refusal) => reading.refuse(schema, refusal),
             Update::Contact(contact) => reading.beliefs.push(StateUpdate::StoreContact(contact)),
             Update::StoreUnreachable { .. } => reading.beliefs.push(StateUpdate::StoreUnreachable),
             Update::Members(members) => {
@@ -44,36 +44,36 @@
 
     /// An entry that cannot be read names no server to use; what was known of the
     /// server stays for its open flows.
-    fn put(&mut self, vocabulary: &Vocabulary, entry: &platform::Entry) {
-        match (vocabulary.read)(entry) {
-            Ok(Entry::Server(server)) => self.beliefs.push(StateUpdate::Server(server)),
-            Ok(Entry::Routes(routes)) => self.beliefs.push(StateUpdate::Routes(routes)),
-            Ok(Entry::Evacuation(zone)) => self.beliefs.push(StateUpdate::ZoneEvacuated(zone)),
-            Ok(Entry::Other) => {}
+    fn put(&mut self, schema: &StoreSchema, entry: &platform::Entry) {
+        match (schema.decode_entry)(entry) {
+            Ok(DecodedEntry::Server(server)) => self.beliefs.push(StateUpdate::Server(server)),
+            Ok(DecodedEntry::Routes(routes)) => self.beliefs.push(StateUpdate::Routes(routes)),
+            Ok(DecodedEntry::Evacuation(zone)) => self.beliefs.push(StateUpdate::ZoneEvacuated(zone)),
+            Ok(DecodedEntry::Other) => {}
             Err(reason) => {
                 let key = entry.key.clone();
-                self.refuse(vocabulary, Refusal { key, reason });
+                self.refuse(schema, UnreadableEntry { key, reason });
             }
         }
     }
 
-    fn refuse(&mut self, vocabulary: &Vocabulary, refusal: Refusal) {
-        let subject = (vocabulary.subject)(&refusal.key);
+    fn refuse(&mut self, schema: &StoreSchema, refusal: UnreadableEntry) {
+        let subject = (schema.key_subject)(&refusal.key);
         self.beliefs.extend(subject.map(unreadable));
         self.refused.push(refusal);
     }
 
     fn reset(
         &mut self,
-        vocabulary: &Vocabulary,
+        schema: &StoreSchema,
         entries: &[platform::Entry],
-        refused: Vec<Refusal>,
+        refused: Vec<UnreadableEntry>,
     ) {
         for refusal in refused {
-            self.refuse(vocabulary, refusal);
+            self.refuse(schema, refusal);
         }
         for entry in entries {
-            self.put(vocabulary, entry);
+            self.put(schema, entry);
         }
         let mut listed = Vec::new();
         let mut unreadable = Vec::new();
--- a/src/metric/collector.rs
+++ b/src/metric/collector.rs
@@ -18,7 +18,7 @@
 use crate::metric::Name;
 use crate::metric::PLATFORM_CALLS;
 use crate::metric::PLATFORM_FAILURES;
-use crate::platform::Counts;
+use crate::platform::CallCounts;
 use crate::platform::transport::Transport;
 use crate::replica;
 
@@ -59,7 +59,7 @@
 
 type Kind<'a> = (&'static str, &'a AtomicU64);
 
-fn calls(counts: &Counts) -> [Kind<'_>; 4] {
+fn calls(counts: &CallCounts) -> [Kind<'_>; 4] {
     [
         ("read", &counts.reads),
         ("write", &counts.writes),
@@ -68,12 +68,12 @@
     ]
 }
 
-fn failures(counts: &Counts) -> [Kind<'_>; 5] {
+fn failures(counts: &CallCounts) -> [Kind<'_>; 5] {
     [
         ("unreachable", &counts.unreachable),
         ("unanswered", &counts.unanswered),
         ("refused", &counts.refused),
-        ("exhausted", &counts.exhausted),
+        ("exhausted", &counts.rate_limited),
         ("stale", &counts.stale),
     ]
 }
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -44,7 +44,7 @@
 use crate::peer::wire::Guard;
 use crate::peer::wire::Keys;
 use crate::peer::wire::MAX_FRAME;
-use crate::platform::rate_limit::Bucket;
+use crate::platform::rate_limit::TokenBucket;
 use crate::platform::rate_limit::Rate;
 
 /// Time for one exchange of configuration with a peer.
@@ -63,7 +63,7 @@
     addresses: RwLock<HashMap<id::Holder, SocketAddr>>,
     guard: Mutex<Guard>,
     rate: Rate,
-    budgets: Mutex<HashMap<SocketAddr, Bucket>>,
+    budgets: Mutex<HashMap<SocketAddr, TokenBucket>>,
     metrics: Arc<Metrics>,
 }
 
@@ -101,16 +101,16 @@
         self.budgets().retain(|_, bucket| !bucket.is_full(now));
     }
 
-    fn budgets(&self) -> MutexGuard<'_, HashMap<SocketAddr, Bucket>> {
+    fn budgets(&self) -> MutexGuard<'_, HashMap<SocketAddr, TokenBucket>> {
         self.budgets.lock().unwrap_or_else(|lock| lock.into_inner())
     }
 
     /// Spends from the budget of one peer.
-    fn spend<T>(&self, peer: SocketAddr, spend: impl FnOnce(&mut Bucket, Instant) -> T) -> T {
+    fn spend<T>(&self, peer: SocketAddr, spend: impl FnOnce(&mut TokenBucket, Instant) -> T) -> T {
         let now = Instant::now();
         let mut budgets = self.budgets();
         let bucket = budgets.entry(peer);
-        spend(bucket.or_insert_with(|| Bucket::new(self.rate, now)), now)
+        spend(bucket.or_insert_with(|| TokenBucket::new(self.rate, now)), now)
     }
 
     /// Sends a message to a life of an instance; dropped if it is not known.
@@ -159,13 +159,13 @@
     /// A message that goes out whatever the budget.
     fn seal_essential(&self, address: SocketAddr, to: &str, body: Body) -> Vec<u8> {
         let frame = self.seal(to, body);
-        self.spend(address, |bucket, now| bucket.drain(frame.len(), now));
+        self.spend(address, |bucket, now| bucket.take_available(frame.len(), now));
         frame
     }
 
     /// Pays for one side of a copy, or refuses until the last one is paid off.
     fn pay(&self, address: SocketAddr, kind: &'static str, bytes: usize) -> Result<()> {
-        if self.spend(address, |bucket, now| bucket.borrow(bytes, now)) {
+        if self.spend(address, |bucket, now| bucket.take_on_credit(bytes, now)) {
             self.metrics.peer_message(kind, Direction::Sent, bytes);
             return Ok(());
         }
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -35,14 +35,14 @@
 pub use crate::platform::client::Client;
 pub use crate::platform::follow::Update;
 pub use crate::platform::follow::follow;
-pub use crate::platform::resolution::Resolved;
+pub use crate::platform::resolution::ResolvedWrite;
 
 /// Base address of the platform's service: `http://IP:PORT`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct Base(String);
+pub struct BaseUrl(String);
 
-impl FromStr for Base {
+impl FromStr for BaseUrl {
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self> {
@@ -61,7 +61,7 @@
     }
 }
 
-impl TryFrom<String> for Base {
+impl TryFrom<String> for BaseUrl {
     type Error = Error;
 
     fn try_from(text: String) -> Result<Self> {
@@ -69,13 +69,13 @@
     }
 }
 
-impl From<Base> for String {
-    fn from(base: Base) -> Self {
+impl From<BaseUrl> for String {
+    fn from(base: BaseUrl) -> Self {
         base.0
     }
 }
 
-impl fmt::Display for Base {
+impl fmt::Display for BaseUrl {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
@@ -149,7 +149,7 @@
 
 /// Outcome of a compare-and-swap that was answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Swap {
+pub enum SwapOutcome {
     /// Written, at this revision.
     Done(u64),
     /// Not written: the key holds this, or nothing.
@@ -165,15 +165,15 @@
     /// address that is gone can still go to the next one.
     pub connect_timeout: Duration,
     /// Time for finding out what became of an unanswered write.
-    pub resolve_within: Duration,
+    pub resolve_timeout: Duration,
     /// Delays between tries.
     pub backoff: pacing::Bounds,
     /// Time between the probes of [`follow()`].
-    pub probe_every: Duration,
+    pub probe_interval: Duration,
     /// Allowance of reads, watches included.
-    pub reads: Rate,
+    pub read_rate: Rate,
     /// Allowance of writes, calls for leases included.
-    pub writes: Rate,
+    pub write_rate: Rate,
     /// Seed of the jitter; differs between instances.
     pub seed: u64,
 }
@@ -184,14 +184,14 @@
         Self {
             call_timeout: Duration::from_secs(2),
             connect_timeout: Duration::from_millis(500),
-            resolve_within: Duration::from_secs(5),
+            resolve_timeout: Duration::from_secs(5),
             backoff: pacing::Bounds {
                 first: Duration::from_millis(100),
                 most: Duration::from_secs(5),
             },
-            probe_every: Duration::from_secs(2),
-            reads: Rate(200),
-            writes: Rate(40),
+            probe_interval: Duration::from_secs(2),
+            read_rate: Rate(200),
+            write_rate: Rate(40),
             seed: 0,
         }
     }
@@ -199,7 +199,7 @@
 
 /// Calls by kind and failures by kind, since the start.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct CallCounts {
     /// Reads sent.
     pub reads: AtomicU64,
     /// Writes sent.
@@ -215,7 +215,7 @@
     /// Calls that the platform refused.
     pub refused: AtomicU64,
     /// Calls that the local allowance refused.
-    pub exhausted: AtomicU64,
+    pub rate_limited: AtomicU64,
     /// Answers older than what was known already.
     pub stale: AtomicU64,
 }
--- a/src/platform/client.rs
+++ b/src/platform/client.rs
@@ -6,17 +6,17 @@
 use futures::Stream;
 
 use crate::error::Result;
-use crate::platform::Base;
+use crate::platform::BaseUrl;
 use crate::platform::Change;
-use crate::platform::Counts;
+use crate::platform::CallCounts;
 use crate::platform::Entry;
 use crate::platform::Lease;
 use crate::platform::Listing;
 use crate::platform::Options;
-use crate::platform::Swap;
+use crate::platform::SwapOutcome;
 use crate::platform::call;
 use crate::platform::gateway;
-use crate::platform::gateway::Decoded;
+use crate::platform::gateway::DecodeResult;
 use crate::platform::transport::Call;
 use crate::platform::transport::Kind;
 use crate::platform::transport::Payload;
@@ -36,13 +36,13 @@
     /// # Errors
     ///
     /// Fails when there is no address or the HTTP client cannot be set up.
-    pub fn new(bases: Vec<Base>, options: Options) -> Result<Self> {
+    pub fn new(bases: Vec<BaseUrl>, options: Options) -> Result<Self> {
         let transport = Arc::new(Transport::new(bases, options)?);
         Ok(Self { transport })
     }
 
     /// How many calls were made and how they ended.
-    pub fn counts(&self) -> &Counts {
+    pub fn counts(&self) -> &CallCounts {
         self.transport.counts()
     }
 
@@ -54,7 +54,7 @@
         self.transport.options()
     }
 
-    pub(crate) async fn call<T>(&self, call: &Call, decode: fn(&[u8]) -> Decoded<T>) -> Result<T> {
+    pub(crate) async fn call<T>(&self, call: &Call, decode: fn(&[u8]) -> DecodeResult<T>) -> Result<T> {
         self.transport.call(call, decode).await
     }
 
@@ -99,13 +99,13 @@
     ///
     /// After [`crate::Error::Unanswered`] the write may have taken effect, or may do so
     /// later. After any other error it has not and will not.
-    pub async fn swap(
+    pub async fn compare_and_swap(
         &self,
         key: &str,
         expected: Option<u64>,
         value: &[u8],
         lease: Option<Lease>,
-    ) -> Result<Swap> {
+    ) -> Result<SwapOutcome> {
         let body = call::swap(key, expected, value, lease);
         let call = Call {
             step: "swap",
@@ -122,7 +122,7 @@
     /// # Errors
     ///
     /// As for [`Client::swap`].
-    pub async fn erase(&self, key: &str, expected: u64) -> Result<Swap> {
+    pub async fn compare_and_delete(&self, key: &str, expected: u64) -> Result<SwapOutcome> {
         let call = Call {
             step: "erase",
             kind: Kind::Write,
@@ -227,7 +227,7 @@
         &self,
         step: &'static str,
         body: call::Body,
-        decode: fn(&[u8]) -> Decoded<T>,
+        decode: fn(&[u8]) -> DecodeResult<T>,
     ) -> Result<T> {
         let call = Call {
             step,
--- a/src/platform/follow.rs
+++ b/src/platform/follow.rs
@@ -83,7 +83,7 @@
         contact: Instant::now(),
         is_silent: false,
         backoff: Backoff::new(options.backoff, options.seed),
-        probe_every: options.probe_every,
+        probe_every: options.probe_interval,
     };
     while let Err(End::Failed) = follower.round().await {
         let delay = follower.backoff.next_delay();
--- a/src/platform/gateway.rs
+++ b/src/platform/gateway.rs
@@ -15,10 +15,10 @@
 use crate::platform::Entry;
 use crate::platform::Lease;
 use crate::platform::Listing;
-use crate::platform::Swap;
+use crate::platform::SwapOutcome;
 
 /// Outcome of decoding; the error says why the bytes were refused.
-pub type Decoded<T> = Result<T, String>;
+pub type DecodeResult<T> = Result<T, String>;
 
 /// What a probe tells about a prefix without naming its keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -87,12 +87,12 @@
 impl KeyValue {
     /// Keys of others need not be text; a lossy key is one that nobody reads,
     /// while refusing it would blind us to all its neighbours.
-    fn key(&self) -> Decoded<String> {
+    fn key(&self) -> DecodeResult<String> {
         let bytes = STANDARD.decode(&self.key).map_err(|e| e.to_string())?;
         Ok(String::from_utf8_lossy(&bytes).into_owned())
     }
 
-    fn entry(self) -> Decoded<Entry> {
+    fn entry(self) -> DecodeResult<Entry> {
         let key = self.key()?;
         let value = STANDARD.decode(&self.value).map_err(|e| e.to_string())?;
         Ok(Entry {
@@ -114,12 +114,12 @@
 }
 
 impl RangeAnswer {
-    fn entries(self) -> Decoded<Vec<Entry>> {
+    fn entries(self) -> DecodeResult<Vec<Entry>> {
         self.kvs.into_iter().map(KeyValue::entry).collect()
     }
 }
 
-fn parse<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Decoded<T> {
+fn parse<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> DecodeResult<T> {
     serde_json::from_slice(bytes).map_err(|e| e.to_string())
 }
 
@@ -128,7 +128,7 @@
 /// # Errors
 ///
 /// Says why the bytes are no such answer.
-pub fn listing(bytes: &[u8]) -> Decoded<Listing> {
+pub fn listing(bytes: &[u8]) -> DecodeResult<Listing> {
     let answer: RangeAnswer = parse(bytes)?;
     let revision = known_revision(&answer.header)?;
     Ok(Listing {
@@ -142,7 +142,7 @@
 /// # Errors
 ///
 /// Says why the bytes are no such answer.
-pub fn probe(bytes: &[u8]) -> Decoded<Probe> {
+pub fn probe(bytes: &[u8]) -> DecodeResult<Probe> {
     let answer: RangeAnswer = parse(bytes)?;
     Ok(Probe {
         revision: known_revision(&answer.header)?,
@@ -158,7 +158,7 @@
 
 /// A store's revision starts at 1, so that an answer without one is no answer
 /// of a store: an empty object from a proxy must not look like an empty prefix.
-fn known_revision(header: &Header) -> Decoded<u64> {
+fn known_revision(header: &Header) -> DecodeResult<u64> {
     match header.revision {
         0 => Err("no store revision in the header".to_owned()),
         revision => Ok(revision),
@@ -170,7 +170,7 @@
 /// # Errors
 ///
 /// Says why the bytes are no such answer.
-pub fn swap(bytes: &[u8]) -> Decoded<Swap> {
+pub fn swap(bytes: &[u8]) -> DecodeResult<SwapOutcome> {
     #[derive(Deserialize)]
     struct Item {
         response_range: Option<RangeAnswer>,
@@ -187,14 +187,14 @@
     let answer: Answer = parse(bytes)?;
     let revision = known_revision(&answer.header)?;
     if answer.succeeded {
-        return Ok(Swap::Done(revision));
+        return Ok(SwapOutcome::Done(revision));
     }
     let range = answer
         .responses
         .into_iter()
         .find_map(|item| item.response_range)
         .ok_or("no range among the responses")?;
-    Ok(Swap::Lost(range.entries()?.into_iter().next()))
+    Ok(SwapOutcome::Lost(range.entries()?.into_iter().next()))
 }
 
 /// Reads the answer to a deletion: whether there was something to delete.
@@ -202,7 +202,7 @@
 /// # Errors
 ///
 /// Says why the bytes are no such answer.
-pub fn deletion(bytes: &[u8]) -> Decoded<bool> {
+pub fn deletion(bytes: &[u8]) -> DecodeResult<bool> {
     #[derive(Deserialize)]
     struct Answer {
         #[serde(default)]
@@ -220,7 +220,7 @@
 /// # Errors
 ///
 /// Says why the bytes are no such answer.
-pub fn grant(bytes: &[u8]) -> Decoded<Lease> {
+pub fn grant(bytes: &[u8]) -> DecodeResult<Lease> {
     #[derive(Deserialize)]
     struct Answer {
         #[serde(rename = "ID", deserialize_with = "number")]
@@ -235,7 +235,7 @@
 /// # Errors
 ///
 /// Says why the bytes are no such answer.
-pub fn keepalive(bytes: &[u8]) -> Decoded<u64> {
+pub fn keepalive(bytes: &[u8]) -> DecodeResult<u64> {
     #[derive(Deserialize)]
     struct Renewal {
         #[serde(rename = "ID", deserialize_with = "number")]
@@ -256,7 +256,7 @@
 /// # Errors
 ///
 /// Says why the bytes are no such answer.
-pub fn revocation(bytes: &[u8]) -> Decoded<()> {
+pub fn revocation(bytes: &[u8]) -> DecodeResult<()> {
     #[derive(Deserialize)]
     struct Answer {
         #[expect(dead_code, reason = "read only to check the shape")]
@@ -273,7 +273,7 @@
 }
 
 impl EventAnswer {
-    fn change(self) -> Decoded<Change> {
+    fn change(self) -> DecodeResult<Change> {
         match self.kind.as_deref() {
             None | Some("PUT") => self.kv.entry().map(Change::Put),
             Some("DELETE") => Ok(Change::Delete {
@@ -290,7 +290,7 @@
 /// # Errors
 ///
 /// Says why the line is no such message.
-pub fn event(line: &[u8]) -> Decoded<Event> {
+pub fn event(line: &[u8]) -> DecodeResult<Event> {
     #[derive(Deserialize)]
     struct Watched {
         #[serde(default)]
@@ -313,7 +313,7 @@
     if watched.canceled {
         return Ok(Event::Cancelled(watched.cancel_reason));
     }
-    let changes: Decoded<Vec<Change>> = watched
+    let changes: DecodeResult<Vec<Change>> = watched
         .events
         .into_iter()
         .map(EventAnswer::change)
--- a/src/platform/poll.rs
+++ b/src/platform/poll.rs
@@ -13,14 +13,14 @@
 use crate::platform::Client;
 use crate::platform::Entry;
 use crate::platform::Lease;
-use crate::platform::gateway::Decoded;
+use crate::platform::gateway::DecodeResult;
 use crate::platform::transport::Call;
 use crate::platform::transport::Kind;
 use crate::platform::transport::Payload;
 
 /// A key whose value cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refusal {
+pub struct UnreadableEntry {
     /// The key.
     pub key: String,
     /// Why.
@@ -33,7 +33,7 @@
     /// The keys that could be read, in order.
     pub entries: Vec<Entry>,
     /// Keys whose values could not be read.
-    pub refused: Vec<Refusal>,
+    pub unreadable: Vec<UnreadableEntry>,
     /// The last key of the page, read or refused; `None` on the last page.
     pub next: Option<String>,
     /// Revision of the store.
@@ -46,7 +46,7 @@
     /// The changes that could be read, oldest first.
     pub changes: Vec<Change>,
     /// Keys whose new values could not be read.
-    pub refused: Vec<Refusal>,
+    pub unreadable: Vec<UnreadableEntry>,
     /// Revision of the store; the next poll goes on from here.
     pub revision: u64,
 }
@@ -66,19 +66,19 @@
     /// Path and query of a listing; it begins after a key if one is given.
     pub list: fn(prefix: &str, after: Option<&str>) -> String,
     /// Reads the answer to a listing.
-    pub page: fn(&[u8]) -> Decoded<Page>,
+    pub page: fn(&[u8]) -> DecodeResult<Page>,
     /// Path and query of a read of one key.
     pub item: fn(key: &str) -> String,
     /// Reads the answer to that.
-    pub found: fn(&[u8]) -> Decoded<Page>,
+    pub found: fn(&[u8]) -> DecodeResult<Page>,
     /// Path and query of a poll for changes after a revision.
     pub poll: fn(prefix: &str, after: u64, wait: Duration) -> String,
     /// Reads the answer to a poll.
-    pub batch: fn(&[u8]) -> Decoded<Batch>,
+    pub batch: fn(&[u8]) -> DecodeResult<Batch>,
     /// Asks for a lease.
     pub grant: fn(ttl: Duration) -> Post,
     /// Reads the answer to that.
-    pub lease: fn(&[u8]) -> Decoded<Lease>,
+    pub lease: fn(&[u8]) -> DecodeResult<Lease>,
     /// Writes a key that goes with a lease, whatever it held before.
     pub put: fn(key: &str, value: &[u8], lease: Lease) -> Post,
     /// Renews a lease.
@@ -125,7 +125,7 @@
     ///
     /// [`crate::Error::Refused`] when it does not exist; otherwise as
     /// [`Reader::page`].
-    pub async fn item(&self, key: &str) -> Result<Page> {
+    pub async fn get(&self, key: &str) -> Result<Page> {
         let call = Call {
             step: "read",
             kind: Kind::Read,
--- a/src/platform/rate_limit.rs
+++ b/src/platform/rate_limit.rs
@@ -39,13 +39,13 @@
 
 /// A token bucket that holds at most one second's worth of calls.
 #[derive(Clone, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: Rate,
     tokens: f64,
     filled: Instant,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket.
     pub fn new(rate: Rate, now: Instant) -> Self {
         Self {
@@ -85,7 +85,7 @@
     }
 
     /// Takes what is left of this many tokens, for what goes out in any case.
-    pub fn drain(&mut self, count: usize, now: Instant) {
+    pub fn take_available(&mut self, count: usize, now: Instant) {
         self.fill(now);
         let left = self.tokens.max(0.0);
         self.tokens -= left.min(count as f64);
@@ -95,7 +95,7 @@
     ///
     /// What is larger than the bucket can only go out on credit; the debt keeps
     /// the mean at the rate.
-    pub fn borrow(&mut self, count: usize, now: Instant) -> bool {
+    pub fn take_on_credit(&mut self, count: usize, now: Instant) -> bool {
         self.fill(now);
         if self.tokens < 0.0 {
             return false;
--- a/src/platform/resolution.rs
+++ b/src/platform/resolution.rs
@@ -17,12 +17,12 @@
 use crate::pacing::Backoff;
 use crate::platform::Entry;
 use crate::platform::Lease;
-use crate::platform::Swap;
+use crate::platform::SwapOutcome;
 use crate::platform::client::Client;
 
 /// What became of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Resolved {
+pub enum ResolvedWrite {
     /// Ours stands, written at this revision.
     Done(u64),
     /// Ours was refused and never took effect; the key holds this, or nothing.
@@ -31,7 +31,7 @@
     /// took effect or was replaced since, and will not come back. Values that
     /// carry a counter, raised by one with each write, tell which: if the found
     /// one has the count that ours had, ours never took effect.
-    Overtaken(Option<Entry>),
+    Superseded(Option<Entry>),
     /// Nothing could be read back in time; ours may stand, or still come to.
     Unknown,
 }
@@ -45,9 +45,9 @@
 }
 
 impl Write<'_> {
-    async fn send(&self, client: &Client) -> Result<Swap> {
+    async fn send(&self, client: &Client) -> Result<SwapOutcome> {
         client
-            .swap(self.key, self.expected, self.value, self.lease)
+            .compare_and_swap(self.key, self.expected, self.value, self.lease)
             .await
     }
 
@@ -58,18 +58,18 @@
     }
 
     /// Reads back once and, unless ours is there, writes once more.
-    async fn look(&self, client: &Client) -> Result<Resolved> {
+    async fn look(&self, client: &Client) -> Result<ResolvedWrite> {
         let found = client.get(self.key).await?;
         if let Some(revision) = self.is_ours(found.as_ref()) {
-            return Ok(Resolved::Done(revision));
+            return Ok(ResolvedWrite::Done(revision));
         }
         let found = match self.send(client).await? {
-            Swap::Done(revision) => return Ok(Resolved::Done(revision)),
-            Swap::Lost(found) => found,
+            SwapOutcome::Done(revision) => return Ok(ResolvedWrite::Done(revision)),
+            SwapOutcome::Lost(found) => found,
         };
         Ok(match self.is_ours(found.as_ref()) {
-            Some(revision) => Resolved::Done(revision),
-            None => Resolved::Overtaken(found),
+            Some(revision) => ResolvedWrite::Done(revision),
+            None => ResolvedWrite::Superseded(found),
         })
     }
 }
@@ -81,16 +81,16 @@
 }
 
 impl Erasure<'_> {
-    async fn send(&self, client: &Client) -> Result<Resolved> {
-        Ok(match client.erase(self.key, self.expected).await? {
-            Swap::Done(revision) => Resolved::Done(revision),
-            Swap::Lost(found) => Resolved::Lost(found),
+    async fn send(&self, client: &Client) -> Result<ResolvedWrite> {
+        Ok(match client.compare_and_delete(self.key, self.expected).await? {
+            SwapOutcome::Done(revision) => ResolvedWrite::Done(revision),
+            SwapOutcome::Lost(found) => ResolvedWrite::Lost(found),
         })
     }
 
-    async fn look(&self, client: &Client) -> Result<Resolved> {
+    async fn look(&self, client: &Client) -> Result<ResolvedWrite> {
         Ok(match self.send(client).await? {
-            Resolved::Lost(found) => Resolved::Overtaken(found),
+            ResolvedWrite::Lost(found) => ResolvedWrite::Superseded(found),
             resolved => resolved,
         })
     }
@@ -103,7 +103,7 @@
 }
 
 impl Sent<'_> {
-    async fn look(&self, client: &Client) -> Result<Resolved> {
+    async fn look(&self, client: &Client) -> Result<ResolvedWrite> {
         match self {
             Self::Write(write) => write.look(client).await,
             Self::Erasure(erasure) => erasure.look(client).await,
@@ -120,13 +120,13 @@
     /// # Errors
     ///
     /// After an error nothing was written and nothing will be.
-    pub async fn swap_and_resolve(
+    pub async fn compare_and_swap_resolved(
         &self,
         key: &str,
         expected: Option<u64>,
         value: &[u8],
         lease: Option<Lease>,
-    ) -> Result<Resolved> {
+    ) -> Result<ResolvedWrite> {
         let write = Write {
             key,
             expected,
@@ -134,8 +134,8 @@
             lease,
         };
         match write.send(self).await {
-            Ok(Swap::Done(revision)) => Ok(Resolved::Done(revision)),
-            Ok(Swap::Lost(found)) => Ok(Resolved::Lost(found)),
+            Ok(SwapOutcome::Done(revision)) => Ok(ResolvedWrite::Done(revision)),
+            Ok(SwapOutcome::Lost(found)) => Ok(ResolvedWrite::Lost(found)),
             Err(Error::Unanswered { .. }) => Ok(self.resolve(&Sent::Write(write)).await),
             Err(error) => Err(error),
         }
@@ -151,7 +151,7 @@
     /// # Errors
     ///
     /// After an error nothing was deleted and nothing will be.
-    pub async fn erase_and_resolve(&self, key: &str, expected: u64) -> Result<Resolved> {
+    pub async fn compare_and_delete_resolved(&self, key: &str, expected: u64) -> Result<ResolvedWrite> {
         let erasure = Erasure { key, expected };
         match erasure.send(self).await {
             Err(Error::Unanswered { .. }) => Ok(self.resolve(&Sent::Erasure(erasure)).await),
@@ -160,9 +160,9 @@
     }
 
     /// Looks again until that succeeds or the time is over.
-    async fn resolve(&self, sent: &Sent<'_>) -> Resolved {
+    async fn resolve(&self, sent: &Sent<'_>) -> ResolvedWrite {
         let options = self.options();
-        let until = Instant::now() + options.resolve_within;
+        let until = Instant::now() + options.resolve_timeout;
         let mut backoff = Backoff::new(options.backoff, options.seed);
         let looking = async {
             loop {
@@ -174,6 +174,6 @@
         };
         time::timeout_at(until, looking)
             .await
-            .unwrap_or(Resolved::Unknown)
+            .unwrap_or(ResolvedWrite::Unknown)
     }
 }
--- a/src/platform/transport.rs
+++ b/src/platform/transport.rs
@@ -18,19 +18,19 @@
 
 use crate::error::Error;
 use crate::error::Result;
-use crate::platform::Base;
-use crate::platform::Counts;
+use crate::platform::BaseUrl;
+use crate::platform::CallCounts;
 use crate::platform::Options;
 use crate::platform::call::Body;
 use crate::platform::gateway;
-use crate::platform::gateway::Decoded;
-use crate::platform::rate_limit::Bucket;
+use crate::platform::gateway::DecodeResult;
+use crate::platform::rate_limit::TokenBucket;
 
 /// Largest answer that is read, in bytes.
 ///
 /// Values hold up to a megabyte; a longer answer than this comes from something
 /// that is no store and would only fill the memory.
-pub(crate) const MAX_ANSWER: usize = 64 << 20;
+pub(crate) const MAX_RESPONSE_LEN: usize = 64 << 20;
 
 /// Timeouts of a call that the body of its answer may take at [`LEAST_RATE`], while
 /// bytes come.
@@ -96,7 +96,7 @@
 
 impl Call {
     /// The error of a call that may have taken effect.
-    pub(crate) fn unanswered(&self, peer: &Base, reason: impl ToString) -> Error {
+    pub(crate) fn unanswered(&self, peer: &BaseUrl, reason: impl ToString) -> Error {
         Error::Unanswered {
             step: self.step,
             peer: peer.to_string(),
@@ -118,32 +118,32 @@
 }
 
 struct Allowance {
-    reads: Bucket,
-    writes: Bucket,
+    reads: TokenBucket,
+    writes: TokenBucket,
 }
 
 /// Everything that the clones of a client share.
 pub(crate) struct Transport {
     /// The client for new calls; a lock that is a leaf.
     http: Mutex<reqwest::Client>,
-    bases: Vec<Base>,
+    bases: Vec<BaseUrl>,
     /// Index of the address to be tried first.
     current: AtomicUsize,
     options: Options,
     allowance: Mutex<Allowance>,
-    counts: Counts,
+    counts: CallCounts,
 }
 
 impl Transport {
-    pub(crate) fn new(bases: Vec<Base>, options: Options) -> Result<Self> {
+    pub(crate) fn new(bases: Vec<BaseUrl>, options: Options) -> Result<Self> {
         if bases.is_empty() {
             return Err(unusable("no address"));
         }
         let http = Mutex::new(http_client(&options)?);
         let now = Instant::now();
         let allowance = Allowance {
-            reads: Bucket::new(options.reads, now),
-            writes: Bucket::new(options.writes, now),
+            reads: TokenBucket::new(options.read_rate, now),
+            writes: TokenBucket::new(options.write_rate, now),
         };
         Ok(Self {
             http,
@@ -151,11 +151,11 @@
             current: AtomicUsize::new(0),
             options,
             allowance: Mutex::new(allowance),
-            counts: Counts::default(),
+            counts: CallCounts::default(),
         })
     }
 
-    pub(crate) fn counts(&self) -> &Counts {
+    pub(crate) fn counts(&self) -> &CallCounts {
         &self.counts
     }
 
@@ -164,7 +164,7 @@
     }
 
     /// Makes a call, at each address at most once.
-    pub(crate) async fn call<T>(&self, call: &Call, decode: fn(&[u8]) -> Decoded<T>) -> Result<T> {
+    pub(crate) async fn call<T>(&self, call: &Call, decode: fn(&[u8]) -> DecodeResult<T>) -> Result<T> {
         let mut tries_left = self.bases.len();
         loop {
             tries_left -= 1;
@@ -179,7 +179,7 @@
     }
 
     /// Opens a call whose answer is read bit by bit.
-    pub(crate) async fn open(&self, call: &Call) -> Result<(Base, Response)> {
+    pub(crate) async fn open(&self, call: &Call) -> Result<(BaseUrl, Response)> {
         let (index, base) = self.preferred();
         let outcome = self.start(call, base).await;
         if let Err(error) = &outcome {
@@ -193,7 +193,7 @@
         match error {
             Error::Unreachable { .. } => add(&self.counts.unreachable),
             Error::Unanswered { .. } => add(&self.counts.unanswered),
-            Error::Exhausted { .. } => return add(&self.counts.exhausted),
+            Error::Exhausted { .. } => return add(&self.counts.rate_limited),
             _ => return add(&self.counts.refused),
         }
         self.avoid(index);
@@ -214,7 +214,7 @@
         self.avoid(self.preferred().0);
     }
 
-    fn preferred(&self) -> (usize, &Base) {
+    fn preferred(&self) -> (usize, &BaseUrl) {
         let index = self.current.load(Ordering::Relaxed) % self.bases.len();
         (index, &self.bases[index])
     }
@@ -222,8 +222,8 @@
     async fn exchange<T>(
         &self,
         call: &Call,
-        base: &Base,
-        decode: fn(&[u8]) -> Decoded<T>,
+        base: &BaseUrl,
+        decode: fn(&[u8]) -> DecodeResult<T>,
     ) -> Result<T> {
         let response = self.start(call, base).await?;
         let body = self.read(call, base, response).await?;
@@ -235,7 +235,7 @@
     /// A megabyte on a link of 0.5 Mbit/s takes 16 s. A timeout for the whole answer
     /// would end it every time, each try would begin from nothing, and the instance
     /// would never be ready.
-    async fn read(&self, call: &Call, base: &Base, mut response: Response) -> Result<Bytes> {
+    async fn read(&self, call: &Call, base: &BaseUrl, mut response: Response) -> Result<Bytes> {
         let slowest = Instant::now() + self.options.call_timeout * BODY_TIMEOUTS;
         let mut body = BytesMut::new();
         loop {
@@ -251,7 +251,7 @@
             let Some(chunk) = chunk else {
                 return Ok(body.freeze());
             };
-            if body.len() + chunk.len() > MAX_ANSWER {
+            if body.len() + chunk.len() > MAX_RESPONSE_LEN {
                 return Err(call.unanswered(base, "answer too long"));
             }
             body.extend_from_slice(&chunk);
@@ -278,7 +278,7 @@
     }
 
     /// Sends a call and waits for the head of its answer.
-    async fn start(&self, call: &Call, base: &Base) -> Result<Response> {
+    async fn start(&self, call: &Call, base: &BaseUrl) -> Result<Response> {
         self.admit(call, base)?;
         let url = format!("{base}{}", call.path);
         let http = self.http();
@@ -300,7 +300,7 @@
         check_status(call, base, response).await
     }
 
-    fn admit(&self, call: &Call, base: &Base) -> Result<()> {
+    fn admit(&self, call: &Call, base: &BaseUrl) -> Result<()> {
         let now = Instant::now();
         let mut allowance = self
             .allowance
@@ -356,7 +356,7 @@
     }
 }
 
-fn sending_failed(call: &Call, base: &Base, error: &reqwest::Error) -> Error {
+fn sending_failed(call: &Call, base: &BaseUrl, error: &reqwest::Error) -> Error {
     let reason = root_cause(error);
     if !error.is_connect() {
         return call.unanswered(base, reason);
@@ -381,7 +381,7 @@
 ///
 /// A server error is no proof that nothing happened: the store answers 503 also
 /// when it has passed a write on and then waited in vain for its outcome.
-async fn check_status(call: &Call, base: &Base, response: Response) -> Result<Response> {
+async fn check_status(call: &Call, base: &BaseUrl, response: Response) -> Result<Response> {
     let status = response.status();
     if status.is_success() {
         return Ok(response);
@@ -404,7 +404,7 @@
         });
     }
     // A refusal stands whether its reason can be read or not.
-    let reading = read_limited(response, MAX_ANSWER);
+    let reading = read_limited(response, MAX_RESPONSE_LEN);
     let body = time::timeout(REASON_TIMEOUT, reading).await;
     let body = body.ok().and_then(|body| body.ok()).unwrap_or_default();
     Err(Error::Refused {
--- a/src/platform/watch.rs
+++ b/src/platform/watch.rs
@@ -11,18 +11,18 @@
 
 use crate::error::Error;
 use crate::error::Result;
-use crate::platform::Base;
+use crate::platform::BaseUrl;
 use crate::platform::Change;
 use crate::platform::gateway;
 use crate::platform::gateway::Event;
 use crate::platform::transport::Call;
-use crate::platform::transport::MAX_ANSWER;
+use crate::platform::transport::MAX_RESPONSE_LEN;
 use crate::platform::transport::Transport;
 
 /// An open watch.
 struct Watch {
     call: Call,
-    base: Base,
+    base: BaseUrl,
     response: Response,
     lines: LinesCodec,
     buffer: BytesMut,
@@ -35,7 +35,7 @@
             call,
             base,
             response,
-            lines: LinesCodec::new_with_max_length(MAX_ANSWER),
+            lines: LinesCodec::new_with_max_length(MAX_RESPONSE_LEN),
             buffer: BytesMut::new(),
         })
     }
--- a/src/registration.rs
+++ b/src/registration.rs
@@ -11,7 +11,7 @@
 use crate::error::Result;
 use crate::platform::Client;
 use crate::platform::Lease;
-use crate::platform::Resolved;
+use crate::platform::ResolvedWrite;
 
 /// Life of the lease without renewal.
 const TTL: Duration = Duration::from_secs(30);
@@ -86,10 +86,10 @@
     let value = serde_json::to_vec(registration).unwrap_or_default();
     let expected = found.map(|entry| entry.mod_revision);
     let written = client
-        .swap_and_resolve(&key, expected, &value, Some(held))
+        .compare_and_swap_resolved(&key, expected, &value, Some(held))
         .await?;
     match written {
-        Resolved::Done(_) => Ok(()),
+        ResolvedWrite::Done(_) => Ok(()),
         _ => Err(crate::Error::Unanswered {
             step: "registration",
             peer: "platform".to_owned(),
--- a/src/replica/copy.rs
+++ b/src/replica/copy.rs
@@ -28,7 +28,7 @@
 use crate::id;
 use crate::platform::Change;
 use crate::platform::Entry;
-use crate::platform::poll::Refusal;
+use crate::platform::poll::UnreadableEntry;
 use crate::replica::Member;
 use crate::replica::message::Held;
 use crate::replica::outcome::OutcomeAggregator;
@@ -55,14 +55,14 @@
         /// All keys.
         entries: Vec<Entry>,
         /// Keys that exist but whose values could not be read.
-        refused: Vec<Refusal>,
+        refused: Vec<UnreadableEntry>,
         /// Revision of the store.
         revision: u64,
     },
     /// One key changed.
     Change(Change),
     /// A key whose new value could not be read.
-    Refused(Refusal),
+    Refused(UnreadableEntry),
     /// Everything that the store knew by the end of this contact has been told.
     Contact(StoreContact),
     /// The store does not answer; told once for each silence.
--- a/src/replica/follow.rs
+++ b/src/replica/follow.rs
@@ -23,7 +23,7 @@
 use crate::platform::Change;
 use crate::platform::Entry;
 use crate::platform::poll::Reader;
-use crate::platform::poll::Refusal;
+use crate::platform::poll::UnreadableEntry;
 use crate::replica::KeyLayout;
 use crate::replica::Member;
 use crate::replica::PollTiming;
@@ -264,7 +264,7 @@
     async fn reset(
         &mut self,
         entries: Vec<Entry>,
-        refused: Vec<Refusal>,
+        refused: Vec<UnreadableEntry>,
         revision: u64,
     ) -> Result<(), End> {
         if !self.shared.reset(&entries, revision) {
--- a/src/replica/follow/poll.rs
+++ b/src/replica/follow/poll.rs
@@ -277,7 +277,7 @@
     }
 
     pub(super) async fn take_batch(&mut self, batch: Batch, revision: u64) -> Outcome<bool> {
-        for refusal in batch.refused {
+        for refusal in batch.unreadable {
             self.sender.send(Update::Refused(refusal)).await?;
         }
         let has_changes = !batch.changes.is_empty();
@@ -375,7 +375,7 @@
 
 /// Reads the newest version, as a poll would have brought it.
 async fn read_newest(reader: &Reader, key: &str) -> Result<Batch> {
-    let page: Page = match reader.item(key).await {
+    let page: Page = match reader.get(key).await {
         Ok(page) => page,
         // Whoever deleted it wrote that as a change, which a poll brings.
         Err(Error::Refused { .. }) => return reader.poll(key, 0, Duration::ZERO).await,
@@ -384,7 +384,7 @@
     let changes = page.entries.into_iter().map(crate::platform::Change::Put);
     Ok(Batch {
         changes: changes.collect(),
-        refused: page.refused,
+        unreadable: page.unreadable,
         revision: page.revision,
     })
 }
--- a/src/replica/pacer.rs
+++ b/src/replica/pacer.rs
@@ -12,7 +12,7 @@
 use tokio::time;
 use tokio::time::Instant;
 
-use crate::platform::rate_limit::Bucket;
+use crate::platform::rate_limit::TokenBucket;
 use crate::platform::rate_limit::Rate;
 use crate::replica::Bandwidth;
 
@@ -27,29 +27,29 @@
 /// A byte budget, shared by the tasks of all subscribers.
 #[derive(Debug)]
 pub(crate) struct Pacer {
-    bucket: Mutex<Bucket>,
+    bucket: Mutex<TokenBucket>,
 }
 
 impl Pacer {
     pub(crate) fn new(link: Bandwidth, now: Instant) -> Self {
         let rate = (link.bytes_per_second() * SHARE) as u32;
         Self {
-            bucket: Mutex::new(Bucket::new(Rate(rate.max(1)), now)),
+            bucket: Mutex::new(TokenBucket::new(Rate(rate.max(1)), now)),
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Bucket> {
+    fn lock(&self) -> MutexGuard<'_, TokenBucket> {
         self.bucket.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Whether a part of this many bytes may go out now; it is counted if so.
     pub(crate) fn may_send(&self, bytes: usize, now: Instant) -> bool {
-        self.lock().borrow(bytes, now)
+        self.lock().take_on_credit(bytes, now)
     }
 
     /// Counts bytes that go out in any case.
     pub(crate) fn count(&self, bytes: usize, now: Instant) {
-        self.lock().drain(bytes, now);
+        self.lock().take_available(bytes, now);
     }
 
     /// Waits until it is worth asking again.
--- a/src/replica/store.rs
+++ b/src/replica/store.rs
@@ -12,7 +12,7 @@
 use crate::error::Result;
 use crate::platform::Entry;
 use crate::platform::poll::Reader;
-use crate::platform::poll::Refusal;
+use crate::platform::poll::UnreadableEntry;
 
 /// Where in the store everything lies.
 #[derive(Clone, Copy, Debug)]
@@ -57,7 +57,7 @@
 /// A whole listing.
 pub(crate) struct Listing {
     pub(crate) entries: Vec<Entry>,
-    pub(crate) refused: Vec<Refusal>,
+    pub(crate) refused: Vec<UnreadableEntry>,
     pub(crate) revision: u64,
     /// When it was asked for: all that was written before is in it.
     pub(crate) asked: Instant,
@@ -70,7 +70,7 @@
     let first = reader.page(prefix, None).await?;
     let mut listing = Listing {
         entries: first.entries,
-        refused: first.refused,
+        refused: first.unreadable,
         revision: first.revision,
         asked,
     };
@@ -78,7 +78,7 @@
     while let Some(key) = after {
         let page = reader.page(prefix, Some(&key)).await?;
         listing.entries.extend(page.entries);
-        listing.refused.extend(page.refused);
+        listing.refused.extend(page.unreadable);
         after = page.next;
     }
     Ok(listing)
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -21,7 +21,7 @@
 use crate::error::Error;
 use crate::error::Result;
 use crate::id;
-use crate::platform::Base;
+use crate::platform::BaseUrl;
 use crate::platform::rate_limit::Rate;
 use crate::settings::jsonc::Source;
 
@@ -149,7 +149,7 @@
     /// HTTP address for status and metrics, bound here.
     pub status: id::Endpoint,
     /// Addresses of the platform's service, which are one store.
-    pub platform: Vec<Base>,
+    pub platform: Vec<BaseUrl>,
     /// UDP address bound for a service, where the fabric delivers its packets;
     /// a service that is not named is bound at its public address.
     #[serde(default)]
--- a/src/steer.rs
+++ b/src/steer.rs
@@ -35,7 +35,7 @@
 use crate::platform::Change;
 use crate::platform::Client;
 use crate::platform::Entry;
-use crate::platform::Resolved;
+use crate::platform::ResolvedWrite;
 use crate::platform::Update;
 use crate::shared::Shared;
 use crate::snapshot::Snapshot;
@@ -336,12 +336,12 @@
         self.shared.spawn(async move {
             let key = format!("{SLICES}{document}");
             let value = serde_json::to_vec(&value).unwrap_or_default();
-            let resolved = client.swap_and_resolve(&key, expected, &value, None).await;
+            let resolved = client.compare_and_swap_resolved(&key, expected, &value, None).await;
             debug!(log, "slice table written"; "document" => document, "result" => ?resolved.as_ref().map(outcome));
             let written = match resolved {
-                Ok(Resolved::Done(version)) => Written::Done(version),
-                Ok(Resolved::Lost(entry) | Resolved::Overtaken(entry)) => Written::Lost(entry),
-                Ok(Resolved::Unknown) => Written::Unknown,
+                Ok(ResolvedWrite::Done(version)) => Written::Done(version),
+                Ok(ResolvedWrite::Lost(entry) | ResolvedWrite::Superseded(entry)) => Written::Lost(entry),
+                Ok(ResolvedWrite::Unknown) => Written::Unknown,
                 Err(_) => Written::Lost(None),
             };
             let _ = told.send(Told::Written { document, written });
@@ -349,12 +349,12 @@
     }
 }
 
-fn outcome(resolved: &Resolved) -> &'static str {
+fn outcome(resolved: &ResolvedWrite) -> &'static str {
     match resolved {
-        Resolved::Done(_) => "done",
-        Resolved::Lost(_) => "lost",
-        Resolved::Overtaken(_) => "overtaken",
-        Resolved::Unknown => "unknown",
+        ResolvedWrite::Done(_) => "done",
+        ResolvedWrite::Lost(_) => "lost",
+        ResolvedWrite::Superseded(_) => "overtaken",
+        ResolvedWrite::Unknown => "unknown",
     }
 }
 
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use coap_lite::RequestType;
-use godwitreel::rate_limit::Bucket;
+use godwitreel::rate_limit::TokenBucket;
 use godwitreel::rate_limit::Rate;
 use serde_json::json;
 use standin::caller::Outcome;
@@ -21,7 +21,7 @@
 #[test]
 fn a_bucket_gives_its_rate_and_no_more() {
     let start = Instant::now();
-    let mut bucket = Bucket::new(Rate(100), start);
+    let mut bucket = TokenBucket::new(Rate(100), start);
     assert!(bucket.take_many(100, start));
     assert!(!bucket.take_many(1, start));
     assert!(!bucket.take_many(51, start + SECOND / 2));
@@ -33,8 +33,8 @@
 #[test]
 fn what_goes_out_in_any_case_makes_no_debt() {
     let start = Instant::now();
-    let mut bucket = Bucket::new(Rate(100), start);
-    bucket.drain(1_000, start);
+    let mut bucket = TokenBucket::new(Rate(100), start);
+    bucket.take_available(1_000, start);
     assert!(!bucket.take_many(1, start));
     assert!(bucket.take_many(100, start + SECOND));
 }
@@ -44,13 +44,13 @@
 #[test]
 fn a_debt_is_paid_off_before_the_next() {
     let start = Instant::now();
-    let mut bucket = Bucket::new(Rate(100), start);
-    assert!(bucket.borrow(500, start));
-    assert!(!bucket.borrow(1, start));
+    let mut bucket = TokenBucket::new(Rate(100), start);
+    assert!(bucket.take_on_credit(500, start));
+    assert!(!bucket.take_on_credit(1, start));
     assert!(!bucket.take_many(1, start + 3 * SECOND));
-    assert!(!bucket.borrow(1, start + 3 * SECOND));
-    assert!(bucket.borrow(1_000_000, start + 5 * SECOND));
-    assert!(bucket.borrow(1, start + 70 * SECOND));
+    assert!(!bucket.take_on_credit(1, start + 3 * SECOND));
+    assert!(bucket.take_on_credit(1_000_000, start + 5 * SECOND));
+    assert!(bucket.take_on_credit(1, start + 70 * SECOND));
 }
 
 /// Sum of a counter's samples whose labels hold this text.
--- a/tests/flow/neighbours.rs
+++ b/tests/flow/neighbours.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use godwitreel::entry::remark;
-use godwitreel::entry::testimony;
+use godwitreel::entry::outcomes_to_message;
+use godwitreel::entry::outcomes_from_message;
 use godwitreel::flow::StateUpdate;
 use godwitreel::flow::ServerOutcomes;
 use godwitreel::replica::OutcomeAggregator;
@@ -70,7 +70,7 @@
                     }
                 }
                 let own = load.plane.server_outcomes(load.now);
-                let mut remarks: Vec<OutcomeEntry> = own.iter().map(remark).collect();
+                let mut remarks: Vec<OutcomeEntry> = own.iter().map(outcomes_to_message).collect();
                 if let Some(said) = first_says.filter(|_| number == 0) {
                     remarks = vec![said];
                 }
@@ -82,7 +82,7 @@
                     .receive_from_subscriber(load.now, self.subscribers[number], told);
             }
             let now = self.loads[0].now;
-            let sum: Vec<ServerOutcomes> = self.board.confirmed_outcomes(now).iter().map(testimony).collect();
+            let sum: Vec<ServerOutcomes> = self.board.confirmed_outcomes(now).iter().map(outcomes_from_message).collect();
             for load in &mut self.loads {
                 load.plane.apply(load.now, StateUpdate::ZoneOutcomes(sum.clone()));
             }
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -21,10 +21,10 @@
 use godwitreel::platform::Client;
 use godwitreel::platform::Entry;
 use godwitreel::platform::Options;
-use godwitreel::platform::Resolved;
-use godwitreel::platform::Swap;
+use godwitreel::platform::ResolvedWrite;
+use godwitreel::platform::SwapOutcome;
 use godwitreel::platform::Update;
-use godwitreel::rate_limit::Bucket;
+use godwitreel::rate_limit::TokenBucket;
 use godwitreel::rate_limit::Rate;
 use proptest::prelude::any;
 use proptest::prelude::proptest;
@@ -41,14 +41,14 @@
     Options {
         call_timeout: Duration::from_secs(2),
         connect_timeout: Duration::from_secs(1),
-        resolve_within: PATIENCE,
+        resolve_timeout: PATIENCE,
         backoff: Bounds {
             first: Duration::from_millis(20),
             most: Duration::from_millis(100),
         },
-        probe_every: Duration::from_millis(50),
-        reads: Rate(10_000),
-        writes: Rate(10_000),
+        probe_interval: Duration::from_millis(50),
+        read_rate: Rate(10_000),
+        write_rate: Rate(10_000),
         seed: 1,
     }
 }
@@ -130,13 +130,13 @@
     let names: Vec<String> = (0..8).map(|n| format!("holder {n}")).collect();
     let tries = names
         .iter()
-        .map(|name| client.swap("p/slice", None, name.as_bytes(), None));
-    let outcomes: Vec<Swap> = join_all(tries)
+        .map(|name| client.compare_and_swap("p/slice", None, name.as_bytes(), None));
+    let outcomes: Vec<SwapOutcome> = join_all(tries)
         .await
         .into_iter()
         .map(|o| o.expect("an answer"))
         .collect();
-    let done = |outcome: &Swap| matches!(outcome, Swap::Done(_));
+    let done = |outcome: &SwapOutcome| matches!(outcome, SwapOutcome::Done(_));
     let winner = outcomes.iter().position(done).expect("a winner");
     let stands = client
         .get("p/slice")
@@ -146,8 +146,8 @@
     assert_eq!(stands.value, names[winner].as_bytes());
     for (index, outcome) in outcomes.iter().enumerate() {
         let want = match index == winner {
-            true => Swap::Done(stands.mod_revision),
-            false => Swap::Lost(Some(stands.clone())),
+            true => SwapOutcome::Done(stands.mod_revision),
+            false => SwapOutcome::Lost(Some(stands.clone())),
         };
         assert_eq!(*outcome, want);
     }
@@ -162,7 +162,7 @@
     let second = start().await;
     let client = client_with(&[platform.address(), second.address()], options());
     platform.lose_answers(1);
-    let outcome = client.swap("p/a", None, b"mine", None).await;
+    let outcome = client.compare_and_swap("p/a", None, b"mine", None).await;
     assert!(
         matches!(outcome, Err(Error::Unanswered { .. })),
         "{outcome:?}"
@@ -181,11 +181,11 @@
     let platform = start().await;
     let client = client(&platform);
     platform.lose_answers(1);
-    let outcome = client.swap_and_resolve("p/a", None, b"mine", None).await;
+    let outcome = client.compare_and_swap_resolved("p/a", None, b"mine", None).await;
     let stands = client.get("p/a").await.expect("a read").expect("a value");
     assert_eq!(
         outcome.expect("an outcome"),
-        Resolved::Done(stands.mod_revision)
+        ResolvedWrite::Done(stands.mod_revision)
     );
     assert_eq!(platform.counters().writes, 1);
 }
@@ -202,7 +202,7 @@
     assert_eq!(platform.get("p/a"), None);
     platform.down(false);
     let outcome = time::timeout(PATIENCE, resolving).await.expect("in time");
-    assert!(matches!(outcome.expect("a task"), Resolved::Done(_)));
+    assert!(matches!(outcome.expect("a task"), ResolvedWrite::Done(_)));
     assert_eq!(platform.get("p/a"), Some(b"mine".to_vec()));
 }
 
@@ -217,7 +217,7 @@
     platform.put("p/a", "theirs");
     platform.down(false);
     let outcome = time::timeout(PATIENCE, resolving).await.expect("in time");
-    let Resolved::Overtaken(Some(entry)) = outcome.expect("a task") else {
+    let ResolvedWrite::Superseded(Some(entry)) = outcome.expect("a task") else {
         panic!("not overtaken");
     };
     assert_eq!(pair(&entry), ("p/a".to_owned(), "theirs".to_owned()));
@@ -228,10 +228,10 @@
 async fn resolve_until_unanswered(
     client: &Client,
     count: u64,
-) -> tokio::task::JoinHandle<Resolved> {
+) -> tokio::task::JoinHandle<ResolvedWrite> {
     let writer = client.clone();
     let resolving = tokio::spawn(async move {
-        let outcome = writer.swap_and_resolve("p/a", None, b"mine", None).await;
+        let outcome = writer.compare_and_swap_resolved("p/a", None, b"mine", None).await;
         outcome.expect("an outcome")
     });
     let reached = async {
@@ -249,13 +249,13 @@
 async fn write_that_cannot_be_read_back_is_unknown() {
     let platform = start().await;
     let within = Options {
-        resolve_within: Duration::from_millis(200),
+        resolve_timeout: Duration::from_millis(200),
         ..options()
     };
     let client = client_with(&[platform.address()], within);
     platform.down(true);
-    let outcome = client.swap_and_resolve("p/a", None, b"mine", None).await;
-    assert_eq!(outcome.expect("an outcome"), Resolved::Unknown);
+    let outcome = client.compare_and_swap_resolved("p/a", None, b"mine", None).await;
+    assert_eq!(outcome.expect("an outcome"), ResolvedWrite::Unknown);
 }
 
 // One of the platform's addresses refuses connections. Nothing was sent there,
@@ -267,12 +267,12 @@
     drop(gone);
     let platform = start().await;
     let client = client_with(&[gone_address, platform.address()], options());
-    let outcome = client.swap("p/a", None, b"mine", None).await;
-    assert!(matches!(outcome, Ok(Swap::Done(_))), "{outcome:?}");
+    let outcome = client.compare_and_swap("p/a", None, b"mine", None).await;
+    assert!(matches!(outcome, Ok(SwapOutcome::Done(_))), "{outcome:?}");
     assert!(client.get("p/a").await.expect("a read").is_some());
     assert_eq!(client.counts().unreachable.load(Ordering::Relaxed), 1);
     let alone = client_with(&[gone_address], options());
-    let outcome = alone.swap("p/a", None, b"mine", None).await;
+    let outcome = alone.compare_and_swap("p/a", None, b"mine", None).await;
     assert!(
         matches!(outcome, Err(Error::Unreachable { .. })),
         "{outcome:?}"
@@ -285,8 +285,8 @@
     let client = client(&platform);
     let ttl = Duration::from_secs(60);
     let lease = client.lease_grant(ttl).await.expect("a lease");
-    let outcome = client.swap("p/a", None, b"here", Some(lease)).await;
-    assert!(matches!(outcome, Ok(Swap::Done(_))), "{outcome:?}");
+    let outcome = client.compare_and_swap("p/a", None, b"here", Some(lease)).await;
+    assert!(matches!(outcome, Ok(SwapOutcome::Done(_))), "{outcome:?}");
     assert_eq!(client.lease_keepalive(lease).await.expect("an answer"), ttl);
     client.lease_revoke(lease).await.expect("an answer");
     assert_eq!(platform.get("p/a"), None);
@@ -294,7 +294,7 @@
         client.lease_keepalive(lease).await.expect("an answer"),
         Duration::ZERO
     );
-    let outcome = client.swap("p/a", None, b"here", Some(lease)).await;
+    let outcome = client.compare_and_swap("p/a", None, b"here", Some(lease)).await;
     assert!(matches!(outcome, Err(Error::Refused { .. })), "{outcome:?}");
 }
 
@@ -304,8 +304,8 @@
 async fn allowance_refuses_before_anything_is_sent() {
     let platform = start().await;
     let few = Options {
-        reads: Rate(1),
-        writes: Rate(1),
+        read_rate: Rate(1),
+        write_rate: Rate(1),
         ..options()
     };
     let client = client_with(&[platform.address()], few);
@@ -318,12 +318,12 @@
     assert_eq!(refused + usize::try_from(sent).expect("a count"), 50);
     assert!(refused > 0, "nothing was refused");
     assert_eq!(client.counts().reads.load(Ordering::Relaxed), sent);
-    assert_eq!(client.counts().exhausted.load(Ordering::Relaxed), 50 - sent);
+    assert_eq!(client.counts().rate_limited.load(Ordering::Relaxed), 50 - sent);
 }
 
 #[tokio::test(start_paused = true)]
 async fn bucket_refills_and_keeps_a_reserve() {
-    let mut bucket = Bucket::new(Rate(20), Instant::now());
+    let mut bucket = TokenBucket::new(Rate(20), Instant::now());
     let taken = (0..30).filter(|_| bucket.take(Instant::now())).count();
     assert_eq!(taken, 18);
     assert!(bucket.take_urgent(Instant::now()) && bucket.take_urgent(Instant::now()));
@@ -345,7 +345,7 @@
     platform.put("q", "other");
     // Far between, so that no probe takes a slow machine for a deaf watch.
     let rarely = Options {
-        probe_every: Duration::from_secs(1),
+        probe_interval: Duration::from_secs(1),
         ..options()
     };
     let mut updates = follow(&client_with(&[platform.address()], rarely));
--- a/tests/replication/storm.rs
+++ b/tests/replication/storm.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use godwitreel::rate_limit::Bucket;
+use godwitreel::rate_limit::TokenBucket;
 use godwitreel::rate_limit::Rate;
 use godwitreel::replica::Base;
 use godwitreel::replica::Copy;
@@ -50,7 +50,7 @@
     /// Milliseconds since the begin.
     pub(crate) now: usize,
     copies: Vec<Copy>,
-    pacers: Vec<Bucket>,
+    pacers: Vec<TokenBucket>,
     connections: Vec<Connection>,
     /// Bytes that each instance has sent.
     sent: Vec<usize>,
@@ -88,7 +88,7 @@
     fn add(&mut self, copy: Copy) -> usize {
         // Half of the link is for subscribers.
         let rate = Rate(LINK as u32 * 1_000 / 2);
-        self.pacers.push(Bucket::new(rate, self.begin));
+        self.pacers.push(TokenBucket::new(rate, self.begin));
         self.copies.push(copy);
         self.sent.push(0);
         self.copies.len() - 1
@@ -157,7 +157,7 @@
         for connection in connections.iter_mut().filter(|c| c.sending.is_none()) {
             let pacer = &mut pacers[connection.from];
             let outbox = &mut connection.subscription.outbox;
-            let may_send = |bytes| pacer.borrow(bytes, now);
+            let may_send = |bytes| pacer.take_on_credit(bytes, now);
             let news = outbox.compose(&copies[connection.from], Some(0), &packing, may_send);
             let news = news.unwrap();
             if !news.rows.is_empty() || news.part.is_some() {
--- a/tests/view.rs
+++ b/tests/view.rs
@@ -7,10 +7,10 @@
 use axum::Json;
 use axum::Router;
 use axum::routing::get;
-use godwitreel::entry::Evacuated;
+use godwitreel::entry::EvacuatedZone;
 use godwitreel::entry::Server;
 use godwitreel::entry::Status;
-use godwitreel::poll::Refusal;
+use godwitreel::poll::UnreadableEntry;
 use predicates::prelude::*;
 use serde_json::Value;
 use tokio::net::TcpListener;
@@ -65,7 +65,7 @@
         flows: 81,
         contact_age_ms: Some(230),
         upstream: Some("edge-bole-2".parse().unwrap()),
-        evacuated: vec![Evacuated {
+        evacuated: vec![EvacuatedZone {
             zone: "merkato".parse().unwrap(),
             known_ms: 4_200,
         }],
@@ -77,7 +77,7 @@
             unreadable,
             evacuated,
         ],
-        refused: vec![Refusal {
+        refused: vec![UnreadableEntry {
             key: "servers/i-9".to_owned(),
             reason: "missing field `addr`".to_owned(),
         }],
