--- a/src/command/drain.rs
+++ b/src/command/drain.rs
@@ -166,7 +166,9 @@
         write_id: command::write_id(),
     };
     let value = change::encode(key, &wish)?;
-    let resolved = client.compare_and_swap_resolved(key, None, &value, None).await?;
+    let resolved = client
+        .compare_and_swap_resolved(key, None, &value, None)
+        .await?;
     Ok(match resolved {
         ResolvedWrite::Done(_) => Drain {
             wish: Some(wish),
@@ -186,7 +188,9 @@
 /// Takes back the wish that was seen, and no later one: an order that was late
 /// on its way would otherwise undo what another operator has wished since.
 async fn erase(client: &Client, key: &str, seen: &Entry) -> Result<Drain> {
-    let resolved = client.compare_and_delete_resolved(key, seen.mod_revision).await?;
+    let resolved = client
+        .compare_and_delete_resolved(key, seen.mod_revision)
+        .await?;
     Ok(match resolved {
         ResolvedWrite::Done(_) | ResolvedWrite::Lost(None) | ResolvedWrite::Superseded(None) => {
             drained(key, true, Outcome::Accepted, None)
--- a/src/command/history.rs
+++ b/src/command/history.rs
@@ -50,7 +50,9 @@
 ) -> Result<ResolvedWrite> {
     let key = format!("{prefix}{}", envelope.revision);
     let value = change::encode(&key, envelope)?;
-    client.compare_and_swap_resolved(&key, None, &value, None).await
+    client
+        .compare_and_swap_resolved(&key, None, &value, None)
+        .await
 }
 
 async fn prune(client: &Client, prefix: &str) -> Result<()> {
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -25,12 +25,12 @@
 
 pub use adapter::Adapter;
 pub use adapter::Codec;
-pub use adapter::SERVER_HEADER_LEN;
 pub use adapter::DecodedEntry;
-pub use adapter::Subject;
+pub use adapter::SERVER_HEADER_LEN;
 pub use adapter::StoreSchema;
-pub use outcome::outcomes_to_message;
+pub use adapter::Subject;
 pub use outcome::outcomes_from_message;
+pub use outcome::outcomes_to_message;
 pub use run::run;
 pub use settings::Settings;
 pub use status::EvacuatedZone;
--- a/src/entry/beliefs.rs
+++ b/src/entry/beliefs.rs
@@ -12,10 +12,10 @@
 use slog::info;
 use tokio::time::Instant;
 
-use crate::flow::StateUpdate;
 use crate::flow::ServerState;
-use crate::platform::rate_limit::TokenBucket;
+use crate::flow::StateUpdate;
 use crate::platform::rate_limit::Rate;
+use crate::platform::rate_limit::TokenBucket;
 
 /// Lines a second. On an ordinary day servers come and go one by one.
 const RATE: Rate = Rate(20);
@@ -113,7 +113,9 @@
                 subject: peers.len().to_string(),
                 is_rare: false,
             },
-            StateUpdate::StoreContact(_) | StateUpdate::StoreUnreachable | StateUpdate::ZoneOutcomes(_) => return None,
+            StateUpdate::StoreContact(_)
+            | StateUpdate::StoreUnreachable
+            | StateUpdate::ZoneOutcomes(_) => return None,
         };
         Some(told)
     }
--- a/src/entry/journal.rs
+++ b/src/entry/journal.rs
@@ -11,8 +11,8 @@
 use tokio::time::Instant;
 
 use crate::flow::FlowEvent;
-use crate::platform::rate_limit::TokenBucket;
 use crate::platform::rate_limit::Rate;
+use crate::platform::rate_limit::TokenBucket;
 
 /// What the lines tell beside the decision itself.
 #[derive(Clone, Copy, Debug)]
@@ -105,9 +105,13 @@
         } => info!(log, "server silent in handshake"; "outcome" => kind, "flow" => %flow_key,
             "silent" => %silent, "server" => server.as_ref().map(ToString::to_string),
             "waited_ms" => waited_ms),
-        FlowEvent::Evacuated { flow_key, left } => info!(log, "server's zone evacuated in handshake";
-            "outcome" => kind, "flow" => %flow_key, "left" => %left),
-        FlowEvent::Refused { flow_key, version, .. } => info!(log, "new flow refused";
+        FlowEvent::Evacuated { flow_key, left } => {
+            info!(log, "server's zone evacuated in handshake";
+            "outcome" => kind, "flow" => %flow_key, "left" => %left)
+        }
+        FlowEvent::Refused {
+            flow_key, version, ..
+        } => info!(log, "new flow refused";
             "outcome" => kind, "flow" => %flow_key, "version" => version),
         FlowEvent::Released {
             flow_key,
--- a/src/entry/outcome.rs
+++ b/src/entry/outcome.rs
@@ -1,8 +1,8 @@
 //! Counts of how requests end, between the decisions about flows and the messages to
 //! other instances.
 
-use crate::flow::OutcomeCounts;
 use crate::flow::Incarnation;
+use crate::flow::OutcomeCounts;
 use crate::flow::Serial;
 use crate::flow::ServerOutcomes;
 use crate::replica::OutcomeEntry;
--- a/src/entry/refusals.rs
+++ b/src/entry/refusals.rs
@@ -11,8 +11,8 @@
 
 use crate::platform::Change;
 use crate::platform::poll::UnreadableEntry;
-use crate::platform::rate_limit::TokenBucket;
 use crate::platform::rate_limit::Rate;
+use crate::platform::rate_limit::TokenBucket;
 use crate::replica::Update;
 
 /// Log lines a second: enough to see a fault begin, few beside the decisions'.
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -28,8 +28,8 @@
 use crate::entry::journal::Context;
 use crate::entry::journal::Journal;
 use crate::entry::metric::Metrics;
-use crate::entry::outcome::outcomes_to_message;
 use crate::entry::outcome::outcomes_from_message;
+use crate::entry::outcome::outcomes_to_message;
 use crate::entry::refusals::Refusals;
 use crate::entry::signals::Asked;
 use crate::entry::signals::Signals;
@@ -41,13 +41,13 @@
 use crate::entry::withdrawal::Withdrawal;
 use crate::error::Result;
 use crate::flow::Backlog;
-use crate::flow::StateUpdate;
+use crate::flow::DataPlane;
 use crate::flow::DropReason;
-use crate::flow::PendingPacket;
 use crate::flow::Egress;
-use crate::flow::DataPlane;
-use crate::flow::ServerState;
+use crate::flow::PendingPacket;
 use crate::flow::Segment;
+use crate::flow::ServerState;
+use crate::flow::StateUpdate;
 use crate::flow::Target;
 use crate::flow::Timing;
 use crate::flow::Verdict;
@@ -55,9 +55,9 @@
 use crate::id;
 use crate::poll::Reader;
 use crate::replica;
+use crate::replica::FleetLiveness;
 use crate::replica::Handover;
 use crate::replica::OUTCOME_REPORT_INTERVAL;
-use crate::replica::FleetLiveness;
 use crate::replica::Update;
 
 /// Packets taken before anything else gets its turn.
@@ -332,7 +332,9 @@
         }
         self.told = now;
         let own = self.plane.server_outcomes(now);
-        self.replica.outcomes.set_local(own.iter().map(outcomes_to_message).collect());
+        self.replica
+            .outcomes
+            .set_local(own.iter().map(outcomes_to_message).collect());
         let zone = self.replica.outcomes.confirmed_outcomes(now);
         let zone = zone.iter().map(outcomes_from_message).collect();
         self.plane.apply(now, StateUpdate::ZoneOutcomes(zone));
@@ -418,7 +420,9 @@
             info!(self.log, "readiness"; "is_ready" => is_ready);
         }
         metrics.ready.set(i64::from(is_ready));
-        metrics.servers.set(self.plane.directory().listed_count() as i64);
+        metrics
+            .servers
+            .set(self.plane.directory().listed_count() as i64);
         metrics.flows.set(self.plane.flows() as i64);
         let evacuated = self.plane.directory().evacuation().zones().count();
         metrics.evacuated.set(evacuated as i64);
--- a/src/entry/start.rs
+++ b/src/entry/start.rs
@@ -21,11 +21,11 @@
 use crate::platform::Client;
 use crate::poll::Reader;
 use crate::replica;
+use crate::replica::FollowOptions;
 use crate::replica::Member;
-use crate::replica::PollTiming;
 use crate::replica::Pacer;
+use crate::replica::PollTiming;
 use crate::replica::Registration;
-use crate::replica::FollowOptions;
 use crate::replica::Update;
 
 /// Updates of the copy that may wait; its source waits for room beyond.
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -1,10 +1,10 @@
 //! From the store's entries to beliefs of the decisions.
 
 use crate::entry::DecodedEntry;
-use crate::entry::Subject;
 use crate::entry::StoreSchema;
-use crate::flow::StateUpdate;
+use crate::entry::Subject;
 use crate::flow::Peer;
+use crate::flow::StateUpdate;
 use crate::platform;
 use crate::platform::Change;
 use crate::platform::poll::UnreadableEntry;
@@ -48,7 +48,9 @@
         match (schema.decode_entry)(entry) {
             Ok(DecodedEntry::Server(server)) => self.beliefs.push(StateUpdate::Server(server)),
             Ok(DecodedEntry::Routes(routes)) => self.beliefs.push(StateUpdate::Routes(routes)),
-            Ok(DecodedEntry::Evacuation(zone)) => self.beliefs.push(StateUpdate::ZoneEvacuated(zone)),
+            Ok(DecodedEntry::Evacuation(zone)) => {
+                self.beliefs.push(StateUpdate::ZoneEvacuated(zone))
+            }
             Ok(DecodedEntry::Other) => {}
             Err(reason) => {
                 let key = entry.key.clone();
--- a/src/entry/withdrawal.rs
+++ b/src/entry/withdrawal.rs
@@ -13,8 +13,8 @@
 //! It goes on to pass on what it gets. What it may be wrong about costs its zone's callers the
 //! way to the next zone.
 
-use crate::replica::ZoneLiveness;
 use crate::replica::FleetLiveness;
+use crate::replica::ZoneLiveness;
 
 /// Looks in a row that must agree before anything changes, either way.
 const LOOKS: u32 = 2;
--- a/src/flow/directory.rs
+++ b/src/flow/directory.rs
@@ -12,13 +12,13 @@
 
 use tokio::time::Instant;
 
-use crate::flow::StoreContact;
 use crate::flow::Evacuation;
 use crate::flow::Incarnation;
 use crate::flow::Peer;
 use crate::flow::Serial;
-use crate::flow::Tag;
 use crate::flow::ServerOutcomes;
+use crate::flow::StoreContact;
+use crate::flow::Tag;
 use crate::flow::Warmup;
 use crate::flow::baseline::Usual;
 use crate::flow::choice;
--- a/src/flow/outcome.rs
+++ b/src/flow/outcome.rs
@@ -127,7 +127,8 @@
 
     /// This instance's own counts.
     pub(crate) fn own(&self, now: Instant) -> OutcomeCounts {
-        self.own.map_or(OutcomeCounts::default(), |faded| faded.at(now))
+        self.own
+            .map_or(OutcomeCounts::default(), |faded| faded.at(now))
     }
 
     /// Takes over what the zone counted.
--- a/src/flow/plane.rs
+++ b/src/flow/plane.rs
@@ -15,7 +15,6 @@
 use rand::rngs::SmallRng;
 use tokio::time::Instant;
 
-use crate::flow::StoreContact;
 use crate::flow::Directory;
 use crate::flow::DropReason;
 use crate::flow::FlowEvent;
@@ -26,8 +25,9 @@
 use crate::flow::Routes;
 use crate::flow::Segment;
 use crate::flow::Server;
-use crate::flow::Target;
 use crate::flow::ServerOutcomes;
+use crate::flow::StoreContact;
+use crate::flow::Target;
 use crate::flow::Timing;
 use crate::flow::choice;
 use crate::flow::choice::Choice;
@@ -184,8 +184,12 @@
             StateUpdate::ServerUnreadable(server) => self.directory.mark_unreadable(&server),
             StateUpdate::ServerRemoved(server) => self.directory.remove(now, &server),
             StateUpdate::Routes(routes) => return self.configure(routes),
-            StateUpdate::ZoneEvacuated(zone) => return self.directory.evacuate(now, |e| e.begin(now, zone)),
-            StateUpdate::ZoneRestored(zone) => return self.directory.evacuate(now, |e| e.end(&zone)),
+            StateUpdate::ZoneEvacuated(zone) => {
+                return self.directory.evacuate(now, |e| e.begin(now, zone));
+            }
+            StateUpdate::ZoneRestored(zone) => {
+                return self.directory.evacuate(now, |e| e.end(&zone));
+            }
             StateUpdate::EvacuatedZones(all) => {
                 return self.directory.evacuate(now, |e| e.replace(now, all));
             }
--- a/src/flow/plane/account.rs
+++ b/src/flow/plane/account.rs
@@ -4,8 +4,8 @@
 
 use tokio::time::Instant;
 
-use crate::flow::FlowEvent;
 use crate::flow::DataPlane;
+use crate::flow::FlowEvent;
 use crate::flow::directory::Slot;
 use crate::flow::table::Expiry;
 use crate::flow::table::Flow;
--- a/src/flow/plane/carry.rs
+++ b/src/flow/plane/carry.rs
@@ -4,9 +4,9 @@
 
 use tokio::time::Instant;
 
+use crate::flow::DataPlane;
 use crate::flow::DropReason;
 use crate::flow::FlowEvent;
-use crate::flow::DataPlane;
 use crate::flow::Segment;
 use crate::flow::Timing;
 use crate::flow::Verdict;
--- a/src/flow/plane/ending.rs
+++ b/src/flow/plane/ending.rs
@@ -2,9 +2,9 @@
 
 use tokio::time::Instant;
 
+use crate::flow::DataPlane;
 use crate::flow::FlowEvent;
 use crate::flow::FlowKey;
-use crate::flow::DataPlane;
 use crate::flow::directory::Slot;
 use crate::flow::table::Answer;
 
@@ -32,7 +32,11 @@
         let due = self.watches.back().map_or(due, |last| last.due.max(due));
         if self.watches.len() < MOST_WATCHES {
             let asked = now;
-            self.watches.push_back(Watch { due, flow_key, asked });
+            self.watches.push_back(Watch {
+                due,
+                flow_key,
+                asked,
+            });
         }
     }
 
--- a/src/flow/plane/opening.rs
+++ b/src/flow/plane/opening.rs
@@ -5,10 +5,10 @@
 
 use tokio::time::Instant;
 
+use crate::flow::DataPlane;
 use crate::flow::DropReason;
 use crate::flow::FlowEvent;
 use crate::flow::FlowKey;
-use crate::flow::DataPlane;
 use crate::flow::Resend;
 use crate::flow::Target;
 use crate::flow::Verdict;
@@ -219,7 +219,9 @@
             self.openings.pop_front();
         }
         let is_earlier = |other: &FlowKey| {
-            other.caller.ip() == flow_key.caller.ip() && other.service == flow_key.service && other != flow_key
+            other.caller.ip() == flow_key.caller.ip()
+                && other.service == flow_key.service
+                && other != flow_key
         };
         let earlier: Vec<FlowKey> = self
             .openings
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -44,8 +44,8 @@
 use crate::peer::wire::Guard;
 use crate::peer::wire::Keys;
 use crate::peer::wire::MAX_FRAME;
-use crate::platform::rate_limit::TokenBucket;
 use crate::platform::rate_limit::Rate;
+use crate::platform::rate_limit::TokenBucket;
 
 /// Time for one exchange of configuration with a peer.
 const PULL_TIMEOUT: Duration = Duration::from_secs(3);
@@ -110,7 +110,10 @@
         let now = Instant::now();
         let mut budgets = self.budgets();
         let bucket = budgets.entry(peer);
-        spend(bucket.or_insert_with(|| TokenBucket::new(self.rate, now)), now)
+        spend(
+            bucket.or_insert_with(|| TokenBucket::new(self.rate, now)),
+            now,
+        )
     }
 
     /// Sends a message to a life of an instance; dropped if it is not known.
@@ -159,7 +162,9 @@
     /// A message that goes out whatever the budget.
     fn seal_essential(&self, address: SocketAddr, to: &str, body: Body) -> Vec<u8> {
         let frame = self.seal(to, body);
-        self.spend(address, |bucket, now| bucket.take_available(frame.len(), now));
+        self.spend(address, |bucket, now| {
+            bucket.take_available(frame.len(), now)
+        });
         frame
     }
 
--- a/src/platform/client.rs
+++ b/src/platform/client.rs
@@ -7,8 +7,8 @@
 
 use crate::error::Result;
 use crate::platform::BaseUrl;
-use crate::platform::Change;
 use crate::platform::CallCounts;
+use crate::platform::Change;
 use crate::platform::Entry;
 use crate::platform::Lease;
 use crate::platform::Listing;
@@ -54,7 +54,11 @@
         self.transport.options()
     }
 
-    pub(crate) async fn call<T>(&self, call: &Call, decode: fn(&[u8]) -> DecodeResult<T>) -> Result<T> {
+    pub(crate) async fn call<T>(
+        &self,
+        call: &Call,
+        decode: fn(&[u8]) -> DecodeResult<T>,
+    ) -> Result<T> {
         self.transport.call(call, decode).await
     }
 
--- a/src/platform/resolution.rs
+++ b/src/platform/resolution.rs
@@ -82,10 +82,12 @@
 
 impl Erasure<'_> {
     async fn send(&self, client: &Client) -> Result<ResolvedWrite> {
-        Ok(match client.compare_and_delete(self.key, self.expected).await? {
-            SwapOutcome::Done(revision) => ResolvedWrite::Done(revision),
-            SwapOutcome::Lost(found) => ResolvedWrite::Lost(found),
-        })
+        Ok(
+            match client.compare_and_delete(self.key, self.expected).await? {
+                SwapOutcome::Done(revision) => ResolvedWrite::Done(revision),
+                SwapOutcome::Lost(found) => ResolvedWrite::Lost(found),
+            },
+        )
     }
 
     async fn look(&self, client: &Client) -> Result<ResolvedWrite> {
@@ -151,7 +153,11 @@
     /// # Errors
     ///
     /// After an error nothing was deleted and nothing will be.
-    pub async fn compare_and_delete_resolved(&self, key: &str, expected: u64) -> Result<ResolvedWrite> {
+    pub async fn compare_and_delete_resolved(
+        &self,
+        key: &str,
+        expected: u64,
+    ) -> Result<ResolvedWrite> {
         let erasure = Erasure { key, expected };
         match erasure.send(self).await {
             Err(Error::Unanswered { .. }) => Ok(self.resolve(&Sent::Erasure(erasure)).await),
--- a/src/platform/transport.rs
+++ b/src/platform/transport.rs
@@ -164,7 +164,11 @@
     }
 
     /// Makes a call, at each address at most once.
-    pub(crate) async fn call<T>(&self, call: &Call, decode: fn(&[u8]) -> DecodeResult<T>) -> Result<T> {
+    pub(crate) async fn call<T>(
+        &self,
+        call: &Call,
+        decode: fn(&[u8]) -> DecodeResult<T>,
+    ) -> Result<T> {
         let mut tries_left = self.bases.len();
         loop {
             tries_left -= 1;
--- a/src/replica/follow.rs
+++ b/src/replica/follow.rs
@@ -120,7 +120,11 @@
 }
 
 /// Keeps the copy up to date until the receiver is dropped.
-pub(crate) async fn follow(sources: FollowOptions, shared: Arc<SharedCopy>, sender: mpsc::Sender<Update>) {
+pub(crate) async fn follow(
+    sources: FollowOptions,
+    shared: Arc<SharedCopy>,
+    sender: mpsc::Sender<Update>,
+) {
     let options = sources.reader.client().options().clone();
     let mut follower = Follower {
         sources,
@@ -198,7 +202,9 @@
     async fn take(&mut self, report: Report) -> Result<(), End> {
         let now = Instant::now();
         let contact = report.age.map(|age| now - age);
-        self.shared.outcomes.receive_from_upstream(now, report.remarks);
+        self.shared
+            .outcomes
+            .receive_from_upstream(now, report.remarks);
         if let Some(received) = report.received {
             info!(self.sources.log, "large value received"; "revision" => received.revision,
                 "bytes" => received.bytes, "took_ms" => received.took.as_millis() as u64);
@@ -338,6 +344,9 @@
         }
         self.is_silent = true;
         let reason = error.to_string();
-        Ok(self.sender.send(Update::StoreUnreachable { reason }).await?)
+        Ok(self
+            .sender
+            .send(Update::StoreUnreachable { reason })
+            .await?)
     }
 }
--- a/src/replica/follow/poll.rs
+++ b/src/replica/follow/poll.rs
@@ -179,13 +179,21 @@
             is_over,
         };
         let mut polls = FuturesUnordered::new();
-        polls.push(again.poll(keys.server_prefix, horizon, Duration::ZERO).boxed());
+        polls.push(
+            again
+                .poll(keys.server_prefix, horizon, Duration::ZERO)
+                .boxed(),
+        );
         polls.push(poll_members(&reader, horizon, wait).boxed());
         let orders_after = match newest {
             true => Duration::ZERO,
             false => wait + ANSWER,
         };
-        polls.push(again.poll(keys.evacuation_prefix, horizon, orders_after).boxed());
+        polls.push(
+            again
+                .poll(keys.evacuation_prefix, horizon, orders_after)
+                .boxed(),
+        );
         let large = async {
             let asked = Instant::now();
             let batch = match newest {
@@ -200,9 +208,10 @@
             ..Round::default()
         };
         // A poll that is never sent has reached nothing.
-        round
-            .reached
-            .extend([(keys.server_prefix, horizon), (keys.evacuation_prefix, horizon)]);
+        round.reached.extend([
+            (keys.server_prefix, horizon),
+            (keys.evacuation_prefix, horizon),
+        ]);
         while let Some(polled) = polls.next().await {
             let next = self.take_polled(polled, horizon, &mut round).await?;
             if round.is_large_over {
--- a/src/replica/follow/upstream.rs
+++ b/src/replica/follow/upstream.rs
@@ -145,7 +145,9 @@
         };
         self.rest(last, pause);
         warn!(self.sources.log, "upstream lost"; "peer" => %last, "reason" => reason);
-        self.sender.send(Update::UpstreamChanged { upstream: None }).await?;
+        self.sender
+            .send(Update::UpstreamChanged { upstream: None })
+            .await?;
         self.catch_up().await
     }
 
@@ -351,7 +353,9 @@
     }
 
     pub(super) fn is_fresh(&self, report: &Report) -> bool {
-        report.age.is_some_and(|age| age < self.sources.timing.fresh_age)
+        report
+            .age
+            .is_some_and(|age| age < self.sources.timing.fresh_age)
     }
 
     /// Whether an upstream with this report is worth a subscription. One that follows
@@ -371,7 +375,10 @@
     async fn tell_source(&mut self, peer: SocketAddrV4) -> Result<(), End> {
         let member = self.members.values().find(|m| m.address == peer);
         let upstream = member.map(|member| member.instance.clone());
-        Ok(self.sender.send(Update::UpstreamChanged { upstream }).await?)
+        Ok(self
+            .sender
+            .send(Update::UpstreamChanged { upstream })
+            .await?)
     }
 
     /// An instance that should be followed rather than this one, if any.
--- a/src/replica/liveness.rs
+++ b/src/replica/liveness.rs
@@ -58,7 +58,11 @@
 }
 
 /// Looks at the fleet until the receiver is dropped.
-pub(crate) async fn monitor_liveness(me: Member, shared: Arc<SharedCopy>, sender: mpsc::Sender<FleetLiveness>) {
+pub(crate) async fn monitor_liveness(
+    me: Member,
+    shared: Arc<SharedCopy>,
+    sender: mpsc::Sender<FleetLiveness>,
+) {
     loop {
         time::sleep(LOOK_EVERY).await;
         let tally = look(&me, &shared).await;
--- a/src/replica/outcome.rs
+++ b/src/replica/outcome.rs
@@ -244,7 +244,10 @@
         let mut remarks: Vec<OutcomeEntry> = sums.into_values().collect();
         remarks.sort_by(|a, b| b.weight().total_cmp(&a.weight()));
         remarks.truncate(MOST_REMARKS);
-        OutcomeReport { outcomes: remarks, instances }
+        OutcomeReport {
+            outcomes: remarks,
+            instances,
+        }
     }
 
     /// What the zone counted and more than one instance says.
--- a/src/replica/pacer.rs
+++ b/src/replica/pacer.rs
@@ -12,8 +12,8 @@
 use tokio::time;
 use tokio::time::Instant;
 
-use crate::platform::rate_limit::TokenBucket;
 use crate::platform::rate_limit::Rate;
+use crate::platform::rate_limit::TokenBucket;
 use crate::replica::Bandwidth;
 
 /// Part of this instance's link that subscribers may fill. Callers' packets on
--- a/src/replica/publish.rs
+++ b/src/replica/publish.rs
@@ -26,8 +26,8 @@
 use crate::replica::message::Subscribe;
 use crate::replica::outbox::Outbox;
 use crate::replica::outcome::MOST_REMARKS;
-use crate::replica::outcome::OutcomeReport;
 use crate::replica::outcome::OUTCOME_REPORT_INTERVAL;
+use crate::replica::outcome::OutcomeReport;
 use crate::replica::pack::Base;
 use crate::replica::tree::FAN_OUT;
 
@@ -164,7 +164,11 @@
         if news.has_more || is_more && outbox.has_parts() {
             continue;
         }
-        let pause = if has_remarks { OUTCOME_REPORT_INTERVAL } else { HEARTBEAT };
+        let pause = if has_remarks {
+            OUTCOME_REPORT_INTERVAL
+        } else {
+            HEARTBEAT
+        };
         let next = Instant::now() + pause;
         // What the subscriber tells is no cause to answer: each answer would be one
         // for it to tell again, without end.
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use coap_lite::RequestType;
-use godwitreel::rate_limit::TokenBucket;
 use godwitreel::rate_limit::Rate;
+use godwitreel::rate_limit::TokenBucket;
 use serde_json::json;
 use standin::caller::Outcome;
 use standin::caller::Update;
--- a/tests/flow/choice.rs
+++ b/tests/flow/choice.rs
@@ -2,9 +2,9 @@
 
 use std::collections::HashMap;
 
-use godwitreel::flow::StateUpdate;
-use godwitreel::flow::Options;
 use godwitreel::flow::DataPlane;
+use godwitreel::flow::Options;
+use godwitreel::flow::StateUpdate;
 use tokio::time::Instant;
 
 use crate::support::*;
@@ -103,7 +103,10 @@
             let target = open(&mut plane, now, &caller);
             plane.receive(now + ms(20), &caller.acknowledge(500, target.tag), b"");
         }
-        plane.apply(now, StateUpdate::Server(server(SERVERS + 1, "dispatch", LOCAL)));
+        plane.apply(
+            now,
+            StateUpdate::Server(server(SERVERS + 1, "dispatch", LOCAL)),
+        );
         let packet = Caller::new(1_000, BOOKINGS).opening(0);
         let target = forwarded(plane.receive(now + ms(30), &packet, b"packet"));
         arrivals += usize::from(target.serial.0 == u64::from(SERVERS) + 1);
--- a/tests/flow/config.rs
+++ b/tests/flow/config.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use godwitreel::flow::Backend;
-use godwitreel::flow::StateUpdate;
-use godwitreel::flow::DropReason;
 use godwitreel::flow::DataPlane;
+use godwitreel::flow::DropReason;
 use godwitreel::flow::Route;
+use godwitreel::flow::StateUpdate;
 use godwitreel::flow::Verdict;
 use tokio::time::Instant;
 
@@ -17,7 +17,10 @@
     let now = Instant::now();
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
     assert!(plane.apply(now, StateUpdate::Routes(routes(5, &[]))));
-    assert!(!plane.apply(now, StateUpdate::Routes(routes(4, &[(BOOKINGS, "dispatch")]))));
+    assert!(!plane.apply(
+        now,
+        StateUpdate::Routes(routes(4, &[(BOOKINGS, "dispatch")]))
+    ));
     let verdict = plane.receive(now, &Caller::new(1, BOOKINGS).opening(0), b"");
     assert_eq!(verdict, Verdict::Reset);
     assert_eq!(plane.version(), 5);
--- a/tests/flow/egress.rs
+++ b/tests/flow/egress.rs
@@ -196,7 +196,10 @@
     let segment = data(1, 0);
     assert_eq!(queue(&mut egress, &segment, 1, 1_242), Admission::Queued);
     let bytes = egress.queued_bytes();
-    assert_eq!(queue(&mut egress, &segment, 2, 1_242), Admission::ReplacedQueued);
+    assert_eq!(
+        queue(&mut egress, &segment, 2, 1_242),
+        Admission::ReplacedQueued
+    );
     assert_eq!(egress.queued_bytes(), bytes);
     assert_eq!(marks(&mut egress, now, 100), [2]);
     assert_eq!(queue(&mut egress, &segment, 3, 1_242), Admission::Queued);
@@ -273,5 +276,9 @@
             }
         }
     }
-    assert!(egress.queued_bytes() as f64 <= THIN, "{} bytes", egress.queued_bytes());
+    assert!(
+        egress.queued_bytes() as f64 <= THIN,
+        "{} bytes",
+        egress.queued_bytes()
+    );
 }
--- a/tests/flow/evacuation.rs
+++ b/tests/flow/evacuation.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeSet;
 
-use godwitreel::flow::StateUpdate;
+use godwitreel::flow::DataPlane;
 use godwitreel::flow::DropReason;
 use godwitreel::flow::FlowEvent;
-use godwitreel::flow::DataPlane;
 use godwitreel::flow::Refusal;
 use godwitreel::flow::Server;
+use godwitreel::flow::StateUpdate;
 use godwitreel::flow::Verdict;
 use godwitreel::id;
 use proptest::prelude::*;
@@ -116,7 +116,10 @@
     let mut plane = plane(now, two_zones());
     let all = BTreeSet::from([zone(LOCAL), zone(REMOTE)]);
     assert!(plane.apply(now, StateUpdate::EvacuatedZones(all.clone())));
-    assert!(!plane.apply(now, StateUpdate::EvacuatedZones(all)), "known already");
+    assert!(
+        !plane.apply(now, StateUpdate::EvacuatedZones(all)),
+        "known already"
+    );
     let caller = Caller::new(1, BOOKINGS);
     let verdict = plane.receive(now, &caller.opening(0), b"packet");
     assert_eq!(verdict, Verdict::Reset);
--- a/tests/flow/experience.rs
+++ b/tests/flow/experience.rs
@@ -1,13 +1,13 @@
 //! Servers that hang, or fail at once, while health and handshakes are good.
 
-use godwitreel::flow::StateUpdate;
-use godwitreel::flow::OutcomeCounts;
-use godwitreel::flow::Incarnation;
 use godwitreel::flow::DataPlane;
+use godwitreel::flow::Incarnation;
+use godwitreel::flow::OutcomeCounts;
 use godwitreel::flow::Server;
+use godwitreel::flow::ServerOutcomes;
+use godwitreel::flow::StateUpdate;
 use godwitreel::flow::Tag;
 use godwitreel::flow::Target;
-use godwitreel::flow::ServerOutcomes;
 use tokio::time::Instant;
 
 use crate::support::*;
@@ -221,7 +221,8 @@
     let mut load = Load::new(servers.clone());
     for server in &mut servers[1..] {
         server.incarnation = Some(Incarnation(1));
-        load.plane.apply(load.now, StateUpdate::Server(server.clone()));
+        load.plane
+            .apply(load.now, StateUpdate::Server(server.clone()));
     }
     load.run(100, |_| GOOD);
     let hanging = |number| if number == 1 { HANGING } else { GOOD };
--- a/tests/flow/gone.rs
+++ b/tests/flow/gone.rs
@@ -1,9 +1,9 @@
 //! Servers that leave, crash, or only seem to be gone.
 
-use godwitreel::flow::StateUpdate;
-use godwitreel::flow::StoreContact;
 use godwitreel::flow::Incarnation;
 use godwitreel::flow::Server;
+use godwitreel::flow::StateUpdate;
+use godwitreel::flow::StoreContact;
 use godwitreel::flow::Verdict;
 use tokio::time::Instant;
 
@@ -27,7 +27,10 @@
     let caller = Caller::new(1, BOOKINGS);
     let target = open(&mut plane, now, &caller);
     let id = format!("s-{}", target.serial);
-    plane.apply(now + ms(100), StateUpdate::ServerRemoved(id.parse().unwrap()));
+    plane.apply(
+        now + ms(100),
+        StateUpdate::ServerRemoved(id.parse().unwrap()),
+    );
 
     stay_in_contact(&mut plane, now, now + ms(2_000));
     let early = plane.receive(now + ms(2_000), &caller.data(0, target.tag), b"");
@@ -52,7 +55,10 @@
         unreadable: Vec::new(),
     };
     plane.apply(returned, lapsed);
-    plane.apply(returned, StateUpdate::StoreContact(StoreContact::at(returned)));
+    plane.apply(
+        returned,
+        StateUpdate::StoreContact(StoreContact::at(returned)),
+    );
 
     let fresh = Caller::new(2, BOOKINGS);
     let verdict = plane.receive(returned + ms(500), &fresh.opening(0), b"");
@@ -88,7 +94,10 @@
     let caller = Caller::new(1, BOOKINGS);
     let target = open(&mut plane, now, &caller);
     // After the last answer, which alone would show that it lives.
-    plane.apply(now + ms(100), StateUpdate::ServerRemoved("s-1".parse().unwrap()));
+    plane.apply(
+        now + ms(100),
+        StateUpdate::ServerRemoved("s-1".parse().unwrap()),
+    );
     plane.apply(now + ms(110), StateUpdate::StoreUnreachable);
     let verdict = plane.receive(now + ms(9_000), &caller.data(0, target.tag), b"");
     assert_eq!(forwarded(verdict), target);
@@ -107,7 +116,10 @@
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
     let caller = Caller::new(1, BOOKINGS);
     let target = open(&mut plane, now, &caller);
-    plane.apply(now + ms(100), StateUpdate::ServerRemoved("s-1".parse().unwrap()));
+    plane.apply(
+        now + ms(100),
+        StateUpdate::ServerRemoved("s-1".parse().unwrap()),
+    );
     plane.receive(now + ms(200), &caller.acknowledge(50, target.tag), b"");
     stay_in_contact(&mut plane, now, now + ms(5_000));
     let verdict = plane.receive(now + ms(5_000), &caller.data(100, target.tag), b"");
@@ -156,7 +168,10 @@
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
     let caller = Caller::new(1, BOOKINGS);
     let target = open(&mut plane, now, &caller);
-    plane.apply(now + ms(100), StateUpdate::ServerRemoved("s-1".parse().unwrap()));
+    plane.apply(
+        now + ms(100),
+        StateUpdate::ServerRemoved("s-1".parse().unwrap()),
+    );
     for at in [2_700, 6_000, 30_000] {
         let verdict = plane.receive(now + ms(at), &caller.data(0, target.tag), b"");
         assert_eq!(forwarded(verdict), target, "after {at} ms");
@@ -170,7 +185,10 @@
 fn new_flows_go_to_lapsed_servers_until_the_store_is_back() {
     let now = Instant::now();
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
-    plane.apply(now + ms(100), StateUpdate::ServerRemoved("s-1".parse().unwrap()));
+    plane.apply(
+        now + ms(100),
+        StateUpdate::ServerRemoved("s-1".parse().unwrap()),
+    );
     for (port, at) in [(1, 2_700), (2, 6_000), (3, 30_000)] {
         let fresh = Caller::new(port, BOOKINGS);
         let verdict = plane.receive(now + ms(at), &fresh.opening(0), b"");
@@ -187,7 +205,10 @@
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
     let caller = Caller::new(1, BOOKINGS);
     let target = open(&mut plane, now, &caller);
-    plane.apply(now + ms(100), StateUpdate::ServerRemoved("s-1".parse().unwrap()));
+    plane.apply(
+        now + ms(100),
+        StateUpdate::ServerRemoved("s-1".parse().unwrap()),
+    );
     let back = now + ms(2_200);
     plane.apply(back, StateUpdate::StoreContact(StoreContact::at(back)));
     stay_in_contact(&mut plane, back, back + ms(2_400));
@@ -207,11 +228,17 @@
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
     let caller = Caller::new(1, BOOKINGS);
     let target = open(&mut plane, now, &caller);
-    plane.apply(now + ms(100), StateUpdate::ServerRemoved("s-1".parse().unwrap()));
+    plane.apply(
+        now + ms(100),
+        StateUpdate::ServerRemoved("s-1".parse().unwrap()),
+    );
     for poll in 0..2 {
         let from = now + ms(110 + poll * 2_210);
         let until = from + ms(2_200);
-        plane.apply(until, StateUpdate::StoreContact(StoreContact { from, until }));
+        plane.apply(
+            until,
+            StateUpdate::StoreContact(StoreContact { from, until }),
+        );
     }
     let verdict = plane.receive(now + ms(4_600), &caller.data(0, target.tag), b"");
     assert_eq!(verdict, Verdict::Reset);
--- a/tests/flow/incarnation.rs
+++ b/tests/flow/incarnation.rs
@@ -1,10 +1,10 @@
 //! Servers that start again under their names, and entries that are somebody else's.
 
-use godwitreel::flow::StateUpdate;
-use godwitreel::flow::StoreContact;
-use godwitreel::flow::Incarnation;
 use godwitreel::flow::DataPlane;
+use godwitreel::flow::Incarnation;
 use godwitreel::flow::Server;
+use godwitreel::flow::StateUpdate;
+use godwitreel::flow::StoreContact;
 use godwitreel::flow::Target;
 use godwitreel::flow::Verdict;
 use tokio::time::Instant;
@@ -194,7 +194,10 @@
         .find(|caller| open(&mut plane, now, caller).serial.0 == 1)
         .expect("one of many goes to the first");
     let tag = godwitreel::flow::Tag::of(godwitreel::flow::Serial(1));
-    plane.apply(now + ms(10), StateUpdate::ServerUnreadable("s-1".parse().unwrap()));
+    plane.apply(
+        now + ms(10),
+        StateUpdate::ServerUnreadable("s-1".parse().unwrap()),
+    );
     // Many, so that the other one is busier by far in the end.
     for port in 100..180 {
         assert_eq!(opening(&mut plane, now + ms(20), port).serial.0, 2);
--- a/tests/flow/neighbours.rs
+++ b/tests/flow/neighbours.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use godwitreel::entry::outcomes_to_message;
 use godwitreel::entry::outcomes_from_message;
-use godwitreel::flow::StateUpdate;
+use godwitreel::entry::outcomes_to_message;
 use godwitreel::flow::ServerOutcomes;
+use godwitreel::flow::StateUpdate;
 use godwitreel::replica::OutcomeAggregator;
 use godwitreel::replica::OutcomeEntry;
 use godwitreel::replica::OutcomeReport;
@@ -82,9 +82,15 @@
                     .receive_from_subscriber(load.now, self.subscribers[number], told);
             }
             let now = self.loads[0].now;
-            let sum: Vec<ServerOutcomes> = self.board.confirmed_outcomes(now).iter().map(outcomes_from_message).collect();
+            let sum: Vec<ServerOutcomes> = self
+                .board
+                .confirmed_outcomes(now)
+                .iter()
+                .map(outcomes_from_message)
+                .collect();
             for load in &mut self.loads {
-                load.plane.apply(load.now, StateUpdate::ZoneOutcomes(sum.clone()));
+                load.plane
+                    .apply(load.now, StateUpdate::ZoneOutcomes(sum.clone()));
             }
         }
         counts
--- a/tests/flow/sequence.rs
+++ b/tests/flow/sequence.rs
@@ -3,9 +3,9 @@
 use std::collections::HashMap;
 use std::collections::HashSet;
 
+use godwitreel::flow::DataPlane;
 use godwitreel::flow::StateUpdate;
 use godwitreel::flow::StoreContact;
-use godwitreel::flow::DataPlane;
 use godwitreel::flow::Tag;
 use godwitreel::flow::Verdict;
 use proptest::prelude::*;
--- a/tests/flow/warmup.rs
+++ b/tests/flow/warmup.rs
@@ -4,14 +4,14 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use godwitreel::flow::StateUpdate;
-use godwitreel::flow::StoreContact;
+use godwitreel::flow::DataPlane;
 use godwitreel::flow::DropReason;
 use godwitreel::flow::Options;
 use godwitreel::flow::Peer;
-use godwitreel::flow::DataPlane;
 use godwitreel::flow::Routes;
 use godwitreel::flow::Server;
+use godwitreel::flow::StateUpdate;
+use godwitreel::flow::StoreContact;
 use godwitreel::flow::Verdict;
 use godwitreel::flow::Warmup;
 use godwitreel::flow::cold_flow_quota;
@@ -48,7 +48,10 @@
 }
 
 fn with_warmup(rate: f64) -> Routes {
-    let warmup = Warmup { duration: COLD, rate };
+    let warmup = Warmup {
+        duration: COLD,
+        rate,
+    };
     Routes {
         warmups: HashMap::from([("dispatch".parse().unwrap(), warmup)]),
         ..routes(1, &[(BOOKINGS, "dispatch")])
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -24,8 +24,8 @@
 use godwitreel::platform::ResolvedWrite;
 use godwitreel::platform::SwapOutcome;
 use godwitreel::platform::Update;
-use godwitreel::rate_limit::TokenBucket;
 use godwitreel::rate_limit::Rate;
+use godwitreel::rate_limit::TokenBucket;
 use proptest::prelude::any;
 use proptest::prelude::proptest;
 use standin::platform::Handle;
@@ -181,7 +181,9 @@
     let platform = start().await;
     let client = client(&platform);
     platform.lose_answers(1);
-    let outcome = client.compare_and_swap_resolved("p/a", None, b"mine", None).await;
+    let outcome = client
+        .compare_and_swap_resolved("p/a", None, b"mine", None)
+        .await;
     let stands = client.get("p/a").await.expect("a read").expect("a value");
     assert_eq!(
         outcome.expect("an outcome"),
@@ -231,7 +233,9 @@
 ) -> tokio::task::JoinHandle<ResolvedWrite> {
     let writer = client.clone();
     let resolving = tokio::spawn(async move {
-        let outcome = writer.compare_and_swap_resolved("p/a", None, b"mine", None).await;
+        let outcome = writer
+            .compare_and_swap_resolved("p/a", None, b"mine", None)
+            .await;
         outcome.expect("an outcome")
     });
     let reached = async {
@@ -254,7 +258,9 @@
     };
     let client = client_with(&[platform.address()], within);
     platform.down(true);
-    let outcome = client.compare_and_swap_resolved("p/a", None, b"mine", None).await;
+    let outcome = client
+        .compare_and_swap_resolved("p/a", None, b"mine", None)
+        .await;
     assert_eq!(outcome.expect("an outcome"), ResolvedWrite::Unknown);
 }
 
@@ -285,7 +291,9 @@
     let client = client(&platform);
     let ttl = Duration::from_secs(60);
     let lease = client.lease_grant(ttl).await.expect("a lease");
-    let outcome = client.compare_and_swap("p/a", None, b"here", Some(lease)).await;
+    let outcome = client
+        .compare_and_swap("p/a", None, b"here", Some(lease))
+        .await;
     assert!(matches!(outcome, Ok(SwapOutcome::Done(_))), "{outcome:?}");
     assert_eq!(client.lease_keepalive(lease).await.expect("an answer"), ttl);
     client.lease_revoke(lease).await.expect("an answer");
@@ -294,7 +302,9 @@
         client.lease_keepalive(lease).await.expect("an answer"),
         Duration::ZERO
     );
-    let outcome = client.compare_and_swap("p/a", None, b"here", Some(lease)).await;
+    let outcome = client
+        .compare_and_swap("p/a", None, b"here", Some(lease))
+        .await;
     assert!(matches!(outcome, Err(Error::Refused { .. })), "{outcome:?}");
 }
 
@@ -318,7 +328,10 @@
     assert_eq!(refused + usize::try_from(sent).expect("a count"), 50);
     assert!(refused > 0, "nothing was refused");
     assert_eq!(client.counts().reads.load(Ordering::Relaxed), sent);
-    assert_eq!(client.counts().rate_limited.load(Ordering::Relaxed), 50 - sent);
+    assert_eq!(
+        client.counts().rate_limited.load(Ordering::Relaxed),
+        50 - sent
+    );
 }
 
 #[tokio::test(start_paused = true)]
--- a/tests/replication/board.rs
+++ b/tests/replication/board.rs
@@ -27,7 +27,10 @@
 }
 
 fn from(instances: u32, remarks: Vec<OutcomeEntry>) -> OutcomeReport {
-    OutcomeReport { outcomes: remarks, instances }
+    OutcomeReport {
+        outcomes: remarks,
+        instances,
+    }
 }
 
 #[test]
@@ -54,7 +57,10 @@
     board.set_local(vec![remark(1, 4.0, 1.0)]);
     board.receive_from_upstream(now, vec![remark(1, 90.0, 2.0)]);
     assert_eq!(board.zone_outcomes(now), vec![remark(1, 90.0, 2.0)]);
-    assert_eq!(board.report_for_upstream(now).outcomes, vec![sum(1, 4.0, 1.0, 1.0)]);
+    assert_eq!(
+        board.report_for_upstream(now).outcomes,
+        vec![sum(1, 4.0, 1.0, 1.0)]
+    );
 }
 
 // The instance above is frozen or gone, a subscriber is cut off: what they said
--- a/tests/replication/storm.rs
+++ b/tests/replication/storm.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use godwitreel::rate_limit::TokenBucket;
 use godwitreel::rate_limit::Rate;
+use godwitreel::rate_limit::TokenBucket;
 use godwitreel::replica::Base;
 use godwitreel::replica::Copy;
 use godwitreel::replica::News;
--- a/tests/withdrawal.rs
+++ b/tests/withdrawal.rs
@@ -1,8 +1,8 @@
 //! Telling routers to go elsewhere while most of a zone stands still.
 
 use godwitreel::entry::Withdrawal;
-use godwitreel::replica::ZoneLiveness;
 use godwitreel::replica::FleetLiveness;
+use godwitreel::replica::ZoneLiveness;
 
 fn zone(answering: usize, all: usize) -> ZoneLiveness {
     ZoneLiveness {
