--- a/src/flow/plane/opening.rs
+++ b/src/flow/plane/opening.rs
@@ -64,7 +64,7 @@
         }
     }
 
-    /// When [`Plane::expire`] has something to do next.
+    /// When [`DataPlane::expire`] has something to do next.
     pub fn next_due(&self) -> Option<Instant> {
         let opening = self.due.peek().map(|Reverse((due, _))| *due);
         let request = self.watches.front().map(|watch| watch.due);
@@ -73,7 +73,7 @@
 
     /// Sends opening packets whose servers are silent to further servers, and
     /// forgets what is over. Packets that wait in the socket must be handed to
-    /// [`Plane::receive`] first: the answers may be among them.
+    /// [`DataPlane::receive`] first: the answers may be among them.
     pub fn expire(&mut self, now: Instant) -> Vec<Resend> {
         let mut resends = Vec::new();
         while let Some(Reverse((due, flow_key))) = self.due.peek().copied()
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -6,7 +6,7 @@
 //! A read is tried at each address once. A write goes to another address only
 //! when no connection could be made: once its bytes may have left, an answer
 //! that stays away is [`Error::Unanswered`] and the caller has to find out, for
-//! which there is [`Client::swap_and_resolve`].
+//! which there is [`Client::compare_and_swap_resolved`].
 
 mod call;
 mod client;
--- a/src/platform/client.rs
+++ b/src/platform/client.rs
@@ -125,7 +125,7 @@
     ///
     /// # Errors
     ///
-    /// As for [`Client::swap`].
+    /// As for [`Client::compare_and_swap`].
     pub async fn compare_and_delete(&self, key: &str, expected: u64) -> Result<SwapOutcome> {
         let call = Call {
             step: "erase",
@@ -141,7 +141,7 @@
     ///
     /// # Errors
     ///
-    /// As for [`Client::swap`].
+    /// As for [`Client::compare_and_swap`].
     pub async fn delete(&self, key: &str) -> Result<bool> {
         let call = Call {
             step: "delete",
@@ -191,7 +191,7 @@
     ///
     /// # Errors
     ///
-    /// As for [`Client::swap`].
+    /// As for [`Client::compare_and_swap`].
     pub async fn lease_revoke(&self, lease: Lease) -> Result<()> {
         let call = Call {
             step: "lease revoke",
--- a/src/platform/resolution.rs
+++ b/src/platform/resolution.rs
@@ -114,8 +114,8 @@
 }
 
 impl Client {
-    /// Writes as [`Client::swap`] does and, if the answer is lost, finds out what
-    /// became of the write, within [`crate::platform::Options::resolve_within`].
+    /// Writes as [`Client::compare_and_swap`] does and, if the answer is lost, finds out what
+    /// became of the write, within [`crate::platform::Options::resolve_timeout`].
     ///
     /// The value must differ from every other value ever written to the key.
     ///
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Deletes a key as [`Client::erase`] does and, if the answer is lost, finds
-    /// out what became of it, within [`crate::platform::Options::resolve_within`].
+    /// Deletes a key as [`Client::compare_and_delete`] does and, if the answer is lost, finds
+    /// out what became of it, within [`crate::platform::Options::resolve_timeout`].
     ///
     /// A key that is found at the expected revision may still be deleted by the
     /// first copy, so the same deletion is sent again. One that is not found
--- a/src/replica/follow/poll.rs
+++ b/src/replica/follow/poll.rs
@@ -310,7 +310,7 @@
     ///
     /// A poll that brought changes is known to be as fresh as its question only,
     /// so that the one after it is kept short: an upstream's age stays below
-    /// [`crate::replica::Pace::most_age`] although polls without changes wait for
+    /// [`crate::replica::PollTiming::max_age`] although polls without changes wait for
     /// half as long. That holds also while nobody subscribes: whoever begins to in the
     /// middle of a longer poll would find the copy too old and leave again.
     fn wait(&self) -> Duration {
--- a/src/replica/follow/start.rs
+++ b/src/replica/follow/start.rs
@@ -53,7 +53,7 @@
     /// Machines that start together have their power back within 0.3 s of each
     /// other, so that those to be asked may not be there yet. Whoever waits in vain
     /// reads the store as well, and takes what comes first: one after the other, by
-    /// rank, from [`crate::replica::Pace::copy_wait`] on.
+    /// rank, from [`crate::replica::PollTiming::copy_wait`] on.
     ///
     /// While the store has not answered, all who may have a copy are asked, too. One
     /// search goes on through all tries of the store: a copy that takes longer on a thin
--- a/src/replica/store.rs
+++ b/src/replica/store.rs
@@ -50,7 +50,7 @@
     /// Age of the last contact with the store at which an upstream is left.
     pub max_age: Duration,
     /// Age below which an upstream is worth a subscription; lower than
-    /// `most_age`, or instances would come and go around it.
+    /// `max_age`, or instances would come and go around it.
     pub fresh_age: Duration,
 }
 
