--- a/benches/core.rs
+++ b/benches/core.rs
@@ -163,7 +163,7 @@
     group.bench_function("once_whole", |bencher| {
         bencher.iter_custom(|count| {
             batches(count, |size| {
-                let events = requests(&core, &mut next, size, Kind::Once);
+                let events = requests(&core, &mut next, size, Kind::NonIdempotent);
                 let (claimed, out) = run(&mut core, events);
                 let receipts = out.iter().flat_map(|actions| fixture::receipts(actions));
                 let receipts = receipts.collect();
@@ -184,7 +184,7 @@
                     next += 1;
                     Event::Peer {
                         from: fixture::holder("b"),
-                        body: peer::Body::Replicate(fixture::claim_step(&backup, next)),
+                        body: peer::PeerMessage::ReplicationStep(fixture::claim_step(&backup, next)),
                     }
                 });
                 let events = events.collect();
@@ -210,7 +210,7 @@
 fn backup() -> Core {
     let mut core = Core::new("b", "a", 0);
     for number in 0..PROMOTED {
-        let body = peer::Body::Replicate(fixture::feed_step(&core, number));
+        let body = peer::PeerMessage::ReplicationStep(fixture::feed_step(&core, number));
         let from = fixture::holder("b");
         core.handle(Event::Peer { from, body });
     }
@@ -325,20 +325,20 @@
         from: fixture::holder("a").to_string(),
         to: "b".to_owned(),
         sequence: 1 << 20,
-        body: Some(peer::Body::Relay(peer::Relay {
+        body: Some(peer::PeerMessage::Relay(peer::Relay {
             flow: Some(peer::pack_flow(&core.flow(1))),
             datagram: Bytes::from_static(fixture::GET),
             hops: 1,
             released: false,
         })),
     };
-    let sealed = wire::seal(&keys, &envelope);
+    let sealed = wire::sign_frame(&keys, &envelope);
     let me: id::Instance = fixture::name("b");
     group.bench_function("seal", |bencher| {
-        bencher.iter(|| wire::seal(&keys, black_box(&envelope)));
+        bencher.iter(|| wire::sign_frame(&keys, black_box(&envelope)));
     });
     group.bench_function("open", |bencher| {
-        bencher.iter(|| wire::open(&keys, &me, "10.0.0.1:7000", black_box(&sealed)));
+        bencher.iter(|| wire::verify_frame(&keys, &me, "10.0.0.1:7000", black_box(&sealed)));
     });
     group.finish();
 }
--- a/examples/policy/rounds.rs
+++ b/examples/policy/rounds.rs
@@ -313,7 +313,7 @@
             for server in 0..5 {
                 world.models[server].start(now);
                 for home in &world.homes {
-                    home.servers[server].disown();
+                    home.servers[server].revoke_confirmation();
                 }
             }
         });
@@ -500,7 +500,7 @@
                     world.models[server].stop();
                     world.models[server].start(now);
                     for home in &world.homes {
-                        home.servers[server].disown();
+                        home.servers[server].revoke_confirmation();
                     }
                 }
             });
--- a/examples/policy/world.rs
+++ b/examples/policy/world.rs
@@ -22,8 +22,8 @@
 use godwitreel::engine::Settings;
 use godwitreel::event::Event;
 use godwitreel::id;
-use godwitreel::member::View;
-use godwitreel::peer::Body;
+use godwitreel::member::MembershipView;
+use godwitreel::peer::PeerMessage;
 use godwitreel::request::Kind;
 use godwitreel::server::Server;
 use godwitreel::snapshot::Service;
@@ -98,9 +98,9 @@
     server % plan.zones.len()
 }
 
-fn view(holders: &[id::Holder], alive: &dyn Fn(usize) -> bool, until: Instant) -> View {
+fn view(holders: &[id::Holder], alive: &dyn Fn(usize) -> bool, until: Instant) -> MembershipView {
     let live = holders.iter().enumerate().filter(|(home, _)| alive(*home));
-    View {
+    MembershipView {
         live: live
             .map(|(_, holder)| holder.clone())
             .collect::<HashSet<_>>(),
@@ -183,7 +183,7 @@
         let until = self.start + Duration::from_secs(100_000);
         let view = Arc::new(view(&holders, &|home| alive[home], until));
         for home in 0..self.homes.len() {
-            self.feed(home, Event::Members(Arc::clone(&view)));
+            self.feed(home, Event::Membership(Arc::clone(&view)));
         }
     }
 
@@ -203,7 +203,7 @@
             let at = 0.2 + 3.0 * feed as f64 / self.plan.feeds as f64;
             let what = What::Return {
                 caller: feed as u64,
-                kind: Kind::Open,
+                kind: Kind::OpenFeed,
                 wanted: at,
                 comebacks: 0,
             };
@@ -304,9 +304,9 @@
         }
     }
 
-    fn peer(&mut self, to: usize, from: id::Holder, body: Body) {
+    fn peer(&mut self, to: usize, from: id::Holder, body: PeerMessage) {
         match body {
-            Body::Relay(relay) => self.reach_home(to, number(&relay.datagram), relay.hops),
+            PeerMessage::Relay(relay) => self.reach_home(to, number(&relay.datagram), relay.hops),
             body => self.feed(to, Event::Peer { from, body }),
         }
     }
@@ -398,8 +398,8 @@
                     );
                 }
             }
-            Action::Note(note) => self.measure.note(self.now >= self.plan.from, note.reason),
-            Action::Joined { .. } => {}
+            Action::TraceEvent(note) => self.measure.note(self.now >= self.plan.from, note.reason),
+            Action::BackupSynced { .. } => {}
         }
     }
 
@@ -409,7 +409,7 @@
             for (server, model) in home.servers.iter().zip(&self.models) {
                 match model.health {
                     Health::Silent => {}
-                    Health::Foreign => server.disown(),
+                    Health::Foreign => server.revoke_confirmation(),
                     health => {
                         server.state().draining = health == Health::Draining;
                         server.confirm(now, CONFIRM_FOR);
@@ -449,7 +449,7 @@
                     (sum.0 + loads[number].0, sum.1 + loads[number].1)
                 });
                 let mut state = server.state();
-                (state.elsewhere, state.feeds_elsewhere) = sum;
+                (state.peer_outstanding, state.peer_feeds) = sum;
             }
         }
     }
@@ -504,11 +504,11 @@
         const STALL: f64 = 10.0;
         let from = self.plan.from;
         for call in self.calls.values() {
-            let once = call.kind.runs_once();
+            let once = call.kind.is_non_idempotent();
             self.measure.doubles += u64::from(once && call.runs > 1);
             self.measure.lies += u64::from(once && call.refused && call.runs > 0);
             let young = call.wanted > self.plan.length - 20.0;
-            let counted = call.kind != Kind::Open && call.wanted >= from && !young;
+            let counted = call.kind != Kind::OpenFeed && call.wanted >= from && !young;
             self.measure.silent += u64::from(counted && !call.done);
         }
         for watcher in self.watchers.values().filter(|watcher| watcher.open) {
--- a/examples/policy/world/caller.rs
+++ b/examples/policy/world/caller.rs
@@ -8,7 +8,7 @@
 use godwitreel::request::Id;
 use godwitreel::request::Kind;
 use godwitreel::request::Outcome;
-use godwitreel::request::Part;
+use godwitreel::request::BodyBlock;
 use godwitreel::request::Receipt;
 use godwitreel::request::Request;
 use godwitreel::request::Token;
@@ -51,7 +51,7 @@
         let wait = -self.rng.random::<f64>().max(1e-12).ln() / rate;
         self.after(wait, What::Arrival);
         let once = self.rng.random::<f64>() < self.plan.once;
-        let kind = if once { Kind::Once } else { Kind::Idempotent };
+        let kind = if once { Kind::NonIdempotent } else { Kind::Idempotent };
         let caller = 1_000_000 + self.rng.random_range(0..5_000);
         self.call(caller, kind, self.now, 0);
     }
@@ -117,7 +117,7 @@
             token: Token(number.into()),
             kind: call.kind,
             confirmable: true,
-            part: Part::default(),
+            block: BodyBlock::default(),
             datagram: Bytes::copy_from_slice(&number.to_be_bytes()),
         })
     }
@@ -137,7 +137,7 @@
         let count = wanted >= self.plan.from;
         match outcome {
             Outcome::Answered(_) => {
-                if kind == Kind::Open {
+                if kind == Kind::OpenFeed {
                     let watcher = Watcher {
                         seen: now,
                         gap: 0.0,
@@ -145,11 +145,11 @@
                     };
                     self.watchers.insert(number, watcher);
                 } else if count {
-                    self.measure.answered(now - wanted, kind.runs_once());
+                    self.measure.answered(now - wanted, kind.is_non_idempotent());
                 }
             }
             Outcome::NotRun { retry_after } => {
-                let again = kind == Kind::Open || comebacks < self.plan.comebacks;
+                let again = kind == Kind::OpenFeed || comebacks < self.plan.comebacks;
                 if again {
                     let jitter = 0.5 + self.rng.random::<f64>();
                     let told = f64::from(retry_after) * jitter;
@@ -169,8 +169,8 @@
                 }
             }
             Outcome::Unknown if count => {
-                self.measure.unknown += u64::from(kind.runs_once());
-                self.measure.late += u64::from(!kind.runs_once());
+                self.measure.unknown += u64::from(kind.is_non_idempotent());
+                self.measure.late += u64::from(!kind.is_non_idempotent());
             }
             Outcome::Unknown => {}
         }
--- a/examples/policy/world/event.rs
+++ b/examples/policy/world/event.rs
@@ -3,7 +3,7 @@
 use std::cmp::Ordering;
 
 use godwitreel::id;
-use godwitreel::peer::Body;
+use godwitreel::peer::PeerMessage;
 use godwitreel::request::Answer;
 use godwitreel::request::Flow;
 use godwitreel::request::Kind;
@@ -20,7 +20,7 @@
     Peer {
         to: usize,
         from: usize,
-        body: Body,
+        body: PeerMessage,
     },
     ToServer {
         server: usize,
--- a/examples/policy/world/server.rs
+++ b/examples/policy/world/server.rs
@@ -97,7 +97,7 @@
     }
 
     pub(super) fn reach_server(&mut self, server: usize, job: Job) {
-        let open = self.calls.get(&job.number).map(|call| call.kind) == Some(Kind::Open);
+        let open = self.calls.get(&job.number).map(|call| call.kind) == Some(Kind::OpenFeed);
         let model = &mut self.models[server];
         if !model.up {
             return;
@@ -207,8 +207,8 @@
 pub(super) fn plain(verdict: Verdict, feed: bool) -> Answer {
     Answer {
         verdict,
-        feed,
-        more: false,
+        keeps_feed_open: feed,
+        has_more_blocks: false,
         retry_after: None,
         datagram: Bytes::from_static(b"answer"),
     }
--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -27,12 +27,12 @@
 use fixture::Core;
 use godwitreel::control;
 use godwitreel::control::Command;
-use godwitreel::control::Control;
-use godwitreel::control::Written;
+use godwitreel::control::SlicePlanner;
+use godwitreel::control::WriteResult;
 use godwitreel::event::Event;
 use godwitreel::id;
 use godwitreel::peer;
-use godwitreel::peer::Body;
+use godwitreel::peer::PeerMessage;
 use godwitreel::request::Kind;
 use godwitreel::snapshot::Snapshot;
 use godwitreel::table;
@@ -143,15 +143,15 @@
     fit::report("slice table", "bytes by slices", &slices);
 }
 
-fn keep_copies(core: &mut Core, count: u32, step: fn(&Core, u32) -> peer::Replicate) {
+fn keep_copies(core: &mut Core, count: u32, step: fn(&Core, u32) -> peer::ReplicationStep) {
     // Copies are kept by the backup: another instance is home.
     core.handle(Event::Table(fixture::table(fixture::SLICES, 2, "b", "a")));
     for number in 0..count {
-        let message = peer::Replicate {
+        let message = peer::ReplicationStep {
             epoch: 2,
             ..step(core, number)
         };
-        let body = Body::Replicate(message);
+        let body = PeerMessage::ReplicationStep(message);
         let from = fixture::holder("b");
         core.handle(Event::Peer { from, body });
     }
@@ -162,7 +162,7 @@
         if number % PER_SECOND == 0 {
             core.advance(Duration::from_secs(1));
         }
-        let claimed = core.handle(core.request(number, 1, Kind::Once));
+        let claimed = core.handle(core.request(number, 1, Kind::NonIdempotent));
         let forwarded = core.acknowledge(&claimed);
         let sent = fixture::sent(&forwarded).expect("forwarded");
         core.handle(fixture::answer(sent, false));
@@ -241,13 +241,13 @@
         leaving: false,
         digest: 0x0123_4567_89ab_cdef,
         loads: Some((0..loads as u32).map(load).collect()),
-        trimmed: false,
+        loads_omitted: false,
     }
 }
 
 /// A control task's decisions with so many peers, all slices placed evenly.
-fn controller(now: Instant, slices: u32, peers: usize) -> Control {
-    let mut control = Control::new(
+fn controller(now: Instant, slices: u32, peers: usize) -> SlicePlanner {
+    let mut control = SlicePlanner::new(
         control::Settings {
             me: fixture::holder("i0"),
             zone: fixture::name("zone-0"),
@@ -255,7 +255,7 @@
             slices,
             suspect_after: Duration::from_secs(3),
             isolation_limit: Duration::from_secs(1_800),
-            outsider_wait: Duration::from_secs(1_980),
+            recordless_takeover_wait: Duration::from_secs(1_980),
         },
         now,
     );
@@ -270,8 +270,8 @@
             rows: rows(number, peers),
         };
         let value = serde_json::to_value(&document).expect("document");
-        let key = format!("{}{number}", control::SLICES);
-        control.store(now, &fixture::entry(key, 1, &value));
+        let key = format!("{}{number}", control::SLICES_PREFIX);
+        control.apply_entry(now, &fixture::entry(key, 1, &value));
     }
     control
 }
@@ -309,7 +309,7 @@
         .iter()
         .map(|count| {
             let bytes = held(|| {
-                let mut guard = wire::Guard::default();
+                let mut guard = wire::ReplayGuard::default();
                 for number in 0..*count {
                     guard.admit(&fixture::holder(&format!("i{number}")), 1);
                 }
@@ -333,10 +333,10 @@
 }
 
 /// Lets writes end, so that the next look is one in calm.
-fn settle_writes(control: &mut Control, now: Instant) {
+fn settle_writes(control: &mut SlicePlanner, now: Instant) {
     for command in control.tick(now) {
         if let Command::Write { document, .. } = command {
-            control.written(now, document, Written::Lost(None));
+            control.write_finished(now, document, WriteResult::Lost(None));
         }
     }
 }
@@ -413,7 +413,7 @@
 }
 
 /// Length of a frame with this body.
-fn frame(body: Body) -> f64 {
+fn frame(body: PeerMessage) -> f64 {
     let keys = wire::Keys::new([&[7u8; 32][..]]).expect("keys");
     let envelope = wire::Envelope {
         from: fixture::holder("bole-1").to_string(),
@@ -421,14 +421,14 @@
         sequence: 1 << 20,
         body: Some(body),
     };
-    wire::seal(&keys, &envelope).len() as f64
+    wire::sign_frame(&keys, &envelope).len() as f64
 }
 
 fn bytes() {
     let core = Core::new("a", "b", 0);
     let loads: Vec<(f64, f64)> = [0, 8, 16, 32]
         .iter()
-        .map(|loads| (*loads as f64, frame(Body::Heartbeat(heartbeat(1, *loads)))))
+        .map(|loads| (*loads as f64, frame(PeerMessage::Heartbeat(heartbeat(1, *loads)))))
         .collect();
     fit::report("heartbeat frame", "bytes by loads", &loads);
     let rows: Vec<(f64, f64)> = [64, 128, 256, 1_024]
@@ -443,12 +443,12 @@
         })
         .collect();
     fit::report("slice table document", "bytes by rows", &rows);
-    let join = |step: fn(&Core, u32) -> peer::Replicate| -> Vec<(f64, f64)> {
+    let join = |step: fn(&Core, u32) -> peer::ReplicationStep| -> Vec<(f64, f64)> {
         [1_000, 2_000, 5_000, 10_000]
             .iter()
             .map(|count| {
-                let steps = (0..*count).map(|number| frame(Body::Replicate(step(&core, number))));
-                let acknowledgement = frame(Body::Replicated(peer::Replicated {
+                let steps = (0..*count).map(|number| frame(PeerMessage::ReplicationStep(step(&core, number))));
+                let acknowledgement = frame(PeerMessage::ReplicationAck(peer::ReplicationAck {
                     slice: 1_000,
                     epoch: 3,
                     number: 1 << 20,
@@ -476,7 +476,7 @@
             let slices = (0..*count).collect();
             (
                 f64::from(*count),
-                frame(Body::Yield(peer::Yield { slices })),
+                frame(PeerMessage::TakeoverRequest(peer::TakeoverRequest { slices })),
             )
         })
         .collect();
@@ -490,7 +490,7 @@
                 modified: entry.mod_revision,
             });
             let have = have.collect();
-            (*servers as f64, frame(Body::Pull(peer::Pull { have })))
+            (*servers as f64, frame(PeerMessage::ConfigRequest(peer::ConfigRequest { known_versions: have })))
         })
         .collect();
     fit::report(
--- a/examples/utils/fixture.rs
+++ b/examples/utils/fixture.rs
@@ -15,7 +15,7 @@
 use godwitreel::event::Event;
 use godwitreel::id;
 use godwitreel::member::Member;
-use godwitreel::member::View;
+use godwitreel::member::MembershipView;
 use godwitreel::peer;
 use godwitreel::platform::Entry;
 use godwitreel::request::Answer;
@@ -147,10 +147,10 @@
 }
 
 /// A view in which these instances live.
-pub(crate) fn view(now: Instant, instances: &[&str]) -> Arc<View> {
-    let mut view = View {
+pub(crate) fn view(now: Instant, instances: &[&str]) -> Arc<MembershipView> {
+    let mut view = MembershipView {
         authority_until: Some(now + LONG),
-        ..View::default()
+        ..MembershipView::default()
     };
     for (place, instance) in instances.iter().enumerate() {
         let address = SocketAddr::new(Ipv4Addr::new(10, 9, 0, place as u8).into(), 7_000);
@@ -199,7 +199,7 @@
             now,
             Event::Snapshot(Arc::new(config(1, SERVERS).snapshot())),
         );
-        engine.handle(now, Event::Members(view(now, &["a", "b", "c"])));
+        engine.handle(now, Event::Membership(view(now, &["a", "b", "c"])));
         engine.handle(now, Event::Table(table(SLICES, 1, home, backup)));
         Self {
             engine,
@@ -225,8 +225,8 @@
     /// A request event.
     pub(crate) fn request(&self, number: u32, id: u128, kind: Kind) -> Event {
         let datagram = match kind {
-            Kind::Once => POST,
-            Kind::Open => OBSERVE,
+            Kind::NonIdempotent => POST,
+            Kind::OpenFeed => OBSERVE,
             _ => GET,
         };
         Event::Request {
@@ -236,7 +236,7 @@
                 token: Token(4 << 64 | 0x0102_0304),
                 kind,
                 confirmable: true,
-                part: godwitreel::request::Part::default(),
+                block: godwitreel::request::BodyBlock::default(),
                 datagram: Bytes::copy_from_slice(datagram),
             },
             hops: 0,
@@ -251,7 +251,7 @@
     pub(crate) fn open_feeds(&mut self, first: u32, count: u32) -> Vec<Sent> {
         (first..first + count)
             .map(|number| {
-                let opened = self.handle(self.request(number, 1, Kind::Open));
+                let opened = self.handle(self.request(number, 1, Kind::OpenFeed));
                 let sent = sent(&opened).expect("forwarded");
                 let done = self.handle(answer(sent, true));
                 self.acknowledge(&done);
@@ -290,8 +290,8 @@
         attempt: sent.attempt,
         answer: Answer {
             verdict: Verdict::Handled,
-            feed,
-            more: false,
+            keeps_feed_open: feed,
+            has_more_blocks: false,
             retry_after: None,
             datagram: Bytes::copy_from_slice(NOTIFICATION),
         },
@@ -303,10 +303,10 @@
     let step = |action: &Action| match action {
         Action::Peer {
             to,
-            body: peer::Body::Replicate(step),
+            body: peer::PeerMessage::ReplicationStep(step),
         } => Some(Event::Peer {
             from: to.clone(),
-            body: peer::Body::Replicated(peer::Replicated {
+            body: peer::PeerMessage::ReplicationAck(peer::ReplicationAck {
                 slice: step.slice,
                 epoch: step.epoch,
                 number: step.number,
@@ -318,14 +318,14 @@
 }
 
 /// What a home sends its backup about the feed of a caller.
-pub(crate) fn feed_step(core: &Core, number: u32) -> peer::Replicate {
+pub(crate) fn feed_step(core: &Core, number: u32) -> peer::ReplicationStep {
     let flow = core.flow(number);
     let slice = godwitreel::table::slice(SLICES, 7, &flow);
-    peer::Replicate {
+    peer::ReplicationStep {
         slice: slice.0,
         epoch: 1,
         number: u64::from(number) + 1,
-        item: Some(peer::Item::Feed(peer::Feed {
+        item: Some(peer::ReplicationItem::Feed(peer::Feed {
             flow: Some(peer::pack_flow(&flow)),
             token: peer::pack_number(4 << 64 | 0x0102_0304),
             server: format!("server-{}", number as usize % SERVERS),
@@ -336,14 +336,14 @@
 }
 
 /// What a home sends its backup about a non-idempotent request.
-pub(crate) fn claim_step(core: &Core, number: u32) -> peer::Replicate {
+pub(crate) fn claim_step(core: &Core, number: u32) -> peer::ReplicationStep {
     let flow = core.flow(number);
     let slice = godwitreel::table::slice(SLICES, 7, &flow);
-    peer::Replicate {
+    peer::ReplicationStep {
         slice: slice.0,
         epoch: 1,
         number: u64::from(number) + 1,
-        item: Some(peer::Item::Claim(peer::Claim {
+        item: Some(peer::ReplicationItem::Claim(peer::Claim {
             flow: Some(peer::pack_flow(&flow)),
             id: peer::pack_number(0x1234 << 72 | 4 << 64 | 0x0102_0304),
             claimer: String::new(),
--- a/examples/utils/fleet.rs
+++ b/examples/utils/fleet.rs
@@ -348,7 +348,7 @@
     pub(crate) fn table(&self) -> table::Table {
         let mut table = table::Table::new(self.slices);
         for number in 0..self.slices.div_ceil(table::ROWS_PER_DOCUMENT) {
-            let key = format!("{}{number}", godwitreel::control::SLICES);
+            let key = format!("{}{number}", godwitreel::control::SLICES_PREFIX);
             let value = self.platform.get(&key).unwrap_or_default();
             let document: table::Document = serde_json::from_slice(&value).expect("document");
             let first = number * table::ROWS_PER_DOCUMENT;
--- a/src/action.rs
+++ b/src/action.rs
@@ -95,22 +95,22 @@
         /// The receiver; dropped if it is gone.
         to: id::Holder,
         /// The message.
-        body: peer::Body,
+        body: peer::PeerMessage,
     },
     /// The new backup of this slice has all records.
-    Joined {
+    BackupSynced {
         /// The slice.
         slice: id::Slice,
         /// The backup.
         backup: id::Holder,
     },
     /// Something worth counting, logging and explaining.
-    Note(Note),
+    TraceEvent(TraceEvent),
 }
 
 /// An entry for metrics, logs and `explain`.
 #[derive(Clone, Debug)]
-pub struct Note {
+pub struct TraceEvent {
     /// What happened.
     pub reason: Reason,
     /// To whom.
@@ -129,7 +129,7 @@
     pub elapsed: Option<Duration>,
 }
 
-impl Note {
+impl TraceEvent {
     /// A note of a reason alone.
     pub fn new(reason: Reason) -> Self {
         Self {
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -49,7 +49,7 @@
 pub fn is_gone(service: &Service, server: &Server, now: Instant) -> bool {
     let confirmed = server.state().confirmed_until;
     let over = confirmed.is_none_or(|until| now >= until + GONE_AFTER);
-    over && !may_return(service, server, now)
+    over && !accepts_pinned_work(service, server, now)
 }
 
 /// Servers whose feeds are uneven enough to move some.
@@ -69,7 +69,7 @@
     let mut loads = Vec::new();
     for server in &service.servers {
         let state = server.state();
-        if is_known(&state, trust, now) && !state.is_closed() && !state.is_resting(now) {
+        if is_known(&state, trust, now) && !state.is_closed() && !state.is_in_cooldown(now) {
             let size = f64::from(server.slots) * state.warmth(now, profile);
             loads.push((server, f64::from(state.feed_load()), size));
         }
@@ -89,7 +89,7 @@
 
 /// What the work will occupy at the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Work {
+pub enum WorkKind {
     /// A slot for a short while.
     Request,
     /// A connection for a long while.
@@ -126,7 +126,7 @@
 }
 
 /// Whether work that belongs at this very server may be sent there.
-pub fn may_return(service: &Service, server: &Server, now: Instant) -> bool {
+pub fn accepts_pinned_work(service: &Service, server: &Server, now: Instant) -> bool {
     let trust = on_trust(service, now);
     is_known(&server.state(), trust, now)
 }
@@ -135,7 +135,7 @@
 pub fn choose(
     service: &Service,
     flow: &Flow,
-    work: Work,
+    work: WorkKind,
     zone: &id::Zone,
     tried: &[id::Server],
     now: Instant,
@@ -155,7 +155,7 @@
 
 fn candidates<'a>(
     service: &'a Service,
-    work: Work,
+    work: WorkKind,
     zone: &id::Zone,
     tried: &[id::Server],
     now: Instant,
@@ -169,7 +169,7 @@
         .filter(usable)
         .filter_map(|server| {
             let state = server.state();
-            if !is_known(&state, trust, now) || state.is_closed() || state.is_resting(now) {
+            if !is_known(&state, trust, now) || state.is_closed() || state.is_in_cooldown(now) {
                 return None;
             }
             let load = weigh(server, &state, work, now, profile)?;
@@ -186,18 +186,18 @@
 fn weigh(
     server: &Server,
     state: &State,
-    work: Work,
+    work: WorkKind,
     now: Instant,
     profile: &Profile,
 ) -> Option<f64> {
     let warmth = state.warmth(now, profile);
     let full = f64::from(server.slots) * f64::from(1 + profile.queue_per_slot);
-    let room = work == Work::Feed || f64::from(state.load()) < (full * warmth).max(1.0);
+    let room = work == WorkKind::Feed || f64::from(state.load()) < (full * warmth).max(1.0);
     let load = match work {
         // A request is over long before the next heartbeat: ranking by what peers
         // told sends everyone to the server that was idle a second ago.
-        Work::Request => state.outstanding,
-        Work::Feed => state.feed_load(),
+        WorkKind::Request => state.outstanding,
+        WorkKind::Feed => state.feed_load(),
     };
     room.then(|| f64::from(load) / (f64::from(server.slots) * warmth))
 }
--- a/src/budget.rs
+++ b/src/budget.rs
@@ -12,11 +12,11 @@
 
 /// Account of retries for one service at one worker.
 #[derive(Clone, Copy, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     saved: u64,
 }
 
-impl Default for Budget {
+impl Default for RetryBudget {
     fn default() -> Self {
         Self {
             saved: MOST_SAVED * ONE_RETRY,
@@ -24,7 +24,7 @@
     }
 }
 
-impl Budget {
+impl RetryBudget {
     /// Pays in for a first attempt.
     pub fn deposit(&mut self, percent: u32) {
         let most = MOST_SAVED * ONE_RETRY;
--- a/src/codec.rs
+++ b/src/codec.rs
@@ -24,7 +24,7 @@
 use crate::request::Id;
 use crate::request::Kind;
 use crate::request::Outcome;
-use crate::request::Part;
+use crate::request::BodyBlock;
 use crate::request::Receipt;
 use crate::request::Request;
 use crate::request::Token;
@@ -165,7 +165,7 @@
                 kind: kind_of(method, &packet)
                     .ok_or_else(|| refuse(&flow.caller, "unknown method".to_owned()))?,
                 confirmable: kind == MessageType::Confirmable,
-                part: part_of(method, &packet),
+                block: part_of(method, &packet),
                 datagram: datagram.clone(),
             }))
         }
@@ -179,8 +179,8 @@
 fn kind_of(method: RequestType, packet: &Packet) -> Option<Kind> {
     let observe = option(packet, CoapOption::Observe);
     match (method, observe) {
-        (RequestType::Get | RequestType::Fetch, Some(OBSERVE_OPEN)) => Some(Kind::Open),
-        (RequestType::Get | RequestType::Fetch, Some(OBSERVE_CLOSE)) => Some(Kind::Close),
+        (RequestType::Get | RequestType::Fetch, Some(OBSERVE_OPEN)) => Some(Kind::OpenFeed),
+        (RequestType::Get | RequestType::Fetch, Some(OBSERVE_CLOSE)) => Some(Kind::CloseFeed),
         (
             RequestType::Get
             | RequestType::Fetch
@@ -189,20 +189,20 @@
             | RequestType::IPatch,
             _,
         ) => Some(Kind::Idempotent),
-        (RequestType::Post | RequestType::Patch, _) => Some(Kind::Once),
+        (RequestType::Post | RequestType::Patch, _) => Some(Kind::NonIdempotent),
         (RequestType::UnKnown, _) => None,
     }
 }
 
-fn part_of(method: RequestType, packet: &Packet) -> Part {
+fn part_of(method: RequestType, packet: &Packet) -> BodyBlock {
     let later = |block| {
         let value = option(packet, block);
         value.is_some_and(|value| value >> BLOCK_NUMBER_SHIFT > 0)
     };
-    Part {
-        body: body_of(method, packet),
-        later: later(CoapOption::Block1) || later(CoapOption::Block2),
-        upload: packet.get_option(CoapOption::Block1).is_some(),
+    BodyBlock {
+        body_id: body_of(method, packet),
+        is_continuation: later(CoapOption::Block1) || later(CoapOption::Block2),
+        is_upload: packet.get_option(CoapOption::Block1).is_some(),
     }
 }
 
@@ -287,8 +287,8 @@
         || code == MessageClass::Response(ResponseType::Continue);
     let answer = Answer {
         verdict,
-        feed: packet.get_option(CoapOption::Observe).is_some(),
-        more,
+        keeps_feed_open: packet.get_option(CoapOption::Observe).is_some(),
+        has_more_blocks: more,
         retry_after: option(&packet, CoapOption::MaxAge),
         datagram: datagram.clone(),
     };
--- a/src/control.rs
+++ b/src/control.rs
@@ -20,7 +20,7 @@
 use crate::id;
 use crate::peer;
 use crate::peer::member::Member;
-use crate::peer::member::View;
+use crate::peer::member::MembershipView;
 use crate::platform::Entry;
 use crate::table::Document;
 use crate::table::ROWS_PER_DOCUMENT;
@@ -28,7 +28,7 @@
 use crate::table::Table;
 
 /// Prefix of the slice table's documents.
-pub const SLICES: &str = "godwitreel/slices/";
+pub const SLICES_PREFIX: &str = "godwitreel/slices/";
 
 /// Prefix of the instances' registrations.
 pub const INSTANCES: &str = "godwitreel/instances/";
@@ -52,7 +52,7 @@
     /// Silence of the platform after which non-idempotent work stops.
     pub isolation_limit: Duration,
     /// Unbroken contact with the platform before a slice is taken without records.
-    pub outsider_wait: Duration,
+    pub recordless_takeover_wait: Duration,
 }
 
 /// An instance's registration in the platform, under a lease.
@@ -83,16 +83,16 @@
         rows: Vec<Row>,
     },
     /// Copy the records of these slices to a new backup.
-    Join {
+    AddBackup {
         /// The slices.
         slices: Vec<id::Slice>,
         /// The backup.
         backup: id::Holder,
     },
     /// Go on without the backup that was being joined.
-    Abandon(Vec<id::Slice>),
+    CancelBackup(Vec<id::Slice>),
     /// Ask a backup to take slices over.
-    Yield {
+    RequestTakeover {
         /// The backup.
         to: id::Holder,
         /// The slices.
@@ -101,12 +101,12 @@
     /// The workers need the new table.
     Table(Arc<Table>),
     /// The workers need the new view.
-    Members(Arc<View>),
+    Membership(Arc<MembershipView>),
 }
 
 /// How a write of a document ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Written {
+pub enum WriteResult {
     /// It stands, at this version.
     Done(u64),
     /// It did not take effect, or was replaced; this is what stands.
@@ -141,7 +141,7 @@
 
 /// The control task's state.
 #[derive(Debug)]
-pub struct Control {
+pub struct SlicePlanner {
     settings: Settings,
     started: Instant,
     table: Table,
@@ -166,10 +166,10 @@
     silent: bool,
     leaving: bool,
     table_changed: bool,
-    view: Arc<View>,
+    view: Arc<MembershipView>,
 }
 
-impl Control {
+impl SlicePlanner {
     /// Starts without any knowledge.
     pub fn new(settings: Settings, now: Instant) -> Self {
         let documents = settings.slices.div_ceil(ROWS_PER_DOCUMENT);
@@ -198,8 +198,8 @@
     }
 
     /// Takes a registration or a document of the table, from platform or peer.
-    pub fn store(&mut self, now: Instant, entry: &Entry) {
-        if let Some(number) = entry.key.strip_prefix(SLICES) {
+    pub fn apply_entry(&mut self, now: Instant, entry: &Entry) {
+        if let Some(number) = entry.key.strip_prefix(SLICES_PREFIX) {
             if let Ok(number) = number.parse::<u32>() {
                 self.store_document(now, number, entry);
             }
@@ -337,7 +337,7 @@
     }
 
     /// A home asks this instance, its backup, to take slices over.
-    pub fn yielded(&mut self, now: Instant, from: &id::Holder, slices: &[u32]) {
+    pub fn takeover_requested(&mut self, now: Instant, from: &id::Holder, slices: &[u32]) {
         for slice in slices {
             let slice = id::Slice(*slice);
             if slice.0 < self.table.len() && self.table.row(slice).is_home(from) {
@@ -347,7 +347,7 @@
     }
 
     /// A new backup has all records of a slice.
-    pub fn joined(&mut self, slice: id::Slice, backup: &id::Holder) {
+    pub fn backup_synced(&mut self, slice: id::Slice, backup: &id::Holder) {
         if let Some(joining) = self.joining.get_mut(&slice)
             && joining.backup == *backup
         {
@@ -356,13 +356,13 @@
     }
 
     /// A write has ended.
-    pub fn written(&mut self, now: Instant, document: u32, written: Written) {
+    pub fn write_finished(&mut self, now: Instant, document: u32, written: WriteResult) {
         let Some(part) = self.parts.get_mut(document as usize) else {
             return;
         };
         let rows = part.writing.take().unwrap_or_default();
         match written {
-            Written::Done(version) => {
+            WriteResult::Done(version) => {
                 part.uncertain = None;
                 if part.version.is_none_or(|known| known < version) {
                     part.version = Some(version);
@@ -371,12 +371,12 @@
                     }
                 }
             }
-            Written::Lost(entry) => {
+            WriteResult::Lost(entry) => {
                 if let Some(entry) = entry {
                     self.store_document(now, document, &entry);
                 }
             }
-            Written::Unknown => part.uncertain = Some(part.version),
+            WriteResult::Unknown => part.uncertain = Some(part.version),
         }
     }
 
--- a/src/control/plan.rs
+++ b/src/control/plan.rs
@@ -11,11 +11,11 @@
 use tokio::time::Instant;
 
 use super::Command;
-use super::Control;
+use super::SlicePlanner;
 use super::Joining;
 use crate::id;
 use crate::peer::member::Member;
-use crate::peer::member::View;
+use crate::peer::member::MembershipView;
 use crate::table::ROWS_PER_DOCUMENT;
 use crate::table::Row;
 
@@ -52,7 +52,7 @@
     backups: u32,
 }
 
-impl Control {
+impl SlicePlanner {
     /// Looks at everything and says what to do.
     pub fn tick(&mut self, now: Instant) -> Vec<Command> {
         let mut commands = Vec::new();
@@ -101,11 +101,11 @@
     }
 
     fn offer_view(&mut self, now: Instant, commands: &mut Vec<Command>) {
-        let mut view = View {
+        let mut view = MembershipView {
             authority_until: self
                 .listed_at
                 .map(|listed| listed + self.settings.isolation_limit),
-            ..View::default()
+            ..MembershipView::default()
         };
         view.live.insert(self.settings.me.clone());
         for (member, _) in self.peers() {
@@ -119,7 +119,7 @@
             return;
         }
         self.view = Arc::new(view);
-        commands.push(Command::Members(Arc::clone(&self.view)));
+        commands.push(Command::Membership(Arc::clone(&self.view)));
     }
 
     /// Keeps since when each holder has had no registration.
@@ -160,7 +160,7 @@
     /// registration for so long that it has stopped by its own clock.
     fn is_gone(&self, now: Instant, holder: &id::Holder) -> bool {
         let since = self.gone.get(holder);
-        since.is_some_and(|since| now >= *since + self.settings.outsider_wait)
+        since.is_some_and(|since| now >= *since + self.settings.recordless_takeover_wait)
             && self.is_dead(now, holder)
     }
 
@@ -232,7 +232,7 @@
             self.migrating.remove(slice);
         }
         if !slices.is_empty() {
-            commands.push(Command::Abandon(slices));
+            commands.push(Command::CancelBackup(slices));
         }
     }
 
@@ -432,7 +432,7 @@
                 };
                 self.joining.insert(*slice, joining);
             }
-            commands.push(Command::Join { slices, backup });
+            commands.push(Command::AddBackup { slices, backup });
         }
     }
 
@@ -485,7 +485,7 @@
         }
         self.asked = Some(now);
         for (to, slices) in asked {
-            commands.push(Command::Yield { to, slices });
+            commands.push(Command::RequestTakeover { to, slices });
         }
     }
 
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -19,15 +19,15 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-use crate::action::Note;
+use crate::action::TraceEvent;
 use crate::burn::Ledger;
 use crate::control;
-use crate::control::Control;
+use crate::control::SlicePlanner;
 use crate::control::Registration;
 use crate::edge;
 use crate::engine;
 use crate::engine::Engine;
-use crate::engine::PATHS;
+use crate::engine::SERVER_SOCKETS;
 use crate::error::Error;
 use crate::error::Result;
 use crate::event::Event;
@@ -46,10 +46,10 @@
 use crate::shared::Parts;
 use crate::shared::Shared;
 use crate::steer;
-use crate::steer::Steer;
+use crate::steer::ControlTask;
 use crate::worker::Observe;
-use crate::worker::Outlet;
-use crate::worker::Pool;
+use crate::worker::Outputs;
+use crate::worker::WorkerPool;
 
 /// How long a stopping instance passes datagrams on after it has handed its
 /// slices over: the fabric learns late that it has gone, and the registrations
@@ -109,26 +109,26 @@
     let ring = Arc::new(explain::Ring::default());
     let ledger = Arc::new(Mutex::new(Ledger::new(me.clone(), Instant::now())));
     let (joined, joins) = mpsc::unbounded_channel();
-    let paths: Result<Vec<_>> = (0..PATHS)
+    let paths: Result<Vec<_>> = (0..SERVER_SOCKETS)
         .map(|_| edge::bind((settings.backend_bind, 0).into()))
         .collect();
-    let outlet = Arc::new(Outlet {
+    let outputs = Arc::new(Outputs {
         listeners: RwLock::default(),
-        paths: paths?,
+        server_sockets: paths?,
         link: Arc::clone(&link),
-        joined,
+        synced_backups: joined,
         observe: observer(&metrics, &ring, &ledger, &log),
-        message: AtomicUsize::new(me.incarnation.0 as usize),
+        next_message: AtomicUsize::new(me.incarnation.0 as usize),
     });
     let engines = engines(&settings, &me);
-    let pool = Pool::start(engines, &outlet, settings.slices, settings.hash_key)?;
-    let control = Control::new(control_settings(&settings, &me), Instant::now());
+    let pool = WorkerPool::start(engines, &outputs, settings.slices, settings.hash_key)?;
+    let control = SlicePlanner::new(control_settings(&settings, &me), Instant::now());
     let shared = Arc::new(Shared::new(Parts {
         settings,
         me,
         log,
         pool,
-        outlet,
+        outputs,
         link,
         metrics,
         ring,
@@ -138,17 +138,17 @@
     let (told, tells) = mpsc::unbounded_channel();
     edge::peers(Arc::clone(&shared), &receiving, told.clone())?;
     edge::copies(Arc::clone(&shared), copies);
-    for path in 0..PATHS as usize {
+    for path in 0..SERVER_SOCKETS as usize {
         edge::answers(Arc::clone(&shared), path)?;
     }
     let (stop, stopping) = watch::channel(false);
     let (wanted, registered) = watch::channel(registration_of(&shared));
     let registration = tokio::spawn(registration::keep(client.clone(), registered));
-    for prefix in steer::FOLLOWED {
+    for prefix in steer::WATCHED_PREFIXES {
         let follow = steer::follow(client.clone(), prefix, told.clone());
         shared.spawn(follow);
     }
-    let steer = Steer::new(Arc::clone(&shared), client, told, wanted, stopping);
+    let steer = ControlTask::new(Arc::clone(&shared), client, told, wanted, stopping);
     shared.spawn(steer.run(tells, joins));
     shared.spawn(check_health(Arc::clone(&shared)));
     shared.spawn(serve(Arc::clone(&shared), status));
@@ -177,7 +177,7 @@
                 // the end would cut off whatever came last.
                 closing = true;
                 info!(self.shared.log, "refusing new work");
-                self.shared.pool.tell(&Event::Closing);
+                self.shared.pool.broadcast(&Event::Stopping);
             }
             if closing && self.in_progress() == 0 {
                 break;
@@ -292,7 +292,7 @@
         slices: settings.slices,
         suspect_after: settings.suspect_after(),
         isolation_limit: settings.isolation_limit(),
-        outsider_wait: settings.outsider_wait(),
+        recordless_takeover_wait: settings.outsider_wait(),
     }
 }
 
@@ -329,7 +329,7 @@
 }
 
 /// Counts a final outcome for the burn report; a feed that was lost is a bad event.
-fn count(ledger: &Mutex<Ledger>, now: Instant, note: &Note) {
+fn count(ledger: &Mutex<Ledger>, now: Instant, note: &TraceEvent) {
     let Some(flow) = &note.flow else {
         return;
     };
--- a/src/edge.rs
+++ b/src/edge.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::UnboundedSender;
 
-use crate::action::Note;
+use crate::action::TraceEvent;
 use crate::codec;
 use crate::codec::Inbound;
 use crate::codec::Reply;
@@ -18,7 +18,7 @@
 use crate::id;
 use crate::inbox::Told;
 use crate::peer;
-use crate::peer::Body;
+use crate::peer::PeerMessage;
 use crate::reason::Reason;
 use crate::request::Flow;
 use crate::shared::Shared;
@@ -80,7 +80,7 @@
     let slice = shared.pool.slice(&flow);
     match codec::read_caller(&flow, &datagram) {
         Ok(Inbound::Request(request)) => {
-            shared.pool.give(slice, Event::Request { request, hops });
+            shared.pool.enqueue(slice, Event::Request { request, hops });
         }
         Ok(Inbound::Receipt { message, receipt }) => {
             let event = Event::Receipt {
@@ -90,7 +90,7 @@
                 hops,
                 datagram,
             };
-            shared.pool.give(slice, event);
+            shared.pool.enqueue(slice, event);
         }
         Ok(Inbound::Ping { message }) => return Some(message),
         Err(_) => note(shared, Reason::BadDatagram),
@@ -99,12 +99,12 @@
 }
 
 fn note(shared: &Shared, reason: Reason) {
-    (shared.outlet.observe)(tokio::time::Instant::now(), &Note::new(reason));
+    (shared.outputs.observe)(tokio::time::Instant::now(), &TraceEvent::new(reason));
 }
 
 /// Starts receiving from backend servers on one path.
 pub(crate) fn answers(shared: Arc<Shared>, path: usize) -> Result<()> {
-    let socket = receiver(&shared.outlet.paths[path])?;
+    let socket = receiver(&shared.outputs.server_sockets[path])?;
     let task = Arc::clone(&shared);
     task.spawn(async move {
         let mut buffer = vec![0; MAX_UDP];
@@ -135,10 +135,10 @@
             let input = Input::Answer {
                 event,
                 from,
-                path,
+                server_socket: path,
                 acknowledge,
             };
-            if !shared.pool.give_answer(attempt, input) {
+            if !shared.pool.enqueue_answer(attempt, input) {
                 note(shared, Reason::ForeignAnswer);
             }
         }
@@ -175,10 +175,10 @@
     bytes: &[u8],
     told: &UnboundedSender<Told>,
 ) -> Result<()> {
-    let frame = shared.link.open(address, bytes)?;
+    let frame = shared.link.verify_frame(address, bytes)?;
     let from = frame.from;
     match frame.body {
-        Body::Relay(relay) => {
+        PeerMessage::Relay(relay) => {
             let flow = peer::unpack_flow(relay.flow.as_ref())?;
             if relay.released {
                 take_released(shared, from, flow, &relay)?;
@@ -186,19 +186,19 @@
                 from_caller(shared, flow, relay.datagram, relay.hops);
             }
         }
-        Body::Heartbeat(message) => {
+        PeerMessage::Heartbeat(message) => {
             let _ = told.send(Told::Heartbeat { from, message });
         }
-        Body::Yield(message) => {
+        PeerMessage::TakeoverRequest(message) => {
             let slices = message.slices;
             let _ = told.send(Told::Yield { from, slices });
         }
-        body @ (Body::Replicate(_) | Body::Replicated(_) | Body::Settle(_) | Body::Adopt(_)) => {
+        body @ (PeerMessage::ReplicationStep(_) | PeerMessage::ReplicationAck(_) | PeerMessage::FinalOutcome(_) | PeerMessage::FeedTransfer(_)) => {
             if let Some(slice) = slice_of(&body) {
-                shared.pool.give(slice, Event::Peer { from, body });
+                shared.pool.enqueue(slice, Event::Peer { from, body });
             }
         }
-        Body::Pull(_) | Body::Push(_) => {
+        PeerMessage::ConfigRequest(_) | PeerMessage::ConfigResponse(_) => {
             return Err(Error::Decode {
                 step: "peer message",
                 peer: address.to_string(),
@@ -212,22 +212,22 @@
 fn take_released(shared: &Shared, from: id::Holder, flow: Flow, relay: &peer::Relay) -> Result<()> {
     if let Inbound::Request(request) = codec::read_caller(&flow, &relay.datagram)? {
         let slice = shared.pool.slice(&flow);
-        let event = Event::Released {
+        let event = Event::ReleasedRequest {
             from,
             request,
             hops: relay.hops,
         };
-        shared.pool.give(slice, event);
+        shared.pool.enqueue(slice, event);
     }
     Ok(())
 }
 
-fn slice_of(body: &Body) -> Option<id::Slice> {
+fn slice_of(body: &PeerMessage) -> Option<id::Slice> {
     match body {
-        Body::Replicate(message) => Some(id::Slice(message.slice)),
-        Body::Replicated(message) => Some(id::Slice(message.slice)),
-        Body::Settle(message) => Some(id::Slice(message.slice)),
-        Body::Adopt(message) => Some(id::Slice(message.slice)),
+        PeerMessage::ReplicationStep(message) => Some(id::Slice(message.slice)),
+        PeerMessage::ReplicationAck(message) => Some(id::Slice(message.slice)),
+        PeerMessage::FinalOutcome(message) => Some(id::Slice(message.slice)),
+        PeerMessage::FeedTransfer(message) => Some(id::Slice(message.slice)),
         _ => None,
     }
 }
@@ -254,9 +254,9 @@
 }
 
 /// Entries of ours that the peer does not have, and what it has but should not.
-fn newer(shared: &Shared, pull: &peer::Pull) -> peer::Push {
+fn newer(shared: &Shared, pull: &peer::ConfigRequest) -> peer::ConfigResponse {
     let have: std::collections::HashMap<&str, u64> = pull
-        .have
+        .known_versions
         .iter()
         .map(|version| (version.key.as_str(), version.modified))
         .collect();
@@ -270,13 +270,13 @@
         modified: entry.mod_revision,
         value: entry.value.clone(),
     });
-    let gone = pull.have.iter().filter_map(|version| {
+    let gone = pull.known_versions.iter().filter_map(|version| {
         let modified = config.gone_since(&version.key, version.modified)?;
         let key = version.key.clone();
         Some(peer::Version { key, modified })
     });
-    peer::Push {
+    peer::ConfigResponse {
         entries: entries.collect(),
-        gone: gone.collect(),
+        deleted: gone.collect(),
     }
 }
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -29,11 +29,11 @@
 use tokio::time::Instant;
 
 use crate::action::Action;
-use crate::action::Note;
-use crate::budget::Budget;
+use crate::action::TraceEvent;
+use crate::budget::RetryBudget;
 use crate::event::Event;
 use crate::id;
-use crate::peer::member::View;
+use crate::peer::member::MembershipView;
 use crate::reason::Reason;
 use crate::record::FeedKey;
 use crate::record::Park;
@@ -52,7 +52,7 @@
 /// Sockets toward the backend servers; an attempt's number picks one of them.
 /// Something between the two ends may lose track of one of them; a feed that fell
 /// silent is registered again from another.
-pub const PATHS: u64 = 4;
+pub const SERVER_SOCKETS: u64 = 4;
 
 /// What an engine is told once.
 #[derive(Clone, Debug)]
@@ -80,7 +80,7 @@
 struct Usage {
     in_progress: u32,
     feeds: u32,
-    budget: Budget,
+    budget: RetryBudget,
 }
 
 /// The decision core of one worker.
@@ -89,7 +89,7 @@
     settings: Settings,
     snapshot: Arc<Snapshot>,
     table: Arc<Table>,
-    members: Arc<View>,
+    members: Arc<MembershipView>,
     slices: HashMap<id::Slice, Slice>,
     sendings: HashMap<id::Attempt, Sending>,
     usage: HashMap<id::Service, Usage>,
@@ -162,7 +162,7 @@
         self.watch_pause(now);
         match event {
             Event::Request { request, hops } => self.request(now, request, hops),
-            Event::Released {
+            Event::ReleasedRequest {
                 from,
                 request,
                 hops,
@@ -182,10 +182,10 @@
             Event::Peer { from, body } => self.peer(now, from, body),
             Event::Snapshot(snapshot) => self.snapshot = snapshot,
             Event::Table(table) => self.take_table(now, table),
-            Event::Members(members) => self.take_members(now, members),
-            Event::Join { slices, backup } => self.join(now, &slices, &backup),
-            Event::Abandon(slices) => self.abandon(now, &slices),
-            Event::Closing => self.closing = true,
+            Event::Membership(members) => self.take_members(now, members),
+            Event::AddBackup { slices, backup } => self.join(now, &slices, &backup),
+            Event::CancelBackup(slices) => self.abandon(now, &slices),
+            Event::Stopping => self.closing = true,
             Event::Tick => self.tick(now),
         }
         std::mem::take(&mut self.out)
@@ -237,30 +237,30 @@
     }
 
     fn note(&mut self, reason: Reason) {
-        self.out.push(Action::Note(Note::new(reason)));
+        self.out.push(Action::TraceEvent(TraceEvent::new(reason)));
     }
 
     fn note_flow(&mut self, reason: Reason, slice: id::Slice, flow: &Flow) {
         let note = self.flow_note(reason, slice, flow);
-        self.out.push(Action::Note(note));
+        self.out.push(Action::TraceEvent(note));
     }
 
     fn note_request(&mut self, reason: Reason, slice: id::Slice, key: &Key) {
-        let note = Note {
+        let note = TraceEvent {
             request: Some(key.id),
             ..self.flow_note(reason, slice, &key.flow)
         };
-        self.out.push(Action::Note(note));
+        self.out.push(Action::TraceEvent(note));
     }
 
-    fn flow_note(&self, reason: Reason, slice: id::Slice, flow: &Flow) -> Note {
+    fn flow_note(&self, reason: Reason, slice: id::Slice, flow: &Flow) -> TraceEvent {
         let service = self.snapshot.services.get(&flow.service);
-        Note {
+        TraceEvent {
             flow: Some(flow.clone()),
             slice: Some(slice),
             epoch: Some(self.table.row(slice).epoch),
             revision: service.map(|service| service.revision),
-            ..Note::new(reason)
+            ..TraceEvent::new(reason)
         }
     }
 }
--- a/src/engine/feed.rs
+++ b/src/engine/feed.rs
@@ -12,7 +12,7 @@
 use super::Engine;
 use crate::action::Action;
 use crate::balance;
-use crate::balance::Work;
+use crate::balance::WorkKind;
 use crate::id;
 use crate::peer;
 use crate::reason::Reason;
@@ -233,7 +233,7 @@
             return;
         }
         self.note_flow(reason, slice, &key.flow);
-        let item = peer::Item::FeedEnd(peer::FeedEnd {
+        let item = peer::ReplicationItem::FeedEnd(peer::FeedEnd {
             flow: Some(peer::pack_flow(&key.flow)),
             token: peer::pack_number(key.token.0),
         });
@@ -244,7 +244,7 @@
         let Some(feed) = self.feed(slice, key) else {
             return;
         };
-        let item = peer::Item::Feed(pack_feed(key, feed));
+        let item = peer::ReplicationItem::Feed(pack_feed(key, feed));
         self.replicate(now, slice, item, None);
     }
 
@@ -325,7 +325,7 @@
             return;
         };
         let renewing = feed.renewal.as_ref().map(|renewal| renewal.attempt) == Some(attempt);
-        let open = answer.feed && answer.verdict == Verdict::Handled;
+        let open = answer.keeps_feed_open && answer.verdict == Verdict::Handled;
         match (renewing, open) {
             (true, true) => self.renewed(now, slice, key, answer.datagram),
             (true, false) => self.renewal_failed(now, slice, key),
@@ -468,7 +468,7 @@
             return Some(Arc::clone(server));
         }
         let zone = &self.settings.zone;
-        balance::choose(service, flow, Work::Feed, zone, failed, now, &mut self.rng)
+        balance::choose(service, flow, WorkKind::Feed, zone, failed, now, &mut self.rng)
     }
 
     /// No server takes the feed now: wait, and in the end tell the caller, who
--- a/src/engine/handover.rs
+++ b/src/engine/handover.rs
@@ -129,7 +129,7 @@
         let offers: Vec<Action> = active
             .map(|(key, feed)| Action::Peer {
                 to: home.clone(),
-                body: peer::Body::Adopt(peer::Adopt {
+                body: peer::PeerMessage::FeedTransfer(peer::FeedTransfer {
                     slice: slice.0,
                     feed: Some(pack_feed(key, feed)),
                 }),
--- a/src/engine/inbound.rs
+++ b/src/engine/inbound.rs
@@ -33,7 +33,7 @@
 
 /// How long a non-idempotent request may wait for its slice to get a home.
 /// It covers noticing a dead home and promoting its backup.
-pub(crate) const PARK_TIME: Duration = Duration::from_secs(5);
+pub(crate) const PARK_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How long an answer may take before receipt is acknowledged by itself; under
 /// the two seconds after which a caller repeats its request.
@@ -50,7 +50,7 @@
     pub(super) fn request(&mut self, now: Instant, request: Request, hops: u32) {
         // It may have waited in a buffer for longer than records are kept, so
         // that its home would take it for a new one and run it again.
-        if request.kind.runs_once() && self.is_catching_up(now) {
+        if request.kind.is_non_idempotent() && self.is_catching_up(now) {
             self.turn_away(&request, Outcome::Unknown, Reason::UnknownDeadline);
             return;
         }
@@ -83,7 +83,7 @@
             Route::Here => self.serve(now, slice, &service, arrival),
             // Two tables that are late name each other for a moment. A request
             // that nothing repeats waits here for the next table.
-            Route::To(_) if arrival.hops >= MAX_HOPS && arrival.request.kind.runs_once() => {
+            Route::To(_) if arrival.hops >= MAX_HOPS && arrival.request.kind.is_non_idempotent() => {
                 self.wait(arrival);
             }
             Route::To(holder) => {
@@ -111,7 +111,7 @@
         {
             return Route::To(backup.clone());
         }
-        if kind.runs_once() {
+        if kind.is_non_idempotent() {
             Route::Wait
         } else {
             Route::Here
@@ -123,7 +123,7 @@
             self.note(Reason::TooManyHops);
             return;
         }
-        let body = peer::Body::Relay(peer::Relay {
+        let body = peer::PeerMessage::Relay(peer::Relay {
             flow: Some(peer::pack_flow(flow)),
             datagram,
             hops: hops + 1,
@@ -206,7 +206,7 @@
 
     /// Gives up on requests that have waited long enough.
     pub(super) fn expire_parked(&mut self, now: Instant) {
-        let over = |parked: &Arrival| now >= parked.since + PARK_TIME;
+        let over = |parked: &Arrival| now >= parked.since + PARK_TIMEOUT;
         if !self.park.iter().any(over) {
             return;
         }
@@ -254,7 +254,7 @@
         let state = self.slices.entry(slice).or_default();
         if state.records.contains_key(&key) {
             self.copy(now, slice, &key, &arrival.request);
-        } else if arrival.request.kind.runs_once() {
+        } else if arrival.request.kind.is_non_idempotent() {
             self.admit_once(now, slice, service, arrival);
         } else {
             self.admit(now, slice, service, arrival.request);
@@ -377,18 +377,18 @@
             self.turn_away(&request, refusal, reason);
             return;
         }
-        if request.part.upload && self.records >= self.settings.max_flows {
+        if request.block.is_upload && self.records >= self.settings.max_flows {
             self.turn_away(&request, refusal, Reason::RefusedLimit);
             return;
         }
         let feeds = self.usage(&service.id).feeds;
-        if request.kind == Kind::Open
+        if request.kind == Kind::OpenFeed
             && (feeds >= service.profile.max_feeds || self.feeds >= self.settings.max_flows)
         {
             self.turn_away(&request, refusal, Reason::RefusedLimit);
             return;
         }
-        if request.kind == Kind::Close {
+        if request.kind == Kind::CloseFeed {
             self.close_feed(now, slice, &request);
         }
         let key = self.open(now, slice, service, request, Phase::Sent);
@@ -430,7 +430,7 @@
             kind: request.kind,
             token: request.token,
             confirmable: request.confirmable,
-            part: request.part,
+            block: request.block,
             born: since,
             separate: None,
             resends: 0,
@@ -475,7 +475,7 @@
         if self.table.is_empty() {
             return;
         }
-        if let Route::To(holder) = self.route(slice, Kind::Close) {
+        if let Route::To(holder) = self.route(slice, Kind::CloseFeed) {
             self.relay(&holder, &flow, datagram, hops);
         }
     }
--- a/src/engine/outbound.rs
+++ b/src/engine/outbound.rs
@@ -7,11 +7,11 @@
 
 use super::ATTEMPT_BITS;
 use super::Engine;
-use super::PATHS;
+use super::SERVER_SOCKETS;
 use crate::action::Action;
-use crate::action::Note;
+use crate::action::TraceEvent;
 use crate::balance;
-use crate::balance::Work;
+use crate::balance::WorkKind;
 use crate::id;
 use crate::reason::Reason;
 use crate::record::FeedKey;
@@ -93,24 +93,24 @@
         if !record.is_open() {
             return;
         }
-        let (part, kind) = (record.part, record.kind);
+        let (part, kind) = (record.block, record.kind);
         let tried = record.tried.clone();
         let waiting = !record.attempts.is_empty();
-        let pinned = if part.later {
+        let pinned = if part.is_continuation {
             self.pinned(now, slice, &service, key)
         } else {
             None
         };
         let work = match kind {
-            Kind::Open => Work::Feed,
-            _ => Work::Request,
+            Kind::OpenFeed => WorkKind::Feed,
+            _ => WorkKind::Request,
         };
         let choice = pinned.or_else(|| {
             let zone = &self.settings.zone;
             balance::choose(&service, &key.flow, work, zone, &tried, now, &mut self.rng)
         });
         match choice {
-            Some(server) if part.later => {
+            Some(server) if part.is_continuation => {
                 server.state().outstanding += 1;
                 self.forward(now, slice, key, &service, server);
             }
@@ -149,14 +149,14 @@
         let pin = self.pin(slice, key)?;
         let server = service.server(&pin.server)?;
         let fresh = now < pin.used + PIN_TIME;
-        let usable = fresh && balance::may_return(service, server, now);
+        let usable = fresh && balance::accepts_pinned_work(service, server, now);
         usable.then(|| Arc::clone(server))
     }
 
     fn pin(&self, slice: id::Slice, key: &Key) -> Option<&Pin> {
         let state = self.slices.get(&slice)?;
         let record = state.records.get(key)?;
-        state.pins.get(&(key.flow.clone(), record.part.body))
+        state.pins.get(&(key.flow.clone(), record.block.body_id))
     }
 
     fn set_pin(
@@ -178,7 +178,7 @@
             attempt,
             used: now,
         };
-        state.pins.insert((key.flow.clone(), record.part.body), pin);
+        state.pins.insert((key.flow.clone(), record.block.body_id), pin);
     }
 
     /// Forgets the servers of bodies that were given up.
@@ -204,8 +204,8 @@
         record.attempts.push(attempt);
         record.tried.push(server.id.clone());
         let deadline = record.born + service.profile.deadline();
-        let once = record.kind.runs_once();
-        let later = record.part.later;
+        let once = record.kind.is_non_idempotent();
+        let later = record.block.is_continuation;
         let datagram = record.datagram.clone();
         if later {
             self.set_pin(now, slice, key, &server, attempt);
@@ -240,11 +240,11 @@
         let mut attempt = self.new_attempt();
         let later = self
             .record(slice, key)
-            .is_some_and(|record| record.part.later);
+            .is_some_and(|record| record.block.is_continuation);
         let pin = self.pin(slice, key);
         let pin = pin.filter(|pin| later && pin.server == server.id);
-        if let Some(path) = pin.map(|pin| pin.attempt.0 % PATHS) {
-            while attempt.0 % PATHS != path {
+        if let Some(path) = pin.map(|pin| pin.attempt.0 % SERVER_SOCKETS) {
+            while attempt.0 % SERVER_SOCKETS != path {
                 attempt = self.new_attempt();
             }
         }
@@ -302,7 +302,7 @@
         // the sending is still of use: anything else could be another request's.
         let Some(sending) = sending.filter(|sending| sending.server.address == from) else {
             self.note(Reason::ForeignAnswer);
-            if answer.feed {
+            if answer.keeps_feed_open {
                 self.out.push(Action::Reject {
                     to: from,
                     attempt,
@@ -313,8 +313,8 @@
         };
         let slice = sending.slice;
         match answer.verdict {
-            Verdict::Handled => sending.server.prove(sending.since),
-            Verdict::NotFound => sending.server.doubt(now),
+            Verdict::Handled => sending.server.confirm_by_answer(sending.since),
+            Verdict::NotFound => sending.server.record_not_found(now),
             Verdict::Refused => {}
         }
         match sending.purpose.clone() {
@@ -356,7 +356,7 @@
         record.attempts.retain(|open| *open != attempt);
         let waiting = !record.attempts.is_empty();
         let tries = record.tried.len() as u32;
-        let later = record.part.later;
+        let later = record.block.is_continuation;
         let Some(service) = self.service(&key.flow.service) else {
             return;
         };
@@ -375,7 +375,7 @@
 
     fn pause(&mut self, now: Instant, server: &Server, retry_after: Option<u32>) {
         let asked = Duration::from_secs(retry_after.unwrap_or(0).into());
-        server.refuse(now, asked);
+        server.record_refusal(now, asked);
         self.note(Reason::ServerPaused);
     }
 
@@ -390,7 +390,7 @@
         let Some(sending) = self.drop_sending(attempt) else {
             return;
         };
-        sending.server.succeed();
+        sending.server.record_success();
         let Some(record) = self.record(slice, key) else {
             return;
         };
@@ -398,9 +398,9 @@
             return;
         }
         record.attempts.retain(|open| *open != attempt);
-        let open = record.kind == Kind::Open && answer.feed;
+        let open = record.kind == Kind::OpenFeed && answer.keeps_feed_open;
         let (token, datagram) = (record.token, record.datagram.clone());
-        if answer.more {
+        if answer.has_more_blocks {
             self.set_pin(now, slice, key, &sending.server, attempt);
         }
         if open {
@@ -431,7 +431,7 @@
 
     /// Counts a failure of a server and lets it rest after too many in a row.
     pub(super) fn blame(&mut self, now: Instant, server: &Server) {
-        let failures = server.fail();
+        let failures = server.record_failure();
         let Some(service) = self.service(&server.service) else {
             return;
         };
@@ -440,7 +440,7 @@
         }
         // When most servers look bad, the cause is more likely on our side or
         // shared by all: sending everything to the few left would break them too.
-        let away = |server: &&Arc<Server>| server.state().is_resting(now);
+        let away = |server: &&Arc<Server>| server.state().is_in_cooldown(now);
         let resting = service.servers.iter().filter(away).count();
         let floor = service.servers.len() * service.profile.eject_floor_percent as usize;
         let stay = (service.servers.len() - resting).saturating_sub(1) * 100;
@@ -457,12 +457,12 @@
     }
 
     fn note_forwarded(&mut self, slice: id::Slice, key: &Key, server: &Server) {
-        let note = Note {
+        let note = TraceEvent {
             request: Some(key.id),
             server: Some(server.id.clone()),
             ..self.flow_note(Reason::Forwarded, slice, &key.flow)
         };
-        self.out.push(Action::Note(note));
+        self.out.push(Action::TraceEvent(note));
     }
 
     /// Notes a final outcome with the time since the first copy arrived.
@@ -474,12 +474,12 @@
         server: Option<id::Server>,
         elapsed: Duration,
     ) {
-        let note = Note {
+        let note = TraceEvent {
             request: Some(key.id),
             server,
             elapsed: Some(elapsed),
             ..self.flow_note(reason, slice, &key.flow)
         };
-        self.out.push(Action::Note(note));
+        self.out.push(Action::TraceEvent(note));
     }
 }
--- a/src/engine/ownership.rs
+++ b/src/engine/ownership.rs
@@ -10,7 +10,7 @@
 use crate::action::Action;
 use crate::id;
 use crate::peer;
-use crate::peer::member::View;
+use crate::peer::member::MembershipView;
 use crate::reason::Reason;
 use crate::record::Arrival;
 use crate::record::Pending;
@@ -24,7 +24,7 @@
 use crate::table::Table;
 
 impl Engine {
-    pub(super) fn take_members(&mut self, now: Instant, members: Arc<View>) {
+    pub(super) fn take_members(&mut self, now: Instant, members: Arc<MembershipView>) {
         let before = std::mem::replace(&mut self.members, members);
         if before.live == self.members.live {
             return;
@@ -129,11 +129,11 @@
             return;
         };
         let feed = |pending: &Pending| match &pending.item {
-            peer::Item::Feed(feed) => Some(feed.clone()),
+            peer::ReplicationItem::Feed(feed) => Some(feed.clone()),
             _ => None,
         };
         for feed in replica.pending.values().filter_map(feed) {
-            let body = peer::Body::Adopt(peer::Adopt {
+            let body = peer::PeerMessage::FeedTransfer(peer::FeedTransfer {
                 slice: slice.0,
                 feed: Some(feed),
             });
@@ -160,7 +160,7 @@
             token: record.token,
             kind: record.kind,
             confirmable: record.confirmable,
-            part: record.part,
+            block: record.block,
             datagram: record.datagram.clone(),
         };
         self.close_record(slice, key);
@@ -175,7 +175,7 @@
             self.settle_route(now, arrival);
             return;
         };
-        let body = peer::Body::Relay(peer::Relay {
+        let body = peer::PeerMessage::Relay(peer::Relay {
             flow: Some(peer::pack_flow(&request.flow)),
             datagram: request.datagram,
             hops: 1,
--- a/src/engine/replica.rs
+++ b/src/engine/replica.rs
@@ -60,7 +60,7 @@
         self.note_request(Reason::Claimed, slice, key);
         let record = self.record(slice, key);
         let age = record.map(|record| now - record.born).unwrap_or_default();
-        let item = peer::Item::Claim(pack_claim(key, None, age));
+        let item = peer::ReplicationItem::Claim(pack_claim(key, None, age));
         self.replicate(now, slice, item, Some(key.clone()));
     }
 
@@ -69,7 +69,7 @@
         &mut self,
         now: Instant,
         slice: id::Slice,
-        item: peer::Item,
+        item: peer::ReplicationItem,
         waiter: Option<Key>,
     ) {
         let number = self.next_number + 1;
@@ -98,11 +98,11 @@
         slice: id::Slice,
         epoch: id::Epoch,
         number: u64,
-        item: peer::Item,
+        item: peer::ReplicationItem,
     ) {
         self.out.push(Action::Peer {
             to: to.clone(),
-            body: peer::Body::Replicate(peer::Replicate {
+            body: peer::PeerMessage::ReplicationStep(peer::ReplicationStep {
                 slice: slice.0,
                 epoch: epoch.0,
                 number,
@@ -179,22 +179,22 @@
     ) {
         let state = self.slices.entry(slice).or_default();
         let waiters = state.replica.take().map(waiters).unwrap_or_default();
-        let mut items = vec![peer::Item::Begin(peer::Begin {})];
+        let mut items = vec![peer::ReplicationItem::CopyStart(peer::CopyStart {})];
         let waiting: HashSet<&Key> = waiters.iter().collect();
-        let runs_once = |(key, record): (&Key, &Record)| {
-            let claim = record.kind.runs_once() && !waiting.contains(key);
+        let is_non_idempotent = |(key, record): (&Key, &Record)| {
+            let claim = record.kind.is_non_idempotent() && !waiting.contains(key);
             claim.then(|| key.clone())
         };
-        let claims = sorted(state.records.iter().filter_map(runs_once));
+        let claims = sorted(state.records.iter().filter_map(is_non_idempotent));
         let claim = |key: &Key| {
             let record = state.records.get(key);
             let claimer = record.and_then(|record| record.claimer.as_ref());
             let age = record.map(|record| now - record.born).unwrap_or_default();
-            peer::Item::Claim(pack_claim(key, claimer, age))
+            peer::ReplicationItem::Claim(pack_claim(key, claimer, age))
         };
         items.extend(claims.iter().map(claim));
         let feeds = state.feeds.iter();
-        items.extend(feeds.map(|(key, feed)| peer::Item::Feed(pack_feed(key, feed))));
+        items.extend(feeds.map(|(key, feed)| peer::ReplicationItem::Feed(pack_feed(key, feed))));
         let mut pending = BTreeMap::new();
         for item in items {
             self.next_number += 1;
@@ -241,15 +241,15 @@
         }
     }
 
-    pub(super) fn peer(&mut self, now: Instant, from: id::Holder, body: peer::Body) {
+    pub(super) fn peer(&mut self, now: Instant, from: id::Holder, body: peer::PeerMessage) {
         let handled = match body {
-            peer::Body::Replicate(message) => self.keep(now, &from, message),
-            peer::Body::Replicated(message) => {
+            peer::PeerMessage::ReplicationStep(message) => self.keep(now, &from, message),
+            peer::PeerMessage::ReplicationAck(message) => {
                 self.acknowledged(now, &from, &message);
                 Ok(())
             }
-            peer::Body::Settle(message) => self.settled_elsewhere(message),
-            peer::Body::Adopt(message) => self.adopted(now, message),
+            peer::PeerMessage::FinalOutcome(message) => self.settled_elsewhere(message),
+            peer::PeerMessage::FeedTransfer(message) => self.adopted(now, message),
             // The rest belongs to the edge or to the control task.
             _ => Ok(()),
         };
@@ -259,7 +259,7 @@
     }
 
     /// As backup: keeps one step and acknowledges it.
-    fn keep(&mut self, now: Instant, from: &id::Holder, message: peer::Replicate) -> Result<()> {
+    fn keep(&mut self, now: Instant, from: &id::Holder, message: peer::ReplicationStep) -> Result<()> {
         let slice = id::Slice(message.slice);
         let epoch = id::Epoch(message.epoch);
         if message.slice >= self.table.len() || !self.accepts(slice, from, epoch) {
@@ -268,7 +268,7 @@
         let state = self.slices.entry(slice).or_default();
         state.seen = state.seen.max(epoch);
         match message.item {
-            Some(peer::Item::Claim(claim)) => {
+            Some(peer::ReplicationItem::Claim(claim)) => {
                 let mut key = peer::unpack_key(claim.flow.as_ref(), &claim.id)?;
                 self.share_name(&mut key.flow);
                 let claimer = match claim.claimer.as_str() {
@@ -280,24 +280,24 @@
                 let born = now.checked_sub(age).unwrap_or(now);
                 self.keep_claim(now, slice, key, Record::claimed(born, claimer));
             }
-            Some(peer::Item::Feed(feed)) => {
+            Some(peer::ReplicationItem::Feed(feed)) => {
                 let (mut key, mut feed) = unpack_feed(now, message.number, feed)?;
                 self.share_name(&mut key.flow);
                 self.share_server(&key.flow, &mut feed.server);
                 self.remove_feed(slice, &key);
                 self.insert_feed(slice, key, feed);
             }
-            Some(peer::Item::FeedEnd(end)) => {
+            Some(peer::ReplicationItem::FeedEnd(end)) => {
                 let flow = peer::unpack_flow(end.flow.as_ref())?;
                 let token = Token(peer::unpack_number(&end.token)?);
                 self.remove_feed(slice, &FeedKey { flow, token });
             }
-            Some(peer::Item::Begin(_)) => self.begin_copy(slice, message.number),
+            Some(peer::ReplicationItem::CopyStart(_)) => self.begin_copy(slice, message.number),
             None => {}
         }
         self.out.push(Action::Peer {
             to: from.clone(),
-            body: peer::Body::Replicated(peer::Replicated {
+            body: peer::PeerMessage::ReplicationAck(peer::ReplicationAck {
                 slice: message.slice,
                 epoch: message.epoch,
                 number: message.number,
@@ -367,7 +367,7 @@
     }
 
     /// As home: the backup has a step.
-    fn acknowledged(&mut self, now: Instant, from: &id::Holder, message: &peer::Replicated) {
+    fn acknowledged(&mut self, now: Instant, from: &id::Holder, message: &peer::ReplicationAck) {
         let slice = id::Slice(message.slice);
         let Some(state) = self.slices.get_mut(&slice) else {
             return;
@@ -383,7 +383,7 @@
         if copied && !replica.complete {
             replica.complete = true;
             let backup = replica.holder.clone();
-            self.out.push(Action::Joined { slice, backup });
+            self.out.push(Action::BackupSynced { slice, backup });
         } else if !copied {
             self.pump_slice(now, slice);
         }
@@ -392,7 +392,7 @@
         }
     }
 
-    fn settled_elsewhere(&mut self, message: peer::Settle) -> Result<()> {
+    fn settled_elsewhere(&mut self, message: peer::FinalOutcome) -> Result<()> {
         let slice = id::Slice(message.slice);
         let key = peer::unpack_key(message.flow.as_ref(), &message.id)?;
         let token = Token(peer::unpack_number(&message.token)?);
@@ -407,7 +407,7 @@
         Ok(())
     }
 
-    fn adopted(&mut self, now: Instant, message: peer::Adopt) -> Result<()> {
+    fn adopted(&mut self, now: Instant, message: peer::FeedTransfer) -> Result<()> {
         if message.slice >= self.table.len() {
             return Ok(());
         }
--- a/src/engine/settlement.rs
+++ b/src/engine/settlement.rs
@@ -48,7 +48,7 @@
         record.datagram = bytes::Bytes::new();
         let attempts = std::mem::take(&mut record.attempts);
         let (token, confirmable, kept) = (record.token, record.confirmable, record.is_kept());
-        let once = record.kind.runs_once();
+        let once = record.kind.is_non_idempotent();
         let (separate, sequence) = (record.separate, record.sequence);
         let born = record.born;
         let server = match outcome {
@@ -117,7 +117,7 @@
         };
         self.out.push(Action::Peer {
             to: home,
-            body: peer::Body::Settle(peer::Settle {
+            body: peer::PeerMessage::FinalOutcome(peer::FinalOutcome {
                 slice: slice.0,
                 flow: Some(peer::pack_flow(&key.flow)),
                 id: peer::pack_number(key.id.0),
--- a/src/event.rs
+++ b/src/event.rs
@@ -4,7 +4,7 @@
 
 use crate::id;
 use crate::peer;
-use crate::peer::member::View;
+use crate::peer::member::MembershipView;
 use crate::request::Answer;
 use crate::request::Flow;
 use crate::request::Receipt;
@@ -23,7 +23,7 @@
         hops: u32,
     },
     /// A request that an earlier home claimed, never forwarded and gave up.
-    Released {
+    ReleasedRequest {
         /// The earlier home.
         from: id::Holder,
         /// The request.
@@ -58,25 +58,25 @@
         /// The sender.
         from: id::Holder,
         /// The message.
-        body: peer::Body,
+        body: peer::PeerMessage,
     },
     /// A new configuration is in force.
     Snapshot(Arc<Snapshot>),
     /// Rows of the slice table changed.
     Table(Arc<Table>),
     /// The view of the other instances changed.
-    Members(Arc<View>),
+    Membership(Arc<MembershipView>),
     /// Give this backup all records of these slices.
-    Join {
+    AddBackup {
         /// The slices.
         slices: Vec<id::Slice>,
         /// The new backup.
         backup: id::Holder,
     },
     /// Give up joining a backup; no write that names it is under way.
-    Abandon(Vec<id::Slice>),
+    CancelBackup(Vec<id::Slice>),
     /// The instance ends soon and cannot hand its slices over: new work is refused.
-    Closing,
+    Stopping,
     /// Time has passed.
     Tick,
 }
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -14,7 +14,7 @@
 use tokio::time::Duration;
 use tokio::time::Instant;
 
-use crate::action::Note;
+use crate::action::TraceEvent;
 use crate::id;
 use crate::request::Flow;
 use crate::status::Trace;
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug)]
 struct Entry {
     at: Instant,
-    note: Note,
+    note: TraceEvent,
     context: Context,
 }
 
@@ -113,7 +113,7 @@
     }
 
     /// Keeps a note; one without a flow is left out, since nobody can ask for it.
-    pub fn record(&self, now: Instant, note: Note, context: Context) {
+    pub fn record(&self, now: Instant, note: TraceEvent, context: Context) {
         if note.flow.is_none() {
             return;
         }
--- a/src/inbox.rs
+++ b/src/inbox.rs
@@ -1,6 +1,6 @@
 //! What other tasks tell the control task.
 
-use crate::control::Written;
+use crate::control::WriteResult;
 use crate::id;
 use crate::peer;
 use crate::platform::Update;
@@ -18,7 +18,7 @@
     /// A home wants its backup to take over.
     Yield { from: id::Holder, slices: Vec<u32> },
     /// A write of the slice table has ended.
-    Written { document: u32, written: Written },
+    Written { document: u32, written: WriteResult },
     /// A peer's copies.
-    Pulled(peer::Push),
+    Pulled(peer::ConfigResponse),
 }
--- a/src/metric.rs
+++ b/src/metric.rs
@@ -24,7 +24,7 @@
 use prometheus_client::registry::Registry;
 use prometheus_client::registry::Unit;
 
-use crate::action::Note;
+use crate::action::TraceEvent;
 use crate::id;
 use crate::metric::collector::Platform;
 use crate::metric::label::EventLabels;
@@ -232,7 +232,7 @@
     }
 
     /// Counts a note and, for an answered request, observes its duration.
-    pub fn note(&self, note: &Note) {
+    pub fn note(&self, note: &TraceEvent) {
         let service = self.service(note.flow.as_ref().map(|flow| &flow.service));
         if let (Reason::Answered, Some(elapsed)) = (note.reason, note.elapsed) {
             self.observe(service.clone(), elapsed);
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -97,14 +97,14 @@
 
 /// Start of a new copy: what the receiver has of the slice's feeds is outdated.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Begin {}
+pub struct CopyStart {}
 
 /// One thing that a backup keeps.
 #[derive(Clone, PartialEq, prost::Oneof)]
-pub enum Item {
+pub enum ReplicationItem {
     /// Start of a new copy.
     #[prost(message, tag = "4")]
-    Begin(Begin),
+    CopyStart(CopyStart),
     /// A claim.
     #[prost(message, tag = "5")]
     Claim(Claim),
@@ -118,7 +118,7 @@
 
 /// One step of replication from a home to a backup, repeated until acknowledged.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Replicate {
+pub struct ReplicationStep {
     /// The slice.
     #[prost(uint32, tag = "1")]
     pub slice: u32,
@@ -129,13 +129,13 @@
     #[prost(uint64, tag = "3")]
     pub number: u64,
     /// What to keep.
-    #[prost(oneof = "Item", tags = "4, 5, 6, 7")]
-    pub item: Option<Item>,
+    #[prost(oneof = "ReplicationItem", tags = "4, 5, 6, 7")]
+    pub item: Option<ReplicationItem>,
 }
 
 /// The backup has the item and will honour it if it becomes home.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Replicated {
+pub struct ReplicationAck {
     /// The slice.
     #[prost(uint32, tag = "1")]
     pub slice: u32,
@@ -149,7 +149,7 @@
 
 /// The final outcome of a request that was in progress while its slice moved.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Settle {
+pub struct FinalOutcome {
     /// The slice.
     #[prost(uint32, tag = "1")]
     pub slice: u32,
@@ -169,7 +169,7 @@
 
 /// A feed handed to the slice's home by an instance that served it meanwhile.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Adopt {
+pub struct FeedTransfer {
     /// The slice.
     #[prost(uint32, tag = "1")]
     pub slice: u32,
@@ -250,12 +250,12 @@
     /// Whether the loads were left out to keep the byte budget; the ones before
     /// stand.
     #[prost(bool, tag = "7")]
-    pub trimmed: bool,
+    pub loads_omitted: bool,
 }
 
 /// Asks a backup to become home of slices that the sender is home of.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Yield {
+pub struct TakeoverRequest {
     /// The slices.
     #[prost(uint32, repeated, tag = "1")]
     pub slices: Vec<u32>,
@@ -263,10 +263,10 @@
 
 /// Asks for everything that is newer than what the sender has.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Pull {
+pub struct ConfigRequest {
     /// What the sender has: a digest of each key with its version.
     #[prost(message, repeated, tag = "1")]
-    pub have: Vec<Version>,
+    pub known_versions: Vec<Version>,
 }
 
 /// A key of the platform and how new the holder's copy is.
@@ -282,14 +282,14 @@
 
 /// Copies of platform values, sent to a peer that is behind.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Push {
+pub struct ConfigResponse {
     /// The values.
     #[prost(message, repeated, tag = "1")]
     pub entries: Vec<Entry>,
     /// Keys of the asker that do not exist any more, each with a modification
     /// number up to which that is known.
     #[prost(message, repeated, tag = "2")]
-    pub gone: Vec<Version>,
+    pub deleted: Vec<Version>,
 }
 
 /// One value of the platform.
@@ -308,49 +308,49 @@
 
 /// Any message.
 #[derive(Clone, PartialEq, prost::Oneof)]
-pub enum Body {
+pub enum PeerMessage {
     /// See [`Relay`].
     #[prost(message, tag = "4")]
     Relay(Relay),
     /// See [`Replicate`].
     #[prost(message, tag = "5")]
-    Replicate(Replicate),
+    ReplicationStep(ReplicationStep),
     /// See [`Replicated`].
     #[prost(message, tag = "6")]
-    Replicated(Replicated),
+    ReplicationAck(ReplicationAck),
     /// See [`Settle`].
     #[prost(message, tag = "7")]
-    Settle(Settle),
+    FinalOutcome(FinalOutcome),
     /// See [`Adopt`].
     #[prost(message, tag = "8")]
-    Adopt(Adopt),
+    FeedTransfer(FeedTransfer),
     /// See [`Heartbeat`].
     #[prost(message, tag = "9")]
     Heartbeat(Heartbeat),
     /// See [`Yield`].
     #[prost(message, tag = "10")]
-    Yield(Yield),
+    TakeoverRequest(TakeoverRequest),
     /// See [`Pull`].
     #[prost(message, tag = "11")]
-    Pull(Pull),
+    ConfigRequest(ConfigRequest),
     /// See [`Push`].
     #[prost(message, tag = "12")]
-    Push(Push),
+    ConfigResponse(ConfigResponse),
 }
 
-impl Body {
+impl PeerMessage {
     /// Kind of the message, as a metric label.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Relay(_) => "relay",
-            Self::Replicate(_) => "replicate",
-            Self::Replicated(_) => "replicated",
-            Self::Settle(_) => "settle",
-            Self::Adopt(_) => "adopt",
+            Self::ReplicationStep(_) => "replicate",
+            Self::ReplicationAck(_) => "replicated",
+            Self::FinalOutcome(_) => "settle",
+            Self::FeedTransfer(_) => "adopt",
             Self::Heartbeat(_) => "heartbeat",
-            Self::Yield(_) => "yield",
-            Self::Pull(_) => "pull",
-            Self::Push(_) => "push",
+            Self::TakeoverRequest(_) => "yield",
+            Self::ConfigRequest(_) => "pull",
+            Self::ConfigResponse(_) => "push",
         }
     }
 }
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -33,15 +33,15 @@
 use crate::id;
 use crate::metric::Direction;
 use crate::metric::Metrics;
-use crate::peer::Body;
+use crate::peer::PeerMessage;
 use crate::peer::Heartbeat;
-use crate::peer::Pull;
-use crate::peer::Push;
-use crate::peer::member::View;
+use crate::peer::ConfigRequest;
+use crate::peer::ConfigResponse;
+use crate::peer::member::MembershipView;
 use crate::peer::wire;
 use crate::peer::wire::Envelope;
 use crate::peer::wire::Frame;
-use crate::peer::wire::Guard;
+use crate::peer::wire::ReplayGuard;
 use crate::peer::wire::Keys;
 use crate::peer::wire::MAX_FRAME;
 use crate::platform::rate_limit::Rate;
@@ -61,7 +61,7 @@
     socket: UdpSocket,
     sequence: AtomicU64,
     addresses: RwLock<HashMap<id::Holder, SocketAddr>>,
-    guard: Mutex<Guard>,
+    guard: Mutex<ReplayGuard>,
     rate: Rate,
     budgets: Mutex<HashMap<SocketAddr, TokenBucket>>,
     metrics: Arc<Metrics>,
@@ -89,7 +89,7 @@
     }
 
     /// Takes the addresses of a new view.
-    pub(crate) fn learn(&self, view: &View) {
+    pub(crate) fn update_addresses(&self, view: &MembershipView) {
         let addresses = view
             .known
             .values()
@@ -117,7 +117,7 @@
     }
 
     /// Sends a message to a life of an instance; dropped if it is not known.
-    pub(crate) fn send(&self, to: &id::Holder, body: Body) {
+    pub(crate) fn send(&self, to: &id::Holder, body: PeerMessage) {
         if let Some(address) = self.address(to) {
             self.send_to(address, to.instance.as_str(), body);
         }
@@ -129,12 +129,12 @@
     }
 
     /// Sends a message to an address; the receiver's name may be unknown.
-    pub(crate) fn send_to(&self, address: SocketAddr, to: &str, body: Body) {
+    pub(crate) fn send_to(&self, address: SocketAddr, to: &str, body: PeerMessage) {
         let kind = body.kind();
         let frame = match body {
-            Body::Heartbeat(message) => self.seal_heartbeat(address, to, message),
-            Body::Yield(_) => self.seal_essential(address, to, body),
-            _ => self.seal(to, body),
+            PeerMessage::Heartbeat(message) => self.seal_heartbeat(address, to, message),
+            PeerMessage::TakeoverRequest(_) => self.seal_essential(address, to, body),
+            _ => self.sign_frame(to, body),
         };
         self.metrics
             .peer_message(kind, Direction::Sent, frame.len());
@@ -148,20 +148,20 @@
     fn seal_heartbeat(&self, address: SocketAddr, to: &str, message: Heartbeat) -> Vec<u8> {
         let bare = Heartbeat {
             loads: None,
-            trimmed: true,
+            loads_omitted: true,
             ..message.clone()
         };
-        let frame = self.seal(to, Body::Heartbeat(message));
+        let frame = self.sign_frame(to, PeerMessage::Heartbeat(message));
         if self.spend(address, |bucket, now| bucket.take_many(frame.len(), now)) {
             return frame;
         }
         self.metrics.peer_withheld("heartbeat");
-        self.seal_essential(address, to, Body::Heartbeat(bare))
+        self.seal_essential(address, to, PeerMessage::Heartbeat(bare))
     }
 
     /// A message that goes out whatever the budget.
-    fn seal_essential(&self, address: SocketAddr, to: &str, body: Body) -> Vec<u8> {
-        let frame = self.seal(to, body);
+    fn seal_essential(&self, address: SocketAddr, to: &str, body: PeerMessage) -> Vec<u8> {
+        let frame = self.sign_frame(to, body);
         self.spend(address, |bucket, now| {
             bucket.take_available(frame.len(), now)
         });
@@ -182,19 +182,19 @@
         })
     }
 
-    fn seal(&self, to: &str, body: Body) -> Vec<u8> {
+    fn sign_frame(&self, to: &str, body: PeerMessage) -> Vec<u8> {
         let envelope = Envelope {
             from: self.me.to_string(),
             to: to.to_owned(),
             sequence: self.sequence.fetch_add(1, Ordering::Relaxed) + 1,
             body: Some(body),
         };
-        wire::seal(&self.keys, &envelope)
+        wire::sign_frame(&self.keys, &envelope)
     }
 
     /// Checks a received frame: key, receiver, and that it is not a replay.
-    pub(crate) fn open(&self, peer: SocketAddr, frame: &[u8]) -> Result<Frame> {
-        let opened = wire::open(&self.keys, &self.me.instance, &peer.to_string(), frame)?;
+    pub(crate) fn verify_frame(&self, peer: SocketAddr, frame: &[u8]) -> Result<Frame> {
+        let opened = wire::verify_frame(&self.keys, &self.me.instance, &peer.to_string(), frame)?;
         let mut guard = self.guard.lock().unwrap_or_else(|lock| lock.into_inner());
         if !guard.admit(&opened.from, opened.sequence) {
             return Err(Error::Decode {
@@ -210,9 +210,9 @@
     }
 
     /// Asks a peer for everything newer than what is here.
-    pub(crate) async fn pull(&self, peer: SocketAddr, have: Pull) -> Result<Push> {
+    pub(crate) async fn pull(&self, peer: SocketAddr, have: ConfigRequest) -> Result<ConfigResponse> {
         let exchange = async {
-            let frame = self.seal("", Body::Pull(have));
+            let frame = self.sign_frame("", PeerMessage::ConfigRequest(have));
             self.pay(peer, "pull", frame.len())?;
             let stream = TcpStream::connect(peer).await.map_err(|e| io(peer, e))?;
             let mut framed = framed(stream);
@@ -225,8 +225,8 @@
                 .await
                 .ok_or_else(|| unanswered(peer, "closed"))?;
             let answer = answer.map_err(|e| io(peer, e))?;
-            match self.open(peer, &answer)?.body {
-                Body::Push(push) => Ok(push),
+            match self.verify_frame(peer, &answer)?.body {
+                PeerMessage::ConfigResponse(push) => Ok(push),
                 _ => Err(unanswered(peer, "another message")),
             }
         };
@@ -239,7 +239,7 @@
         self: Arc<Self>,
         stream: TcpStream,
         peer: SocketAddr,
-        copies: impl Fn(Pull) -> Push,
+        copies: impl Fn(ConfigRequest) -> ConfigResponse,
     ) -> Result<()> {
         let exchange = async {
             let mut framed = framed(stream);
@@ -248,12 +248,12 @@
                 .await
                 .ok_or_else(|| unanswered(peer, "closed"))?;
             let question = question.map_err(|e| io(peer, e))?;
-            let frame = self.open(peer, &question)?;
-            let Body::Pull(pull) = frame.body else {
+            let frame = self.verify_frame(peer, &question)?;
+            let PeerMessage::ConfigRequest(pull) = frame.body else {
                 return Err(unanswered(peer, "another message"));
             };
             let push = copies(pull);
-            let answer = self.seal(frame.from.instance.as_str(), Body::Push(push));
+            let answer = self.sign_frame(frame.from.instance.as_str(), PeerMessage::ConfigResponse(push));
             let address = self.address(&frame.from).unwrap_or(peer);
             self.pay(address, "push", answer.len())?;
             framed
--- a/src/peer/member.rs
+++ b/src/peer/member.rs
@@ -22,7 +22,7 @@
 
 /// The view handed to the workers.
 #[derive(Clone, Debug, Default)]
-pub struct View {
+pub struct MembershipView {
     /// Lives that were heard recently, this instance's own included.
     pub live: HashSet<id::Holder>,
     /// Everything known, by name.
@@ -31,7 +31,7 @@
     pub authority_until: Option<Instant>,
 }
 
-impl View {
+impl MembershipView {
     /// Whether this life was heard recently.
     pub fn is_live(&self, holder: &id::Holder) -> bool {
         self.live.contains(holder)
--- a/src/peer/wire.rs
+++ b/src/peer/wire.rs
@@ -14,7 +14,7 @@
 use crate::error::Error;
 use crate::error::Result;
 use crate::id;
-use crate::peer::Body;
+use crate::peer::PeerMessage;
 
 /// Length of the MAC at the end of a frame, in bytes.
 pub const MAC_LENGTH: usize = 16;
@@ -38,8 +38,8 @@
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
     /// The message.
-    #[prost(oneof = "Body", tags = "4, 5, 6, 7, 8, 9, 10, 11, 12")]
-    pub body: Option<Body>,
+    #[prost(oneof = "PeerMessage", tags = "4, 5, 6, 7, 8, 9, 10, 11, 12")]
+    pub body: Option<PeerMessage>,
 }
 
 /// A frame that was checked.
@@ -50,7 +50,7 @@
     /// Number of the frame in the sender's life.
     pub sequence: u64,
     /// The message.
-    pub body: Body,
+    pub body: PeerMessage,
 }
 
 /// Keys of the fleet: the first signs, all are accepted.
@@ -107,7 +107,7 @@
 }
 
 /// Writes and signs a frame.
-pub fn seal(keys: &Keys, envelope: &Envelope) -> Vec<u8> {
+pub fn sign_frame(keys: &Keys, envelope: &Envelope) -> Vec<u8> {
     let mut bytes = envelope.encode_to_vec();
     let mac = keys.sign(&bytes);
     bytes.extend_from_slice(&mac);
@@ -119,7 +119,7 @@
 /// # Errors
 ///
 /// [`Error::Decode`] if it is forged, meant for another instance, or malformed.
-pub fn open(keys: &Keys, me: &id::Instance, peer: &str, frame: &[u8]) -> Result<Frame> {
+pub fn verify_frame(keys: &Keys, me: &id::Instance, peer: &str, frame: &[u8]) -> Result<Frame> {
     const STEP: &str = "peer frame";
     let (bytes, mac) = frame
         .split_last_chunk::<MAC_LENGTH>()
@@ -148,7 +148,7 @@
 /// A heartbeat sent again by someone in between would keep a dead instance alive
 /// for its backup, and its slices would get no home.
 #[derive(Debug, Default)]
-pub struct Guard {
+pub struct ReplayGuard {
     lives: HashMap<id::Instance, Life>,
 }
 
@@ -159,7 +159,7 @@
     taken: Vec<u64>,
 }
 
-impl Guard {
+impl ReplayGuard {
     /// Whether the frame is new. Each is new once; those of an earlier life of the
     /// sender, or too far behind the newest, never are.
     pub fn admit(&mut self, from: &id::Holder, sequence: u64) -> bool {
--- a/src/probe.rs
+++ b/src/probe.rs
@@ -108,27 +108,27 @@
         let same = health.service == server.service.as_str()
             && health.server.is_none_or(|name| name == server.id.as_str());
         if !same {
-            server.disown();
+            server.revoke_confirmation();
             return;
         }
         server.state().draining = health.state == Reported::Draining;
         if health.state != Reported::Starting && server.state().listed != State::Starting {
-            server.confirm_witnessed(asked, self.settings.confirm_for());
+            server.confirm_if_connected(asked, self.settings.confirm_for());
         }
     }
 
     /// Makes sure that a connection is open whose end tells of the process's end.
     async fn witness(&self, server: &Arc<Server>) -> bool {
-        if server.state().witnessed {
+        if server.state().is_connection_watched {
             return true;
         }
         let connect = TcpStream::connect(server.health.0);
         let Ok(Ok(stream)) = timeout(self.settings.timeout(), connect).await else {
             return false;
         };
-        server.state().witnessed = true;
+        server.state().is_connection_watched = true;
         let watch = watch(stream, Arc::downgrade(server), Arc::clone(&self.lost));
-        server.keep_witness(AbortOnDropHandle::new(tokio::spawn(watch)));
+        server.set_connection_watch(AbortOnDropHandle::new(tokio::spawn(watch)));
         true
     }
 
@@ -153,7 +153,7 @@
     let mut byte = [0];
     let _ = stream.read(&mut byte).await;
     if let Some(server) = server.upgrade() {
-        server.lose_witness();
+        server.connection_lost();
         lost.notify_one();
     }
 }
--- a/src/query/departure.rs
+++ b/src/query/departure.rs
@@ -6,7 +6,7 @@
 use tokio::time;
 use tokio::time::Instant;
 
-use crate::control::SLICES;
+use crate::control::SLICES_PREFIX;
 use crate::error::Error;
 use crate::error::Result;
 use crate::fleet::Fleet;
@@ -91,7 +91,7 @@
 }
 
 async fn homes(fleet: &Fleet, instance: &id::Instance) -> Result<usize> {
-    let listing = fleet.platform().list(SLICES).await?;
+    let listing = fleet.platform().list(SLICES_PREFIX).await?;
     let is_home = |row: &&Row| row.home.as_ref().is_some_and(|h| h.instance == *instance);
     let mut homes = 0;
     for entry in &listing.entries {
--- a/src/record.rs
+++ b/src/record.rs
@@ -16,7 +16,7 @@
 use crate::request::Key;
 use crate::request::Kind;
 use crate::request::Outcome;
-use crate::request::Part;
+use crate::request::BodyBlock;
 use crate::request::Request;
 use crate::request::Token;
 use crate::server::Server;
@@ -53,7 +53,7 @@
     pub(crate) kind: Kind,
     pub(crate) token: Token,
     pub(crate) confirmable: bool,
-    pub(crate) part: Part,
+    pub(crate) block: BodyBlock,
     pub(crate) born: Instant,
     /// Number of the separate answer, once receipt has been acknowledged.
     pub(crate) separate: Option<u16>,
@@ -73,10 +73,10 @@
             phase: Phase::Claimed,
             claimer: Some(claimer),
             is_awaited: false,
-            kind: Kind::Once,
+            kind: Kind::NonIdempotent,
             token: Token(0),
             confirmable: true,
-            part: Part::default(),
+            block: BodyBlock::default(),
             born,
             separate: None,
             resends: 0,
@@ -96,7 +96,7 @@
     /// server forgets a body once it is whole: a copy of the last part, although
     /// idempotent by its method, would be refused as incomplete.
     pub(crate) fn is_kept(&self) -> bool {
-        self.kind.runs_once() || self.part.upload
+        self.kind.is_non_idempotent() || self.block.is_upload
     }
 
     /// Whether this instance works on it.
@@ -156,7 +156,7 @@
 /// A replication step that is not acknowledged yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Pending {
-    pub(crate) item: peer::Item,
+    pub(crate) item: peer::ReplicationItem,
     /// When it was last sent; none while it waits for room.
     pub(crate) sent: Option<Instant>,
     /// The request that waits for it.
--- a/src/request.rs
+++ b/src/request.rs
@@ -59,29 +59,29 @@
     /// Idempotent: may be repeated at another server.
     Idempotent,
     /// Non-idempotent: runs at most once.
-    Once,
+    NonIdempotent,
     /// Opens a feed; idempotent.
-    Open,
+    OpenFeed,
     /// Ends a feed; idempotent.
-    Close,
+    CloseFeed,
 }
 
 impl Kind {
     /// Whether a second sending could make the work happen twice.
-    pub fn runs_once(self) -> bool {
-        matches!(self, Self::Once)
+    pub fn is_non_idempotent(self) -> bool {
+        matches!(self, Self::NonIdempotent)
     }
 }
 
 /// What a datagram is of a body that may need several.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Part {
+pub struct BodyBlock {
     /// Names the body among its caller's, by resource and method.
-    pub body: u64,
+    pub body_id: u64,
     /// Whether earlier parts are at a server already, which this one must meet.
-    pub later: bool,
+    pub is_continuation: bool,
     /// Whether the body travels to the server.
-    pub upload: bool,
+    pub is_upload: bool,
 }
 
 /// A request from a caller.
@@ -98,7 +98,7 @@
     /// Whether the caller expects an acknowledgement of receipt.
     pub confirmable: bool,
     /// Which part of which body it is.
-    pub part: Part,
+    pub block: BodyBlock,
     /// The whole datagram, opaque here.
     pub datagram: Bytes,
 }
@@ -140,9 +140,9 @@
     /// Whether the server handled the request.
     pub verdict: Verdict,
     /// Whether the answer belongs to a feed that stays open.
-    pub feed: bool,
+    pub keeps_feed_open: bool,
     /// Whether more parts of the same body follow.
-    pub more: bool,
+    pub has_more_blocks: bool,
     /// Seconds after which a server that refused wants to be asked again.
     pub retry_after: Option<u32>,
     /// The whole datagram, opaque here.
--- a/src/server.rs
+++ b/src/server.rs
@@ -58,11 +58,11 @@
     /// Requests of ours in progress there.
     pub outstanding: u32,
     /// Requests of other instances in progress there, as they last told.
-    pub elsewhere: u32,
+    pub peer_outstanding: u32,
     /// Feeds of ours open there.
     pub feeds: u32,
     /// Feeds of other instances open there, as they last told.
-    pub feeds_elsewhere: u32,
+    pub peer_feeds: u32,
     /// What the platform's list says.
     pub listed: Listed,
     /// Whether an operator says that it is leaving.
@@ -72,7 +72,7 @@
     /// Whether its own health answer says that it is leaving.
     pub draining: bool,
     /// Whether a connection is open whose end tells of the process's end.
-    pub witnessed: bool,
+    pub is_connection_watched: bool,
     /// Until when the address is known to run the listed service.
     pub confirmed_until: Option<Instant>,
     /// Until when the last health answer counts.
@@ -109,14 +109,14 @@
             witness: Mutex::default(),
             state: Mutex::new(State {
                 outstanding: 0,
-                elsewhere: 0,
+                peer_outstanding: 0,
                 feeds: 0,
-                feeds_elsewhere: 0,
+                peer_feeds: 0,
                 listed: listed.state,
                 drained: false,
                 evacuated: false,
                 draining: false,
-                witnessed: false,
+                is_connection_watched: false,
                 confirmed_until: None,
                 healthy_until: None,
                 doubts: 0,
@@ -155,7 +155,7 @@
     /// A server of another service refuses that name, so the answer proves as much
     /// as a health answer. It counts from the sending, as an answer may be late,
     /// and not after a sign to the contrary, which only a health answer lifts.
-    pub fn prove(&self, sent: Instant) {
+    pub fn confirm_by_answer(&self, sent: Instant) {
         let mut state = self.state();
         let Some(proven) = state.proven_at else {
             return;
@@ -168,7 +168,7 @@
 
     /// Notes an answer that the right server gives at times and a server of
     /// another service gives always. It says nothing while health answers.
-    pub fn doubt(&self, now: Instant) {
+    pub fn record_not_found(&self, now: Instant) {
         let mut state = self.state();
         if state.healthy_until.is_some_and(|until| now < until) {
             return;
@@ -182,28 +182,28 @@
 
     /// As [`Server::confirm`], unless the process that answered may have ended
     /// since: its address may be another service's by now.
-    pub(crate) fn confirm_witnessed(&self, asked: Instant, valid: Duration) {
-        if self.state().witnessed {
+    pub(crate) fn confirm_if_connected(&self, asked: Instant, valid: Duration) {
+        if self.state().is_connection_watched {
             self.confirm(asked, valid);
         }
     }
 
     /// Keeps the task that waits for the end of the process.
-    pub(crate) fn keep_witness(&self, witness: AbortOnDropHandle<()>) {
+    pub(crate) fn set_connection_watch(&self, witness: AbortOnDropHandle<()>) {
         let mut kept = self.witness.lock().unwrap_or_else(|lock| lock.into_inner());
         *kept = Some(witness);
     }
 
     /// Notes that the process may have ended. What is known of its speed stays,
     /// since most often only an idle connection was closed.
-    pub(crate) fn lose_witness(&self) {
+    pub(crate) fn connection_lost(&self) {
         let mut state = self.state();
-        state.witnessed = false;
+        state.is_connection_watched = false;
         state.confirmed_until = None;
     }
 
     /// Notes that the address runs something else.
-    pub fn disown(&self) {
+    pub fn revoke_confirmation(&self) {
         let mut state = self.state();
         state.proven_at = None;
         state.confirmed_until = None;
@@ -215,7 +215,7 @@
     /// A server that is leaving may say so by its refusals alone. Pauses that
     /// double, with one trial after each, let it have almost no new work, and one
     /// that was merely overloaded is found again.
-    pub fn refuse(&self, now: Instant, asked: Duration) {
+    pub fn record_refusal(&self, now: Instant, asked: Duration) {
         let mut state = self.state();
         // Several requests may have been on their way when it began to refuse.
         if state.paused_until.is_some_and(|until| now < until) {
@@ -241,14 +241,14 @@
     }
 
     /// Notes that it handled something.
-    pub fn succeed(&self) {
+    pub fn record_success(&self) {
         let mut state = self.state();
         state.failures = 0;
         state.refusals = 0;
     }
 
     /// Notes a failure; the caller of this decides about ejection.
-    pub fn fail(&self) -> u32 {
+    pub fn record_failure(&self) -> u32 {
         let mut state = self.state();
         state.failures += 1;
         state.failures
@@ -279,14 +279,14 @@
     }
 
     /// Whether it rests after failures or asked for a pause.
-    pub fn is_resting(&self, now: Instant) -> bool {
+    pub fn is_in_cooldown(&self, now: Instant) -> bool {
         let later = |until: Option<Instant>| until.is_some_and(|until| now < until);
         later(self.ejected_until) || later(self.paused_until)
     }
 
     /// Whether new work may be sent.
     pub fn takes_work(&self, now: Instant) -> bool {
-        self.is_confirmed(now) && !self.is_closed() && !self.is_resting(now) && !self.is_on_trial()
+        self.is_confirmed(now) && !self.is_closed() && !self.is_in_cooldown(now) && !self.is_on_trial()
     }
 
     /// Whether one request is finding out if it still refuses.
@@ -296,12 +296,12 @@
 
     /// Requests in progress, everyone's.
     pub fn load(&self) -> u32 {
-        self.outstanding + self.elsewhere
+        self.outstanding + self.peer_outstanding
     }
 
     /// Feeds open, everyone's.
     pub fn feed_load(&self) -> u32 {
-        self.feeds + self.feeds_elsewhere
+        self.feeds + self.peer_feeds
     }
 
     /// Share of its full weight, from 0.1 at the start to 1 when warm.
--- a/src/shared.rs
+++ b/src/shared.rs
@@ -18,23 +18,23 @@
 
 use crate::burn::Ledger;
 use crate::config::Config;
-use crate::control::Control;
+use crate::control::SlicePlanner;
 use crate::explain;
 use crate::id;
 use crate::metric::Metrics;
 use crate::peer::link::Link;
 use crate::settings;
 use crate::status;
-use crate::worker::Outlet;
-use crate::worker::Pool;
+use crate::worker::Outputs;
+use crate::worker::WorkerPool;
 
 /// State of one daemon.
 pub(crate) struct Shared {
     pub(crate) settings: settings::Daemon,
     pub(crate) me: id::Holder,
     pub(crate) log: Logger,
-    pub(crate) pool: Pool,
-    pub(crate) outlet: Arc<Outlet>,
+    pub(crate) pool: WorkerPool,
+    pub(crate) outputs: Arc<Outputs>,
     pub(crate) link: Arc<Link>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) ring: Arc<explain::Ring>,
@@ -43,7 +43,7 @@
     closing: CancellationToken,
     tasks: TaskTracker,
     config: Mutex<Config>,
-    control: Mutex<Control>,
+    control: Mutex<SlicePlanner>,
 }
 
 /// Parts that are made before the rest.
@@ -51,13 +51,13 @@
     pub(crate) settings: settings::Daemon,
     pub(crate) me: id::Holder,
     pub(crate) log: Logger,
-    pub(crate) pool: Pool,
-    pub(crate) outlet: Arc<Outlet>,
+    pub(crate) pool: WorkerPool,
+    pub(crate) outputs: Arc<Outputs>,
     pub(crate) link: Arc<Link>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) ring: Arc<explain::Ring>,
     pub(crate) ledger: Arc<Mutex<Ledger>>,
-    pub(crate) control: Control,
+    pub(crate) control: SlicePlanner,
 }
 
 impl Shared {
@@ -67,7 +67,7 @@
             me: parts.me,
             log: parts.log,
             pool: parts.pool,
-            outlet: parts.outlet,
+            outputs: parts.outputs,
             link: parts.link,
             metrics: parts.metrics,
             ring: parts.ring,
@@ -106,7 +106,7 @@
         self.config.lock().unwrap_or_else(|lock| lock.into_inner())
     }
 
-    pub(crate) fn control(&self) -> MutexGuard<'_, Control> {
+    pub(crate) fn control(&self) -> MutexGuard<'_, SlicePlanner> {
         self.control.lock().unwrap_or_else(|lock| lock.into_inner())
     }
 
--- a/src/steer.rs
+++ b/src/steer.rs
@@ -23,14 +23,14 @@
 use crate::control::Command;
 use crate::control::INSTANCES;
 use crate::control::Registration;
-use crate::control::SLICES;
-use crate::control::Written;
+use crate::control::SLICES_PREFIX;
+use crate::control::WriteResult;
 use crate::edge;
 use crate::event::Event;
 use crate::id;
 use crate::inbox::Told;
 use crate::peer;
-use crate::peer::Body;
+use crate::peer::PeerMessage;
 use crate::platform;
 use crate::platform::Change;
 use crate::platform::Client;
@@ -46,7 +46,7 @@
 const PLAN_EVERY: Duration = Duration::from_millis(100);
 
 /// The control task's own state, beside what is shared.
-pub(crate) struct Steer {
+pub(crate) struct ControlTask {
     shared: Arc<Shared>,
     client: Client,
     told: UnboundedSender<Told>,
@@ -59,7 +59,7 @@
     loads_changed: bool,
 }
 
-impl Steer {
+impl ControlTask {
     pub(crate) fn new(
         shared: Arc<Shared>,
         client: Client,
@@ -85,7 +85,7 @@
     pub(crate) async fn run(
         mut self,
         mut told: UnboundedReceiver<Told>,
-        mut joined: UnboundedReceiver<crate::worker::Joined>,
+        mut joined: UnboundedReceiver<crate::worker::SyncedBackup>,
     ) {
         let mut plan = tokio::time::interval(PLAN_EVERY);
         plan.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -95,7 +95,7 @@
             tokio::select! {
                 Some(told) = told.recv() => self.take(told),
                 Some(joined) = joined.recv() => {
-                    self.shared.control().joined(joined.slice, &joined.backup);
+                    self.shared.control().backup_synced(joined.slice, &joined.backup);
                 }
                 _ = plan.tick() => self.plan(),
                 _ = beat.tick() => self.beat(),
@@ -108,9 +108,9 @@
         match told {
             Told::Platform(prefix, update) => self.take_update(now, prefix, update),
             Told::Heartbeat { from, message } => self.take_heartbeat(now, &from, message),
-            Told::Yield { from, slices } => self.shared.control().yielded(now, &from, &slices),
+            Told::Yield { from, slices } => self.shared.control().takeover_requested(now, &from, &slices),
             Told::Written { document, written } => {
-                self.shared.control().written(now, document, written);
+                self.shared.control().write_finished(now, document, written);
                 self.plan();
             }
             Told::Pulled(push) => self.take_copies(now, push),
@@ -163,8 +163,8 @@
         }
     }
 
-    fn take_copies(&mut self, now: Instant, push: peer::Push) {
-        for version in push.gone {
+    fn take_copies(&mut self, now: Instant, push: peer::ConfigResponse) {
+        for version in push.deleted {
             let mut config = self.shared.config();
             self.changed |= config.remove_copy(&version.key, version.modified);
         }
@@ -191,8 +191,8 @@
     }
 
     fn apply(&mut self, now: Instant, entry: &Entry) {
-        if entry.key.starts_with(SLICES) || entry.key.starts_with(INSTANCES) {
-            self.shared.control().store(now, entry);
+        if entry.key.starts_with(SLICES_PREFIX) || entry.key.starts_with(INSTANCES) {
+            self.shared.control().apply_entry(now, entry);
         } else {
             self.changed = true;
         }
@@ -227,7 +227,7 @@
     }
 
     fn judge_ready(&self, leaving: bool) {
-        let listening = self.shared.outlet.listeners.read();
+        let listening = self.shared.outputs.listeners.read();
         let listening = listening.is_ok_and(|known| !known.is_empty());
         let ready = listening && !leaving;
         self.shared.ready.store(ready, Ordering::Relaxed);
@@ -243,7 +243,7 @@
         }
         drop(config);
         self.set_objectives(&snapshot);
-        self.shared.pool.tell(&Event::Snapshot(snapshot));
+        self.shared.pool.broadcast(&Event::Snapshot(snapshot));
         for (service, address) in addresses {
             self.listen(service, address);
         }
@@ -264,8 +264,8 @@
     }
 
     fn listen(&mut self, service: id::Service, public: id::Endpoint) {
-        let outlet = &self.shared.outlet;
-        let known = outlet.listeners.read();
+        let outputs = &self.shared.outputs;
+        let known = outputs.listeners.read();
         if known.is_ok_and(|known| known.contains_key(&service)) {
             return;
         }
@@ -277,7 +277,7 @@
         });
         match bound {
             Ok(socket) => {
-                if let Ok(mut known) = outlet.listeners.write() {
+                if let Ok(mut known) = outputs.listeners.write() {
                     known.insert(service.clone(), Arc::new(socket));
                 }
                 info!(self.shared.log, "listening"; "service" => %service, "address" => %address);
@@ -298,29 +298,29 @@
                 expected,
                 rows,
             } => self.write(document, expected, rows),
-            Command::Join { slices, backup } => {
+            Command::AddBackup { slices, backup } => {
                 for slice in slices {
-                    let event = Event::Join {
+                    let event = Event::AddBackup {
                         slices: vec![slice],
                         backup: backup.clone(),
                     };
-                    pool.order(slice, event);
+                    pool.enqueue_blocking(slice, event);
                 }
             }
-            Command::Abandon(slices) => {
+            Command::CancelBackup(slices) => {
                 for slice in slices {
-                    pool.order(slice, Event::Abandon(vec![slice]));
+                    pool.enqueue_blocking(slice, Event::CancelBackup(vec![slice]));
                 }
             }
-            Command::Yield { to, slices } => {
+            Command::RequestTakeover { to, slices } => {
                 let slices = slices.into_iter().map(|slice| slice.0).collect();
-                let body = Body::Yield(peer::Yield { slices });
+                let body = PeerMessage::TakeoverRequest(peer::TakeoverRequest { slices });
                 self.shared.link.send(&to, body);
             }
-            Command::Table(table) => pool.tell(&Event::Table(table)),
-            Command::Members(view) => {
-                self.shared.link.learn(&view);
-                pool.tell(&Event::Members(view));
+            Command::Table(table) => pool.broadcast(&Event::Table(table)),
+            Command::Membership(view) => {
+                self.shared.link.update_addresses(&view);
+                pool.broadcast(&Event::Membership(view));
             }
         }
     }
@@ -334,15 +334,15 @@
         let told = self.told.clone();
         let log = self.shared.log.clone();
         self.shared.spawn(async move {
-            let key = format!("{SLICES}{document}");
+            let key = format!("{SLICES_PREFIX}{document}");
             let value = serde_json::to_vec(&value).unwrap_or_default();
             let resolved = client.compare_and_swap_resolved(&key, expected, &value, None).await;
             debug!(log, "slice table written"; "document" => document, "result" => ?resolved.as_ref().map(outcome));
             let written = match resolved {
-                Ok(ResolvedWrite::Done(version)) => Written::Done(version),
-                Ok(ResolvedWrite::Lost(entry) | ResolvedWrite::Superseded(entry)) => Written::Lost(entry),
-                Ok(ResolvedWrite::Unknown) => Written::Unknown,
-                Err(_) => Written::Lost(None),
+                Ok(ResolvedWrite::Done(version)) => WriteResult::Done(version),
+                Ok(ResolvedWrite::Lost(entry) | ResolvedWrite::Superseded(entry)) => WriteResult::Lost(entry),
+                Ok(ResolvedWrite::Unknown) => WriteResult::Unknown,
+                Err(_) => WriteResult::Lost(None),
             };
             let _ = told.send(Told::Written { document, written });
         });
@@ -367,7 +367,7 @@
 }
 
 /// Prefixes of the platform that are followed.
-pub(crate) const FOLLOWED: [&str; 2] = [OURS, SERVERS];
+pub(crate) const WATCHED_PREFIXES: [&str; 2] = [OURS, SERVERS];
 
 /// Passes on what a follower tells.
 pub(crate) async fn follow(client: Client, prefix: &'static str, told: UnboundedSender<Told>) {
--- a/src/steer/heartbeat.rs
+++ b/src/steer/heartbeat.rs
@@ -16,8 +16,8 @@
 use crate::id;
 use crate::inbox::Told;
 use crate::peer;
-use crate::peer::Body;
-use crate::steer::Steer;
+use crate::peer::PeerMessage;
+use crate::steer::ControlTask;
 
 /// How long a peer's copy may differ before it is asked for what is newer. A
 /// change that the platform is just telling everyone needs no copy.
@@ -26,7 +26,7 @@
 /// Servers in one heartbeat.
 const MAX_LOADS: usize = 32;
 
-impl Steer {
+impl ControlTask {
     pub(super) fn take_heartbeat(
         &mut self,
         now: Instant,
@@ -46,7 +46,7 @@
             }
         }
         self.compare(now, from, &message);
-        if !message.trimmed {
+        if !message.loads_omitted {
             let loads = message.loads.unwrap_or_default();
             self.loads.insert(from.instance.clone(), loads);
             self.loads_changed = true;
@@ -90,7 +90,7 @@
         let told = self.told.clone();
         let log = self.shared.log.clone();
         self.shared.spawn(async move {
-            match link.pull(address.0, peer::Pull { have }).await {
+            match link.pull(address.0, peer::ConfigRequest { known_versions: have }).await {
                 Ok(push) => {
                     let _ = told.send(Told::Pulled(push));
                 }
@@ -119,11 +119,11 @@
         for server in self.shared.config().servers() {
             let sum = sums.get(&mark(&server.id)).copied().unwrap_or_default();
             let mut state = server.state();
-            (state.elsewhere, state.feeds_elsewhere) = sum;
+            (state.peer_outstanding, state.peer_feeds) = sum;
         }
     }
 
-    fn heartbeat(&self) -> Body {
+    fn heartbeat(&self) -> PeerMessage {
         let config = self.shared.config();
         let loads = config.servers().filter_map(|server| {
             let state = server.state();
@@ -134,13 +134,13 @@
                 feeds: state.feeds,
             })
         });
-        Body::Heartbeat(peer::Heartbeat {
+        PeerMessage::Heartbeat(peer::Heartbeat {
             zone: self.shared.settings.zone.to_string(),
             address: self.shared.settings.advertised().to_string(),
             leaving: self.shared.control().is_leaving(),
             digest: config.digest(),
             loads: Some(loads.take(MAX_LOADS).collect()),
-            trimmed: false,
+            loads_omitted: false,
         })
     }
 
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -22,11 +22,11 @@
 
 use crate::action::Action;
 use crate::action::Delivery;
-use crate::action::Note;
+use crate::action::TraceEvent;
 use crate::codec;
 use crate::engine::ATTEMPT_BITS;
 use crate::engine::Engine;
-use crate::engine::PATHS;
+use crate::engine::SERVER_SOCKETS;
 use crate::error::Error;
 use crate::error::Result;
 use crate::event::Event;
@@ -54,36 +54,36 @@
     Answer {
         event: Event,
         from: id::Endpoint,
-        path: usize,
+        server_socket: usize,
         acknowledge: Option<u16>,
     },
 }
 
 /// What a worker tells the control task.
 #[derive(Debug)]
-pub(crate) struct Joined {
+pub(crate) struct SyncedBackup {
     pub(crate) slice: id::Slice,
     pub(crate) backup: id::Holder,
 }
 
 /// Told of each note.
-pub(crate) type Observe = Box<dyn Fn(Instant, &Note) + Send + Sync>;
+pub(crate) type Observe = Box<dyn Fn(Instant, &TraceEvent) + Send + Sync>;
 
 /// Where actions go; shared by all workers.
 ///
 /// Lock order: `listeners` is a leaf, held for one lookup.
-pub(crate) struct Outlet {
+pub(crate) struct Outputs {
     pub(crate) listeners: RwLock<HashMap<id::Service, Arc<UdpSocket>>>,
-    pub(crate) paths: Vec<UdpSocket>,
+    pub(crate) server_sockets: Vec<UdpSocket>,
     pub(crate) link: Arc<Link>,
-    pub(crate) joined: UnboundedSender<Joined>,
+    pub(crate) synced_backups: UnboundedSender<SyncedBackup>,
     pub(crate) observe: Observe,
-    pub(crate) message: AtomicUsize,
+    pub(crate) next_message: AtomicUsize,
 }
 
 /// A worker's load, as it last told.
 #[derive(Debug, Default)]
-pub(crate) struct Gauge {
+pub(crate) struct WorkerLoad {
     pub(crate) in_progress: AtomicU64,
     pub(crate) feeds: AtomicU64,
     pub(crate) records: AtomicU64,
@@ -95,34 +95,34 @@
 ///
 /// Lock order: `threads` is a leaf, held to take them out.
 #[derive(Debug)]
-pub(crate) struct Pool {
+pub(crate) struct WorkerPool {
     senders: Vec<Sender<Input>>,
-    gauges: Arc<Vec<Gauge>>,
+    gauges: Arc<Vec<WorkerLoad>>,
     threads: Mutex<Vec<JoinHandle<()>>>,
     closed: Arc<AtomicBool>,
     slices: u32,
     hash_key: u64,
 }
 
-impl Pool {
+impl WorkerPool {
     /// Starts one thread for each engine.
     pub(crate) fn start(
         engines: Vec<Engine>,
-        outlet: &Arc<Outlet>,
+        outputs: &Arc<Outputs>,
         slices: u32,
         hash_key: u64,
     ) -> Result<Self> {
-        let gauges: Vec<Gauge> = engines.iter().map(|_| Gauge::default()).collect();
+        let gauges: Vec<WorkerLoad> = engines.iter().map(|_| WorkerLoad::default()).collect();
         let gauges = Arc::new(gauges);
         let closed = Arc::new(AtomicBool::new(false));
         let mut senders = Vec::new();
         let mut threads = Vec::new();
         for (number, engine) in engines.into_iter().enumerate() {
             let (sender, receiver) = crossbeam::channel::bounded(QUEUE);
-            let outlet = Arc::clone(outlet);
+            let outputs = Arc::clone(outputs);
             let gauges = Arc::clone(&gauges);
             let closed = Arc::clone(&closed);
-            let work = move || run(engine, &receiver, &outlet, &gauges[number], &closed);
+            let work = move || run(engine, &receiver, &outputs, &gauges[number], &closed);
             threads.push(spawn(number, work)?);
             senders.push(sender);
         }
@@ -162,21 +162,21 @@
     }
 
     /// Gives an event to the worker that owns a slice.
-    pub(crate) fn give(&self, slice: id::Slice, event: Event) {
+    pub(crate) fn enqueue(&self, slice: id::Slice, event: Event) {
         let worker = slice.0 as usize % self.senders.len();
         self.push(worker, Input::Event(event));
     }
 
     /// Gives an order of the control task to the worker that owns a slice; waits
     /// for room, since a lost order would leave the slice without a backup.
-    pub(crate) fn order(&self, slice: id::Slice, event: Event) {
+    pub(crate) fn enqueue_blocking(&self, slice: id::Slice, event: Event) {
         let worker = slice.0 as usize % self.senders.len();
         let _ = self.senders[worker].send(Input::Event(event));
     }
 
     /// Gives a server's answer to the worker whose sending it answers; tells
     /// whether there is such a worker.
-    pub(crate) fn give_answer(&self, attempt: id::Attempt, input: Input) -> bool {
+    pub(crate) fn enqueue_answer(&self, attempt: id::Attempt, input: Input) -> bool {
         let worker = (attempt.0 >> ATTEMPT_BITS) as usize;
         let known = worker < self.senders.len();
         if known {
@@ -186,7 +186,7 @@
     }
 
     /// Gives an event to all workers; waits for room, since none may miss it.
-    pub(crate) fn tell(&self, event: &Event) {
+    pub(crate) fn broadcast(&self, event: &Event) {
         for sender in &self.senders {
             let _ = sender.send(Input::Event(event.clone()));
         }
@@ -199,7 +199,7 @@
     }
 
     /// Sum of a value over all workers.
-    pub(crate) fn sum(&self, value: impl Fn(&Gauge) -> &AtomicU64) -> u64 {
+    pub(crate) fn sum(&self, value: impl Fn(&WorkerLoad) -> &AtomicU64) -> u64 {
         let values = self.gauges.iter();
         values
             .map(|gauge| value(gauge).load(Ordering::Relaxed))
@@ -219,24 +219,24 @@
 fn run(
     mut engine: Engine,
     receiver: &Receiver<Input>,
-    outlet: &Outlet,
-    gauge: &Gauge,
+    outputs: &Outputs,
+    gauge: &WorkerLoad,
     closed: &AtomicBool,
 ) {
     let mut ticked = Instant::now();
     while !closed.load(Ordering::Relaxed) {
         match receiver.recv_timeout(TICK) {
-            Ok(input) => take(&mut engine, input, outlet),
+            Ok(input) => take(&mut engine, input, outputs),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
         for input in receiver.try_iter().take(BATCH) {
-            take(&mut engine, input, outlet);
+            take(&mut engine, input, outputs);
         }
         let now = Instant::now();
         if now >= ticked + TICK {
             ticked = now;
-            act(now, engine.handle(now, Event::Tick), outlet);
+            act(now, engine.handle(now, Event::Tick), outputs);
             let in_progress = engine.in_progress() as u64;
             gauge.in_progress.store(in_progress, Ordering::Relaxed);
             gauge.feeds.store(engine.feeds() as u64, Ordering::Relaxed);
@@ -250,35 +250,35 @@
     }
 }
 
-fn take(engine: &mut Engine, input: Input, outlet: &Outlet) {
+fn take(engine: &mut Engine, input: Input, outputs: &Outputs) {
     let now = Instant::now();
     match input {
-        Input::Event(event) => act(now, engine.handle(now, event), outlet),
+        Input::Event(event) => act(now, engine.handle(now, event), outputs),
         Input::Answer {
             event,
             from,
-            path,
+            server_socket: path,
             acknowledge,
         } => {
             let actions = engine.handle(now, event);
             let rejected = actions.iter().any(|a| matches!(a, Action::Reject { .. }));
             if let Some(message) = acknowledge.filter(|_| !rejected) {
                 let receipt = codec::write_receipt(message);
-                let _ = outlet.paths[path].send_to(&receipt, from.0);
+                let _ = outputs.server_sockets[path].send_to(&receipt, from.0);
             }
-            act(now, actions, outlet);
+            act(now, actions, outputs);
         }
     }
 }
 
-fn act(now: Instant, actions: Vec<Action>, outlet: &Outlet) {
+fn act(now: Instant, actions: Vec<Action>, outputs: &Outputs) {
     for action in actions {
         // A datagram that cannot be written or sent is like one that is lost.
-        let _ = carry_out(now, action, outlet);
+        let _ = carry_out(now, action, outputs);
     }
 }
 
-fn carry_out(now: Instant, action: Action, outlet: &Outlet) -> Result<()> {
+fn carry_out(now: Instant, action: Action, outputs: &Outputs) -> Result<()> {
     match action {
         Action::Forward {
             server,
@@ -287,9 +287,9 @@
             remaining,
             datagram,
         } => {
-            let message = next_message(outlet);
+            let message = next_message(outputs);
             let bytes = codec::write_forward(&datagram, &service, attempt, message, remaining)?;
-            let _ = path(outlet, attempt).send_to(&bytes, server.address.0);
+            let _ = path(outputs, attempt).send_to(&bytes, server.address.0);
         }
         Action::Reject {
             to,
@@ -298,7 +298,7 @@
         } => {
             if let Some(message) = codec::message_number(&datagram) {
                 let bytes = codec::write_rejection(message);
-                let _ = path(outlet, attempt).send_to(&bytes, to.0);
+                let _ = path(outputs, attempt).send_to(&bytes, to.0);
             }
         }
         Action::Answer {
@@ -318,14 +318,14 @@
                     Delivery::Direct => None,
                     Delivery::Separate { message } => Some(message),
                 },
-                message: next_message(outlet),
+                message: next_message(outputs),
                 sequence,
             };
             let bytes = codec::write_answer(&address, &outcome)?;
-            outlet.to_caller(&flow, &bytes);
+            outputs.to_caller(&flow, &bytes);
         }
         Action::Acknowledge { flow, id } => {
-            outlet.to_caller(&flow, &codec::write_acknowledgement(id));
+            outputs.to_caller(&flow, &codec::write_acknowledgement(id));
         }
         Action::Notify {
             flow,
@@ -337,18 +337,18 @@
         } => {
             let datagram = datagram.as_ref();
             let bytes = codec::write_notification(token, message, sequence, confirmable, datagram)?;
-            outlet.to_caller(&flow, &bytes);
+            outputs.to_caller(&flow, &bytes);
         }
-        Action::Peer { to, body } => outlet.link.send(&to, body),
-        Action::Joined { slice, backup } => {
-            let _ = outlet.joined.send(Joined { slice, backup });
+        Action::Peer { to, body } => outputs.link.send(&to, body),
+        Action::BackupSynced { slice, backup } => {
+            let _ = outputs.synced_backups.send(SyncedBackup { slice, backup });
         }
-        Action::Note(note) => (outlet.observe)(now, &note),
+        Action::TraceEvent(note) => (outputs.observe)(now, &note),
     }
     Ok(())
 }
 
-impl Outlet {
+impl Outputs {
     fn to_caller(&self, flow: &crate::request::Flow, bytes: &[u8]) {
         let listener = self.listeners.read().ok();
         let listener = listener.and_then(|known| known.get(&flow.service).map(Arc::clone));
@@ -358,10 +358,10 @@
     }
 }
 
-fn next_message(outlet: &Outlet) -> u16 {
-    outlet.message.fetch_add(1, Ordering::Relaxed) as u16
+fn next_message(outputs: &Outputs) -> u16 {
+    outputs.next_message.fetch_add(1, Ordering::Relaxed) as u16
 }
 
-fn path(outlet: &Outlet, attempt: id::Attempt) -> &UdpSocket {
-    &outlet.paths[(attempt.0 % PATHS) as usize]
+fn path(outputs: &Outputs, attempt: id::Attempt) -> &UdpSocket {
+    &outputs.server_sockets[(attempt.0 % SERVER_SOCKETS) as usize]
 }
--- a/tests/adapter/mod.rs
+++ b/tests/adapter/mod.rs
@@ -19,8 +19,8 @@
 use godwitreel::engine::Engine;
 use godwitreel::event::Event;
 use godwitreel::id;
-use godwitreel::member::View;
-use godwitreel::peer::Body;
+use godwitreel::member::MembershipView;
+use godwitreel::peer::PeerMessage;
 use godwitreel::request;
 use godwitreel::request::Flow;
 use godwitreel::request::Outcome;
@@ -189,7 +189,7 @@
                 return Ok(None);
             }
             Input::Table { rows } => Event::Table(Arc::new(table(rows))),
-            Input::Members { live, authority_ms } => Event::Members(Arc::new(View {
+            Input::Members { live, authority_ms } => Event::Membership(Arc::new(MembershipView {
                 live: live.into_iter().collect(),
                 known: BTreeMap::new(),
                 authority_until: Some(now + Duration::from_millis(authority_ms)),
@@ -208,7 +208,7 @@
                     token: request::Token(token.into()),
                     kind: kind.into(),
                     confirmable: true,
-                    part: request::Part::default(),
+                    block: request::BodyBlock::default(),
                     datagram: payload.into(),
                 },
                 hops: 0,
@@ -244,8 +244,8 @@
                     } else {
                         Verdict::Handled
                     },
-                    feed,
-                    more: false,
+                    keeps_feed_open: feed,
+                    has_more_blocks: false,
                     retry_after: None,
                     datagram: payload.into(),
                 },
@@ -348,10 +348,10 @@
                 "sequence": sequence, "payload": datagram.as_ref().map(text)}),
             Action::Peer { to, body } => json!({"action": "peer", "to": to,
                 "kind": body.kind(), "frame": frame(body)}),
-            Action::Joined { slice, backup } => {
+            Action::BackupSynced { slice, backup } => {
                 json!({"action": "joined", "slice": slice, "backup": backup})
             }
-            Action::Note(note) => json!({"action": "note", "reason": note.reason.code()}),
+            Action::TraceEvent(note) => json!({"action": "note", "reason": note.reason.code()}),
         }
     }
 }
@@ -360,9 +360,9 @@
     fn from(kind: Kind) -> Self {
         match kind {
             Kind::Idempotent => Self::Idempotent,
-            Kind::Once => Self::Once,
-            Kind::Open => Self::Open,
-            Kind::Close => Self::Close,
+            Kind::Once => Self::NonIdempotent,
+            Kind::Open => Self::OpenFeed,
+            Kind::Close => Self::CloseFeed,
         }
     }
 }
@@ -388,7 +388,7 @@
 }
 
 /// Peer messages stay opaque to the bench, which only carries them.
-fn frame(body: &Body) -> String {
+fn frame(body: &PeerMessage) -> String {
     let envelope = Envelope {
         body: Some(body.clone()),
         ..Envelope::default()
@@ -396,7 +396,7 @@
     STANDARD.encode(envelope.encode_to_vec())
 }
 
-fn body(frame: &str) -> Result<Body, String> {
+fn body(frame: &str) -> Result<PeerMessage, String> {
     let bytes = STANDARD.decode(frame).map_err(|error| error.to_string())?;
     let envelope = Envelope::decode(&*bytes).map_err(|error| error.to_string())?;
     envelope.body.ok_or("no message".to_owned())
--- a/tests/decoders.rs
+++ b/tests/decoders.rs
@@ -11,8 +11,8 @@
 use godwitreel::event::Event;
 use godwitreel::id;
 use godwitreel::peer;
-use godwitreel::peer::Body;
-use godwitreel::peer::Item;
+use godwitreel::peer::PeerMessage;
+use godwitreel::peer::ReplicationItem;
 use godwitreel::request::Answer;
 use godwitreel::request::Id;
 use godwitreel::request::Kind;
@@ -53,9 +53,9 @@
         from: holder("a", 1).to_string(),
         to: to.to_owned(),
         sequence,
-        body: Some(Body::Yield(peer::Yield { slices: vec![1, 2] })),
+        body: Some(PeerMessage::TakeoverRequest(peer::TakeoverRequest { slices: vec![1, 2] })),
     };
-    wire::seal(keys, &envelope)
+    wire::sign_frame(keys, &envelope)
 }
 
 fn me() -> id::Instance {
@@ -70,7 +70,7 @@
         let datagram = Bytes::from(bytes.clone());
         let _ = codec::read_caller(&lab::flow("dispatch", 1), &datagram);
         let _ = codec::read_server(lab::endpoint(2, 1), &datagram);
-        let _ = wire::open(&keys(b"key"), &me(), "peer", &bytes);
+        let _ = wire::verify_frame(&keys(b"key"), &me(), "peer", &bytes);
         let _ = codec::message_number(&bytes);
     }
 
@@ -82,7 +82,7 @@
             from: String::from_utf8_lossy(&bytes).into_owned(),
             to: String::new(),
             sequence: u64::MAX,
-            body: Some(Body::Settle(peer::Settle {
+            body: Some(PeerMessage::FinalOutcome(peer::FinalOutcome {
                 slice: u32::MAX,
                 flow: Some(peer::WireFlow { service: String::new(), caller: bytes.clone() }),
                 id: bytes.clone(),
@@ -90,8 +90,8 @@
                 answer: Bytes::from(bytes.clone()),
             })),
         };
-        let frame = wire::seal(&keys(b"key"), &envelope);
-        let _ = wire::open(&keys(b"key"), &me(), "peer", &frame);
+        let frame = wire::sign_frame(&keys(b"key"), &envelope);
+        let _ = wire::verify_frame(&keys(b"key"), &me(), "peer", &frame);
         let _ = peer::unpack_number(&bytes);
     }
 
@@ -114,7 +114,7 @@
         let mut frame = sealed(&keys(b"key"), "b", 1);
         let place = place.index(frame.len());
         frame[place] ^= 1 << bit;
-        prop_assert!(wire::open(&keys(b"key"), &me(), "peer", &frame).is_err());
+        prop_assert!(wire::verify_frame(&keys(b"key"), &me(), "peer", &frame).is_err());
     }
 }
 
@@ -122,12 +122,12 @@
 #[test]
 fn frames_that_are_not_ours_are_refused() {
     let frame = sealed(&keys(b"key"), "b", 1);
-    assert!(wire::open(&keys(b"key"), &me(), "peer", &frame).is_ok());
-    assert!(wire::open(&keys(b"other"), &me(), "peer", &frame).is_err());
+    assert!(wire::verify_frame(&keys(b"key"), &me(), "peer", &frame).is_ok());
+    assert!(wire::verify_frame(&keys(b"other"), &me(), "peer", &frame).is_err());
     let elsewhere = sealed(&keys(b"key"), "c", 1);
-    assert!(wire::open(&keys(b"key"), &me(), "peer", &elsewhere).is_err());
+    assert!(wire::verify_frame(&keys(b"key"), &me(), "peer", &elsewhere).is_err());
     for length in 0..frame.len() {
-        assert!(wire::open(&keys(b"key"), &me(), "peer", &frame[..length]).is_err());
+        assert!(wire::verify_frame(&keys(b"key"), &me(), "peer", &frame[..length]).is_err());
     }
 }
 
@@ -135,7 +135,7 @@
 /// not taken at all.
 #[test]
 fn replayed_frames_are_refused() {
-    let mut guard = wire::Guard::default();
+    let mut guard = wire::ReplayGuard::default();
     let life = holder("a", 2);
     assert!(guard.admit(&life, 5));
     assert!(!guard.admit(&life, 5));
@@ -239,7 +239,7 @@
         };
         match step {
             Step::Ask(caller, number, kind) => {
-                let kinds = [Kind::Once, Kind::Idempotent, Kind::Open, Kind::Close];
+                let kinds = [Kind::NonIdempotent, Kind::Idempotent, Kind::OpenFeed, Kind::CloseFeed];
                 let kind = kinds[usize::from(kind)];
                 self.opened += 1;
                 let request = lab::request(&Self::flow(caller), number.into(), kind);
@@ -265,8 +265,8 @@
                             0 => Verdict::Refused,
                             _ => Verdict::Handled,
                         },
-                        feed: kind > 2,
-                        more: kind == 2,
+                        keeps_feed_open: kind > 2,
+                        has_more_blocks: kind == 2,
                         ..lab::answer("x")
                     },
                 }
@@ -283,29 +283,29 @@
             }
             Step::Replicated(number) => {
                 let first = self.holders[0].incarnation.0 << 8;
-                let message = peer::Replicated {
+                let message = peer::ReplicationAck {
                     slice: (number % u64::from(SLICES)) as u32,
                     epoch: 1,
                     number: first + number,
                 };
-                peer(&self.holders[1], Body::Replicated(message))
+                peer(&self.holders[1], PeerMessage::ReplicationAck(message))
             }
             Step::Settle(caller, is_empty) => {
-                let message = peer::Settle {
+                let message = peer::FinalOutcome {
                     slice: self.table.slice(lab::HASH_KEY, &Self::flow(caller)).0,
                     flow: Some(peer::pack_flow(&Self::flow(caller))),
                     id: peer::pack_number(1),
                     token: peer::pack_number(1),
                     answer: Bytes::from_static(if is_empty { b"" } else { b"x" }),
                 };
-                peer(&self.holders[1], Body::Settle(message))
+                peer(&self.holders[1], PeerMessage::FinalOutcome(message))
             }
             Step::Adopt(caller, sequence) => {
-                let message = peer::Adopt {
+                let message = peer::FeedTransfer {
                     slice: self.table.slice(lab::HASH_KEY, &Self::flow(caller)).0,
                     feed: Some(feed(&Self::flow(caller), sequence)),
                 };
-                peer(&self.holders[1], Body::Adopt(message))
+                peer(&self.holders[1], PeerMessage::FeedTransfer(message))
             }
             Step::Rows(raise, kind) => self.rows(raise, kind),
             Step::View(mask) => {
@@ -320,11 +320,11 @@
                 };
                 lab::view(&live, until)
             }
-            Step::Join => Event::Join {
+            Step::Join => Event::AddBackup {
                 slices: (0..SLICES).map(id::Slice).collect(),
                 backup: self.holders[1].clone(),
             },
-            Step::Abandon => Event::Abandon((0..SLICES).map(id::Slice).collect()),
+            Step::Abandon => Event::CancelBackup((0..SLICES).map(id::Slice).collect()),
             Step::Servers(mask) => {
                 for (n, server) in self.servers.iter().enumerate() {
                     server.state().draining = mask & (1 << n) != 0;
@@ -386,22 +386,22 @@
     }
 }
 
-fn replicate(epoch: u64, kind: u8, flow: &godwitreel::request::Flow) -> Body {
+fn replicate(epoch: u64, kind: u8, flow: &godwitreel::request::Flow) -> PeerMessage {
     let item = match kind {
-        0 => Item::Begin(peer::Begin {}),
-        1 => Item::Claim(peer::Claim {
+        0 => ReplicationItem::CopyStart(peer::CopyStart {}),
+        1 => ReplicationItem::Claim(peer::Claim {
             flow: Some(peer::pack_flow(flow)),
             id: peer::pack_number(Id(1).0),
             claimer: String::new(),
             age_ms: 0,
         }),
-        2 => Item::Feed(feed(flow, 7)),
-        _ => Item::FeedEnd(peer::FeedEnd {
+        2 => ReplicationItem::Feed(feed(flow, 7)),
+        _ => ReplicationItem::FeedEnd(peer::FeedEnd {
             flow: Some(peer::pack_flow(flow)),
             token: peer::pack_number(1),
         }),
     };
-    Body::Replicate(peer::Replicate {
+    PeerMessage::ReplicationStep(peer::ReplicationStep {
         slice: Table::new(SLICES).slice(lab::HASH_KEY, flow).0,
         epoch,
         number: epoch,
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use godwitreel::action::Note;
+use godwitreel::action::TraceEvent;
 use godwitreel::explain::Context;
 use godwitreel::explain::MAX_TRACES;
 use godwitreel::explain::Ring;
@@ -22,10 +22,10 @@
     }
 }
 
-fn note(reason: Reason, flow: &Flow) -> Note {
-    Note {
+fn note(reason: Reason, flow: &Flow) -> TraceEvent {
+    TraceEvent {
         flow: Some(flow.clone()),
-        ..Note::new(reason)
+        ..TraceEvent::new(reason)
     }
 }
 
@@ -38,7 +38,7 @@
         epoch: Some(id::Epoch(7)),
         revision: Some(id::Revision(3)),
     };
-    let answered = Note {
+    let answered = TraceEvent {
         request: Some(request::Id(0xab)),
         slice: Some(id::Slice(12)),
         server: Some("d1".parse().expect("a server")),
@@ -115,7 +115,7 @@
     let ring = Ring::default();
     ring.record(
         Instant::now(),
-        Note::new(Reason::HomeGained),
+        TraceEvent::new(Reason::HomeGained),
         Context::default(),
     );
     assert!(ring.is_empty());
--- a/tests/feed.rs
+++ b/tests/feed.rs
@@ -11,8 +11,8 @@
 use godwitreel::engine::Engine;
 use godwitreel::event::Event;
 use godwitreel::id;
-use godwitreel::peer::Body;
-use godwitreel::peer::Item;
+use godwitreel::peer::PeerMessage;
+use godwitreel::peer::ReplicationItem;
 use godwitreel::reason::Reason;
 use godwitreel::request::Answer;
 use godwitreel::request::Kind;
@@ -21,7 +21,7 @@
 use godwitreel::server::Server;
 use tokio::time::Instant;
 
-use crate::lab::bodies;
+use crate::lab::peer_messages;
 use crate::lab::deliver;
 use crate::lab::forwards;
 use crate::lab::has_reason;
@@ -43,9 +43,9 @@
 
 /// Opens feed 1 at the home; the backup gets its copy.
 fn open(pair: &mut Pair) -> Sent {
-    let sent = forwards(&pair.ask(1, Kind::Open)).remove(0);
+    let sent = forwards(&pair.ask(1, Kind::OpenFeed)).remove(0);
     let opened = pair.answer(&sent, notification("first"));
-    pair.tell_backup(&opened);
+    pair.deliver_to_backup(&opened);
     sent
 }
 
@@ -63,8 +63,8 @@
 }
 
 fn offers(actions: &[Action]) -> usize {
-    let offer = |(_, body): &(id::Holder, Body)| matches!(body, Body::Adopt(_));
-    bodies(actions).iter().filter(|sent| offer(sent)).count()
+    let offer = |(_, body): &(id::Holder, PeerMessage)| matches!(body, PeerMessage::FeedTransfer(_));
+    peer_messages(actions).iter().filter(|sent| offer(sent)).count()
 }
 
 fn hear(pair: &Pair, live: &[&id::Holder]) -> Event {
@@ -94,7 +94,7 @@
 /// drop older ones and take the feed for dead.
 #[test]
 fn the_sequence_leaps_when_another_goes_on() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let sent = open(&mut pair);
     let mut seen = 0;
     for _ in 0..300 {
@@ -110,7 +110,7 @@
 /// the new home must not use those of the old one again.
 #[test]
 fn message_numbers_do_not_come_again_after_a_takeover() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let sent = open(&mut pair);
     let mut seen = BTreeSet::new();
     for _ in 0..300 {
@@ -128,13 +128,13 @@
 /// is refreshed before.
 #[test]
 fn the_copy_of_the_sequence_never_lags_by_a_leap() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let sent = open(&mut pair);
     let mut refreshed = 0;
     for _ in 0..40_000 {
         let actions = pair.answer(&sent, notification("n"));
         refreshed += steps(&actions).len();
-        pair.tell_backup(&actions);
+        pair.deliver_to_backup(&actions);
     }
     assert!(refreshed >= 2);
     let seen = sequences(&pair.answer(&sent, notification("n")))[0];
@@ -148,7 +148,7 @@
 /// used until the new one has answered, and only then rejected.
 #[test]
 fn a_move_registers_before_it_drops() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let sent = open(&mut pair);
     pair.run(SOON);
     sent.0.state().draining = true;
@@ -169,7 +169,7 @@
 /// caller must not get it.
 #[test]
 fn a_notification_counts_only_from_its_own_server() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let sent = open(&mut pair);
     let other = pair.servers.iter().find(|s| s.id != sent.0.id).cloned();
     let foreign = (other.expect("three servers"), sent.1);
@@ -183,7 +183,7 @@
 /// good. It is registered anew, at its own server first.
 #[test]
 fn a_silent_feed_is_registered_again() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let sent = open(&mut pair);
     let renewed = forwards(&pair.run(Profile::default().feed_silence() + ms(200)).0);
     assert_eq!(renewed.len(), 1);
@@ -196,10 +196,10 @@
 /// not know.
 #[test]
 fn a_feed_that_a_server_refuses_moves() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let sent = open(&mut pair);
     let refused = Answer {
-        feed: false,
+        keeps_feed_open: false,
         verdict: Verdict::Refused,
         ..notification("refused")
     };
@@ -212,7 +212,7 @@
 /// than waiting for ever.
 #[test]
 fn a_feed_without_a_server_is_ended() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     open(&mut pair);
     for server in &pair.servers {
         server.state().listed = State::Leaving;
@@ -228,7 +228,7 @@
 /// backup must not revive it.
 #[test]
 fn a_rejected_feed_ends_everywhere() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let sent = open(&mut pair);
     let notified = pair.answer(&sent, notification("n"));
     let event = Event::Receipt {
@@ -239,7 +239,7 @@
         datagram: bytes::Bytes::new(),
     };
     let ended = pair.home.handle(pair.now, event);
-    pair.tell_backup(&ended);
+    pair.deliver_to_backup(&ended);
     assert_eq!((pair.home.feeds(), pair.backup.feeds()), (0, 0));
 }
 
@@ -247,7 +247,7 @@
 /// its feed ends, or feeds of such callers would fill the table.
 #[test]
 fn a_feed_of_a_vanished_caller_ends() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let sent = open(&mut pair);
     pair.now += secs(31);
     for _ in 0..4 {
@@ -262,13 +262,13 @@
 /// The caller closes a feed that has moved to another home.
 #[test]
 fn a_feed_is_closed_after_a_move() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     open(&mut pair);
     promote(&mut pair);
     let moved = forwards(&pair.run(SOON).1);
     pair.answer_backup(&moved[0], notification("n"));
-    pair.ask_backup(2, Kind::Open);
-    let mut close = lab::request(&lab::flow("dispatch", 1), 3, Kind::Close);
+    pair.ask_backup(2, Kind::OpenFeed);
+    let mut close = lab::request(&lab::flow("dispatch", 1), 3, Kind::CloseFeed);
     close.token = godwitreel::request::Token(1);
     let event = Event::Request {
         request: close,
@@ -286,26 +286,26 @@
     let (a, b) = (holder("a", 1), holder("b", 1));
     let mut pair = Pair::new(row(1, Some(&a), None));
     for number in 1..=3 {
-        let sent = forwards(&pair.ask(number, Kind::Open)).remove(0);
+        let sent = forwards(&pair.ask(number, Kind::OpenFeed)).remove(0);
         pair.answer(&sent, notification("first"));
     }
-    let copy = pair.join();
+    let copy = pair.add_backup();
     // The first step, which clears, arrives last.
     let mut reordered = copy.clone();
     reordered.rotate_left(1);
-    pair.tell_backup(&reordered);
+    pair.deliver_to_backup(&reordered);
     assert_eq!(pair.backup.feeds(), 3);
     pair.home
-        .handle(pair.now, Event::Abandon(vec![id::Slice(0)]));
+        .handle(pair.now, Event::CancelBackup(vec![id::Slice(0)]));
     pair.ask(9, Kind::Idempotent);
-    let mut close = lab::request(&lab::flow("dispatch", 1), 10, Kind::Close);
+    let mut close = lab::request(&lab::flow("dispatch", 1), 10, Kind::CloseFeed);
     close.token = godwitreel::request::Token(1);
     let event = Event::Request {
         request: close,
         hops: 0,
     };
     pair.home.handle(pair.now, event);
-    let copy = pair.join();
+    let copy = pair.add_backup();
     deliver(pair.now, &a, &copy, &b, &mut pair.backup);
     assert_eq!(pair.backup.feeds(), 2, "a closed feed is kept");
 }
@@ -315,17 +315,17 @@
 /// them, or the caller would drop all that comes from it.
 #[test]
 fn a_home_that_was_cut_off_goes_beyond_its_backups_sequence() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let sent = open(&mut pair);
     cut(&mut pair);
     let taken = forwards(&pair.run(SOON).1);
     let seen = sequences(&pair.answer_backup(&taken[0], notification("n")))[0];
     let offered = heal(&mut pair);
     assert_eq!(offers(&offered), 1);
-    pair.tell_home(&offered);
+    pair.deliver_to_home(&offered);
     let next = sequences(&pair.answer(&sent, notification("n")))[0];
     assert!(next > seen);
-    pair.tell_home(&offered);
+    pair.deliver_to_home(&offered);
     let after = sequences(&pair.answer(&sent, notification("n")))[0];
     assert_eq!(after, next + 1, "an offer that comes twice counts once");
 }
@@ -334,7 +334,7 @@
 /// released here, and until then notifications go on.
 #[test]
 fn a_feed_is_offered_until_it_is_released() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     open(&mut pair);
     cut(&mut pair);
     let taken = forwards(&pair.run(SOON).1);
@@ -354,7 +354,7 @@
 /// returned stay here, and their silence is still noticed.
 #[test]
 fn a_feed_stays_when_its_home_is_gone_again() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     open(&mut pair);
     cut(&mut pair);
     let taken = forwards(&pair.run(SOON).1);
@@ -372,13 +372,13 @@
 /// the feed at the old one.
 #[test]
 fn a_feed_opened_during_a_move_goes_to_the_new_home() {
-    let mut pair = Pair::joined();
-    let sent = forwards(&pair.ask(1, Kind::Open)).remove(0);
+    let mut pair = Pair::with_backup();
+    let sent = forwards(&pair.ask(1, Kind::OpenFeed)).remove(0);
     let b = pair.b.clone();
     pair.install(row(2, Some(&b), None));
     let opened = pair.answer(&sent, notification("first"));
     assert_eq!(offers(&opened), 1);
-    pair.tell_backup(&opened);
+    pair.deliver_to_backup(&opened);
     assert_eq!(forwards(&pair.run(SOON).1).len(), 1);
 }
 
@@ -386,13 +386,13 @@
 /// backup that became home: the old home offers it.
 #[test]
 fn a_feed_without_a_copy_is_offered_to_the_new_home() {
-    let mut pair = Pair::joined();
-    let sent = forwards(&pair.ask(1, Kind::Open)).remove(0);
+    let mut pair = Pair::with_backup();
+    let sent = forwards(&pair.ask(1, Kind::OpenFeed)).remove(0);
     pair.answer(&sent, notification("first"));
     let b = pair.b.clone();
     let moved = pair.install(row(2, Some(&b), None));
     assert_eq!(offers(&moved), 1);
-    pair.tell_backup(&moved);
+    pair.deliver_to_backup(&moved);
     assert_eq!(pair.backup.feeds(), 1);
 }
 
@@ -400,7 +400,7 @@
 /// has had time to register, and drops it then.
 #[test]
 fn the_old_home_releases_feeds_after_a_while() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let sent = open(&mut pair);
     let b = pair.b.clone();
     pair.install(row(2, Some(&b), None));
@@ -426,9 +426,9 @@
         ..Profile::default()
     });
     for number in 0..FEEDS {
-        let sent = forwards(&pair.ask(number, Kind::Open)).remove(0);
+        let sent = forwards(&pair.ask(number, Kind::OpenFeed)).remove(0);
         let opened = pair.answer(&sent, notification("first"));
-        pair.tell_backup(&opened);
+        pair.deliver_to_backup(&opened);
     }
     promote(&mut pair);
     let mut most = 0;
@@ -445,7 +445,7 @@
 /// to any server while the home is there.
 #[test]
 fn a_copy_alone_registers_nothing() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     open(&mut pair);
     let (_, actions) = pair.run(Profile::default().feed_silence() * 2);
     assert!(forwards(&actions).is_empty());
@@ -455,7 +455,7 @@
 /// be looked after when it is known again.
 #[test]
 fn a_feed_survives_a_gap_in_the_configuration() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     open(&mut pair);
     let empty = Event::Snapshot(lab::snapshot(Vec::new()));
     pair.home.handle(pair.now, empty);
@@ -474,7 +474,7 @@
     let mut engine = Engine::new(lab::settings(&me, 1, 2));
     let actions = engine.handle(now, table(row(1, Some(&me), None)));
     assert!(!has_reason(&actions, Reason::HomeGained), "not its slice");
-    let is_feed = |item: &Item| matches!(item, Item::Feed(_));
+    let is_feed = |item: &ReplicationItem| matches!(item, ReplicationItem::Feed(_));
     assert!(!steps(&actions).iter().any(is_feed));
 }
 
@@ -482,7 +482,7 @@
 /// answer comes, and the registration must not go on beside the home's.
 #[test]
 fn a_registration_under_way_is_released_too() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     open(&mut pair);
     cut(&mut pair);
     let taken = forwards(&pair.run(SOON).1);
--- a/tests/history.rs
+++ b/tests/history.rs
@@ -78,7 +78,7 @@
     let caller = fleet.rng.random_range(0..400);
     let service = SERVICES[usize::from(caller % 4 == 0)];
     let kind = match fleet.rng.random_bool(0.7) {
-        true => Kind::Once,
+        true => Kind::NonIdempotent,
         false => Kind::Idempotent,
     };
     fleet.send_new(lab::flow(service, 10_000 + caller), kind);
@@ -96,7 +96,7 @@
     let patience = fleet.profile.deadline() + PARK_TIME + SLACK;
     let mut figures = std::mem::take(&mut fleet.figures);
     for (number, ticket) in fleet.tickets.iter().enumerate() {
-        let once = ticket.kind == Kind::Once;
+        let once = ticket.kind == Kind::NonIdempotent;
         figures.requests += 1;
         figures.once += u64::from(once);
         if once && ticket.starts > 1 {
--- a/tests/history/backend.rs
+++ b/tests/history/backend.rs
@@ -99,8 +99,8 @@
         backend.busy -= 1;
         let mut answer = lab::answer("");
         answer.datagram = self.stamped(sending.number);
-        if kind == Kind::Open {
-            answer.feed = true;
+        if kind == Kind::OpenFeed {
+            answer.keeps_feed_open = true;
             let registration = Registration {
                 node: sending.node,
                 life: sending.life,
--- a/tests/history/caller.rs
+++ b/tests/history/caller.rs
@@ -171,7 +171,7 @@
         let ticket = &mut self.tickets[number as usize];
         let flow = ticket.flow.clone();
         ticket.told.push(outcome);
-        let (now, is_open) = (self.now, ticket.kind == Kind::Open);
+        let (now, is_open) = (self.now, ticket.kind == Kind::OpenFeed);
         if let Some(message) = separate {
             self.spray(Input::Receipt(flow, message, 0));
         }
@@ -217,7 +217,7 @@
 
     /// A caller opens a feed and keeps it open from now on.
     pub(crate) fn open_board(&mut self, flow: Flow) {
-        let number = self.send_new(flow.clone(), Kind::Open);
+        let number = self.send_new(flow.clone(), Kind::OpenFeed);
         self.boards.push(Board {
             flow,
             number,
@@ -231,7 +231,7 @@
 
     pub(crate) fn reopen(&mut self, place: usize) {
         let flow = self.boards[place].flow.clone();
-        let number = self.send_new(flow, Kind::Open);
+        let number = self.send_new(flow, Kind::OpenFeed);
         let board = &mut self.boards[place];
         board.number = number;
         board.newest = 0;
--- a/tests/history/fleet.rs
+++ b/tests/history/fleet.rs
@@ -16,10 +16,10 @@
 use godwitreel::action::Delivery;
 use godwitreel::control;
 use godwitreel::control::Command;
-use godwitreel::control::Control;
+use godwitreel::control::SlicePlanner;
 use godwitreel::control::INSTANCES;
-use godwitreel::control::SLICES;
-use godwitreel::control::Written;
+use godwitreel::control::SLICES_PREFIX;
+use godwitreel::control::WriteResult;
 use godwitreel::document::Profile;
 use godwitreel::engine::ATTEMPT_BITS;
 use godwitreel::engine::Engine;
@@ -70,12 +70,12 @@
     Request(u64, u32),
     Receipt(Flow, u16, u32),
     Answer(id::Endpoint, id::Attempt, Answer),
-    Peer(id::Holder, peer::Body),
+    Peer(id::Holder, peer::PeerMessage),
     Listing(Vec<Entry>, Duration),
     Silent,
     Change(Entry),
     Removed(String),
-    Written(u32, Written),
+    Written(u32, WriteResult),
 }
 
 /// A write of the slice table on its way.
@@ -135,7 +135,7 @@
     pub(crate) holder: id::Holder,
     pub(crate) zone: id::Zone,
     pub(crate) engines: Vec<Engine>,
-    pub(crate) control: Control,
+    pub(crate) control: SlicePlanner,
     pub(crate) servers: Vec<Arc<Server>>,
     pub(crate) is_up: bool,
     pub(crate) frozen_until: Duration,
@@ -295,10 +295,10 @@
             slices: SLICE_COUNT,
             suspect_after: secs(3),
             isolation_limit: secs(15),
-            outsider_wait: secs(18),
+            recordless_takeover_wait: secs(18),
         };
         Node {
-            control: Control::new(settings, now),
+            control: SlicePlanner::new(settings, now),
             holder,
             zone,
             engines,
@@ -408,7 +408,7 @@
     pub(crate) fn drop_input(&mut self, input: &Input) {
         match input {
             Input::Request(number, _) => self.excuse(*number),
-            Input::Peer(_, peer::Body::Relay(relay)) => self.drop_relay(relay),
+            Input::Peer(_, peer::PeerMessage::Relay(relay)) => self.drop_relay(relay),
             _ => {}
         }
     }
@@ -460,7 +460,7 @@
                 node.control.remove(&key);
             }
             Input::Written(document, written) => {
-                self.nodes[place].control.written(now, document, written);
+                self.nodes[place].control.write_finished(now, document, written);
                 self.plan(place);
             }
         }
@@ -483,7 +483,7 @@
         let request = self.request(number);
         let slice = table::slice(SLICE_COUNT, lab::HASH_KEY, &request.flow);
         let event = match released {
-            Some(from) => Event::Released {
+            Some(from) => Event::ReleasedRequest {
                 from,
                 request,
                 hops,
@@ -514,10 +514,10 @@
         self.act(place, actions);
     }
 
-    pub(crate) fn handle_peer(&mut self, place: usize, from: id::Holder, body: peer::Body) {
+    pub(crate) fn handle_peer(&mut self, place: usize, from: id::Holder, body: peer::PeerMessage) {
         let now = self.at(self.now);
         match body {
-            peer::Body::Relay(relay) => {
+            peer::PeerMessage::Relay(relay) => {
                 let flow = peer::unpack_flow(relay.flow.as_ref()).expect("packed by an engine");
                 if relay.datagram.len() == 8 {
                     let released = relay.released.then_some(from);
@@ -527,14 +527,14 @@
                     self.handle(place, Input::Receipt(flow, message, relay.hops));
                 }
             }
-            peer::Body::Heartbeat(message) => {
+            peer::PeerMessage::Heartbeat(message) => {
                 self.nodes[place].control.heartbeat(now, &from, &message);
                 self.copy_tables(place, &from);
             }
-            peer::Body::Yield(message) => {
+            peer::PeerMessage::TakeoverRequest(message) => {
                 self.nodes[place]
                     .control
-                    .yielded(now, &from, &message.slices);
+                    .takeover_requested(now, &from, &message.slices);
             }
             body => {
                 if let Some(slice) = slice_of(&body) {
@@ -552,7 +552,7 @@
         };
         let newer = |entry: &&Entry| {
             let known = self.nodes[place].known.get(&entry.key);
-            entry.key.starts_with(SLICES)
+            entry.key.starts_with(SLICES_PREFIX)
                 && known.is_none_or(|known| known.mod_revision < entry.mod_revision)
         };
         let entries: Vec<Entry> = sender.known.values().filter(newer).cloned().collect();
@@ -570,7 +570,7 @@
         if known.is_some_and(|known| known.mod_revision >= entry.mod_revision) {
             return;
         }
-        node.control.store(now, &entry);
+        node.control.apply_entry(now, &entry);
         node.known.insert(entry.key.clone(), entry);
     }
 
@@ -603,30 +603,30 @@
                 expected,
                 rows,
             } => self.write(place, document, expected, rows),
-            Command::Join { slices, backup } => {
+            Command::AddBackup { slices, backup } => {
                 for slice in slices {
-                    let event = Event::Join {
+                    let event = Event::AddBackup {
                         slices: vec![slice],
                         backup: backup.clone(),
                     };
                     self.give(place, slice, event);
                 }
             }
-            Command::Abandon(slices) => {
+            Command::CancelBackup(slices) => {
                 for slice in slices {
-                    self.give(place, slice, Event::Abandon(vec![slice]));
+                    self.give(place, slice, Event::CancelBackup(vec![slice]));
                 }
             }
-            Command::Yield { to, slices } => {
+            Command::RequestTakeover { to, slices } => {
                 let slices = slices.into_iter().map(|slice| slice.0).collect();
-                self.send(place, &to, peer::Body::Yield(peer::Yield { slices }));
+                self.send(place, &to, peer::PeerMessage::TakeoverRequest(peer::TakeoverRequest { slices }));
             }
             Command::Table(table) => {
                 self.check_table(place, &table);
                 self.nodes[place].table = Arc::clone(&table);
                 self.tell(place, &Event::Table(table));
             }
-            Command::Members(view) => self.tell(place, &Event::Members(view)),
+            Command::Membership(view) => self.tell(place, &Event::Membership(view)),
         }
     }
 
@@ -811,10 +811,10 @@
                 datagram,
             }),
             Action::Peer { to, body } => self.send(place, &to, body),
-            Action::Joined { slice, backup } => {
-                self.nodes[place].control.joined(slice, &backup);
+            Action::BackupSynced { slice, backup } => {
+                self.nodes[place].control.backup_synced(slice, &backup);
             }
-            Action::Note(note) => {
+            Action::TraceEvent(note) => {
                 *self.figures.reasons.entry(note.reason).or_default() += 1;
             }
         }
@@ -862,7 +862,7 @@
 
     /// The newest row of a slice at the platform.
     pub(crate) fn platform_rows(&self) -> Vec<Row> {
-        let entry = self.platform.get(&format!("{SLICES}0"));
+        let entry = self.platform.get(&format!("{SLICES_PREFIX}0"));
         let Some(entry) = entry else {
             return Vec::new();
         };
@@ -885,12 +885,12 @@
     Bytes::copy_from_slice(&[RECEIPT, high, low])
 }
 
-fn slice_of(body: &peer::Body) -> Option<id::Slice> {
+fn slice_of(body: &peer::PeerMessage) -> Option<id::Slice> {
     match body {
-        peer::Body::Replicate(message) => Some(id::Slice(message.slice)),
-        peer::Body::Replicated(message) => Some(id::Slice(message.slice)),
-        peer::Body::Settle(message) => Some(id::Slice(message.slice)),
-        peer::Body::Adopt(message) => Some(id::Slice(message.slice)),
+        peer::PeerMessage::ReplicationStep(message) => Some(id::Slice(message.slice)),
+        peer::PeerMessage::ReplicationAck(message) => Some(id::Slice(message.slice)),
+        peer::PeerMessage::FinalOutcome(message) => Some(id::Slice(message.slice)),
+        peer::PeerMessage::FeedTransfer(message) => Some(id::Slice(message.slice)),
         _ => None,
     }
 }
--- a/tests/history/link.rs
+++ b/tests/history/link.rs
@@ -12,13 +12,13 @@
 impl Fleet {
     pub(crate) fn beat(&mut self, place: usize) {
         let node = &self.nodes[place];
-        let body = peer::Body::Heartbeat(peer::Heartbeat {
+        let body = peer::PeerMessage::Heartbeat(peer::Heartbeat {
             zone: node.zone.to_string(),
             address: lab::endpoint(4, place as u16).to_string(),
             leaving: node.leaving_since.is_some(),
             digest: 0,
             loads: None,
-            trimmed: false,
+            loads_omitted: false,
         });
         let peers = node.control.peers();
         for (member, _) in peers {
@@ -26,11 +26,11 @@
         }
     }
 
-    pub(crate) fn send(&mut self, place: usize, to: &id::Holder, body: peer::Body) {
+    pub(crate) fn send(&mut self, place: usize, to: &id::Holder, body: peer::PeerMessage) {
         self.send_to(place, &to.instance, body);
     }
 
-    pub(crate) fn send_to(&mut self, place: usize, to: &id::Instance, body: peer::Body) {
+    pub(crate) fn send_to(&mut self, place: usize, to: &id::Instance, body: peer::PeerMessage) {
         let target = self
             .nodes
             .iter()
--- a/tests/history/platform.rs
+++ b/tests/history/platform.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use godwitreel::control::INSTANCES;
 use godwitreel::control::Registration;
-use godwitreel::control::SLICES;
-use godwitreel::control::Written;
+use godwitreel::control::SLICES_PREFIX;
+use godwitreel::control::WriteResult;
 use godwitreel::platform::Entry;
 use godwitreel::table::Document;
 use godwitreel::table::Row;
@@ -137,7 +137,7 @@
         let reachable = self.nodes[write.node].is_linked && !self.platform.is_down;
         if write.is_told && !reachable {
             // It hangs somewhere: the writer gives up, and half of them arrive later.
-            self.report(&write, secs(5), Written::Unknown);
+            self.report(&write, secs(5), WriteResult::Unknown);
             if self.rng.random_bool(0.5) {
                 write.is_told = false;
                 let late = ms(self.rng.random_range(1_000..12_000));
@@ -148,28 +148,28 @@
         if self.platform.is_down {
             return;
         }
-        let key = format!("{SLICES}{}", write.document);
+        let key = format!("{SLICES_PREFIX}{}", write.document);
         let value = write.value.clone();
         let written = match self.platform.swap(&key, write.expected, value) {
             Ok(entry) => {
                 let version = entry.mod_revision;
                 self.announce(&Input::Change(entry));
-                Written::Done(version)
+                WriteResult::Done(version)
             }
-            Err(found) => Written::Lost(found),
+            Err(found) => WriteResult::Lost(found),
         };
         if !write.is_told {
             return;
         }
         if self.platform.loses_answers && self.rng.random_bool(0.5) {
-            self.report(&write, secs(5), Written::Unknown);
+            self.report(&write, secs(5), WriteResult::Unknown);
             return;
         }
         let wait = self.delay();
         self.report(&write, wait, written);
     }
 
-    pub(crate) fn report(&mut self, write: &Write, wait: Duration, written: Written) {
+    pub(crate) fn report(&mut self, write: &Write, wait: Duration, written: WriteResult) {
         let input = Input::Written(write.document, written);
         self.push(self.now + wait, Item::Node(write.node, write.life, input));
     }
--- a/tests/lab/mod.rs
+++ b/tests/lab/mod.rs
@@ -18,7 +18,7 @@
 use godwitreel::engine::Engine;
 use godwitreel::event::Event;
 use godwitreel::id;
-use godwitreel::member::View;
+use godwitreel::member::MembershipView;
 use godwitreel::peer;
 use godwitreel::reason::Reason;
 use godwitreel::request::Answer;
@@ -129,10 +129,10 @@
 }
 
 pub(crate) fn view(live: &[&id::Holder], authority_until: Instant) -> Event {
-    Event::Members(Arc::new(View {
+    Event::Membership(Arc::new(MembershipView {
         live: live.iter().copied().cloned().collect(),
         authority_until: Some(authority_until),
-        ..View::default()
+        ..MembershipView::default()
     }))
 }
 
@@ -143,7 +143,7 @@
         token: Token(number.into()),
         kind,
         confirmable: true,
-        part: godwitreel::request::Part::default(),
+        block: godwitreel::request::BodyBlock::default(),
         datagram: Bytes::copy_from_slice(&number.to_be_bytes()),
     }
 }
@@ -151,8 +151,8 @@
 pub(crate) fn answer(text: &str) -> Answer {
     Answer {
         verdict: Verdict::Handled,
-        feed: false,
-        more: false,
+        keeps_feed_open: false,
+        has_more_blocks: false,
         retry_after: None,
         datagram: Bytes::copy_from_slice(text.as_bytes()),
     }
@@ -168,7 +168,7 @@
 
 pub(crate) fn notification(text: &str) -> Answer {
     Answer {
-        feed: true,
+        keeps_feed_open: true,
         ..answer(text)
     }
 }
@@ -194,7 +194,7 @@
 }
 
 /// What was sent to peers.
-pub(crate) fn bodies(actions: &[Action]) -> Vec<(id::Holder, peer::Body)> {
+pub(crate) fn peer_messages(actions: &[Action]) -> Vec<(id::Holder, peer::PeerMessage)> {
     let body = |action: &Action| match action {
         Action::Peer { to, body } => Some((to.clone(), body.clone())),
         _ => None,
@@ -212,22 +212,22 @@
 }
 
 pub(crate) fn has_reason(actions: &[Action], reason: Reason) -> bool {
-    let same = |action: &Action| matches!(action, Action::Note(note) if note.reason == reason);
+    let same = |action: &Action| matches!(action, Action::TraceEvent(note) if note.reason == reason);
     actions.iter().any(same)
 }
 
 /// Delivers everything that is meant for one engine.
 /// What the edge makes of a message.
-fn arrival(from: id::Holder, body: peer::Body) -> Event {
+fn arrival(from: id::Holder, body: peer::PeerMessage) -> Event {
     match body {
-        peer::Body::Relay(relay) => {
+        peer::PeerMessage::Relay(relay) => {
             let flow = peer::unpack_flow(relay.flow.as_ref()).expect("packed by an engine");
             let number = relay.datagram.as_ref().try_into().expect("a number");
             let number = u64::from_be_bytes(number);
-            let request = request(&flow, number, Kind::Once);
+            let request = request(&flow, number, Kind::NonIdempotent);
             let hops = relay.hops;
             if relay.released {
-                Event::Released {
+                Event::ReleasedRequest {
                     from,
                     request,
                     hops,
@@ -248,7 +248,7 @@
     engine: &mut Engine,
 ) -> Vec<Action> {
     let mut out = Vec::new();
-    for (receiver, body) in bodies(actions) {
+    for (receiver, body) in peer_messages(actions) {
         if receiver == *to {
             out.extend(engine.handle(now, arrival(from.clone(), body)));
         }
--- a/tests/lab/pair.rs
+++ b/tests/lab/pair.rs
@@ -7,15 +7,15 @@
 use godwitreel::engine::Engine;
 use godwitreel::event::Event;
 use godwitreel::id;
-use godwitreel::peer::Body;
-use godwitreel::peer::Item;
+use godwitreel::peer::PeerMessage;
+use godwitreel::peer::ReplicationItem;
 use godwitreel::request::Answer;
 use godwitreel::request::Kind;
 use godwitreel::server::Server;
 use godwitreel::table::Row;
 use tokio::time::Instant;
 
-use super::bodies;
+use super::peer_messages;
 use super::deliver;
 use super::holder;
 use super::request;
@@ -53,7 +53,7 @@
         pair
     }
 
-    pub(crate) fn joined() -> Self {
+    pub(crate) fn with_backup() -> Self {
         let (a, b) = (holder("a", 1), holder("b", 1));
         Self::new(row(1, Some(&a), Some(&b)))
     }
@@ -81,21 +81,21 @@
     }
 
     pub(crate) fn book(&mut self, number: u64) -> Vec<Action> {
-        let request = request(&super::flow("dispatch", 1), number, Kind::Once);
+        let request = request(&super::flow("dispatch", 1), number, Kind::NonIdempotent);
         self.home
             .handle(self.now, Event::Request { request, hops: 0 })
     }
 
-    pub(crate) fn tell_backup(&mut self, actions: &[Action]) -> Vec<Action> {
+    pub(crate) fn deliver_to_backup(&mut self, actions: &[Action]) -> Vec<Action> {
         deliver(self.now, &self.a, actions, &self.b, &mut self.backup)
     }
 
-    pub(crate) fn tell_home(&mut self, actions: &[Action]) -> Vec<Action> {
+    pub(crate) fn deliver_to_home(&mut self, actions: &[Action]) -> Vec<Action> {
         deliver(self.now, &self.b, actions, &self.a, &mut self.home)
     }
 
-    pub(crate) fn join(&mut self) -> Vec<Action> {
-        let event = Event::Join {
+    pub(crate) fn add_backup(&mut self) -> Vec<Action> {
+        let event = Event::AddBackup {
             slices: vec![id::Slice(0)],
             backup: self.b.clone(),
         };
@@ -118,19 +118,19 @@
 
     /// What the new home says to a copy of what the former one has claimed, once that
     /// one's deadline is over. Until then it neither answers nor runs it.
-    pub(crate) fn ask_for_claimed(&mut self, number: u64) -> Vec<Action> {
-        let early = self.ask_backup(number, Kind::Once);
+    pub(crate) fn duplicate_of_claimed(&mut self, number: u64) -> Vec<Action> {
+        let early = self.ask_backup(number, Kind::NonIdempotent);
         assert!(super::forwards(&early).is_empty());
         assert_eq!(super::outcomes(&early), []);
         self.run(Profile::default().deadline());
-        self.ask_backup(number, Kind::Once)
+        self.ask_backup(number, Kind::NonIdempotent)
     }
 
     /// Books and lets the backup acknowledge.
-    pub(crate) fn book_through(&mut self, number: u64) -> Vec<Action> {
+    pub(crate) fn book_acknowledged(&mut self, number: u64) -> Vec<Action> {
         let asked = self.book(number);
-        let kept = self.tell_backup(&asked);
-        self.tell_home(&kept)
+        let kept = self.deliver_to_backup(&asked);
+        self.deliver_to_home(&kept)
     }
 
     /// A server's answer to one forwarding of the home.
@@ -175,14 +175,14 @@
     }
 }
 
-pub(crate) fn steps(actions: &[Action]) -> Vec<Item> {
-    let step = |(_, body): (id::Holder, Body)| match body {
-        Body::Replicate(step) => step.item,
+pub(crate) fn steps(actions: &[Action]) -> Vec<ReplicationItem> {
+    let step = |(_, body): (id::Holder, PeerMessage)| match body {
+        PeerMessage::ReplicationStep(step) => step.item,
         _ => None,
     };
-    bodies(actions).into_iter().filter_map(step).collect()
+    peer_messages(actions).into_iter().filter_map(step).collect()
 }
 
-pub(crate) fn is_claim(item: &Item) -> bool {
-    matches!(item, Item::Claim(_))
+pub(crate) fn is_claim(item: &ReplicationItem) -> bool {
+    matches!(item, ReplicationItem::Claim(_))
 }
--- a/tests/level.rs
+++ b/tests/level.rs
@@ -5,9 +5,9 @@
 
 use godwitreel::control;
 use godwitreel::control::Command;
-use godwitreel::control::Control;
-use godwitreel::control::SLICES;
-use godwitreel::control::Written;
+use godwitreel::control::SlicePlanner;
+use godwitreel::control::SLICES_PREFIX;
+use godwitreel::control::WriteResult;
 use godwitreel::id;
 use godwitreel::peer;
 use godwitreel::platform::Entry;
@@ -22,7 +22,7 @@
 }
 
 /// The home of so many slices, in zone bole, with kality-1 as their backup.
-fn loaded(now: Instant, slices: usize) -> Control {
+fn loaded(now: Instant, slices: usize) -> SlicePlanner {
     let row = Row {
         epoch: id::Epoch(1),
         home: Some(holder("bole-1#1")),
@@ -32,7 +32,7 @@
     with_rows(now, vec![row; slices])
 }
 
-fn with_rows(now: Instant, rows: Vec<Row>) -> Control {
+fn with_rows(now: Instant, rows: Vec<Row>) -> SlicePlanner {
     let settings = control::Settings {
         me: holder("bole-1#1"),
         zone: "bole".parse().expect("a zone"),
@@ -40,23 +40,23 @@
         slices: rows.len() as u32,
         suspect_after: Duration::from_secs(3),
         isolation_limit: Duration::from_secs(60),
-        outsider_wait: Duration::from_secs(70),
+        recordless_takeover_wait: Duration::from_secs(70),
     };
-    let mut control = Control::new(settings, now);
+    let mut control = SlicePlanner::new(settings, now);
     let document = Document {
         write_id: "1".to_owned(),
         rows,
     };
     let entry = Entry {
-        key: format!("{SLICES}0"),
+        key: format!("{SLICES_PREFIX}0"),
         value: serde_json::to_vec(&document).expect("plain data").into(),
         mod_revision: 1,
     };
-    control.store(now, &entry);
+    control.apply_entry(now, &entry);
     control
 }
 
-fn hear(control: &mut Control, now: Instant, name: &str, zone: &str) {
+fn hear(control: &mut SlicePlanner, now: Instant, name: &str, zone: &str) {
     let heartbeat = peer::Heartbeat {
         zone: zone.to_owned(),
         address: "127.0.0.1:2".to_owned(),
@@ -66,7 +66,7 @@
 }
 
 /// Rows that would be written over the next seconds with these peers heard.
-fn written(control: &mut Control, mut now: Instant, peers: &[(&str, &str)]) -> Vec<Row> {
+fn written(control: &mut SlicePlanner, mut now: Instant, peers: &[(&str, &str)]) -> Vec<Row> {
     let mut written = Vec::new();
     for _ in 0..10 {
         now += Duration::from_secs(1);
@@ -135,24 +135,24 @@
     let commands = control.tick(now);
     let asked = commands
         .iter()
-        .any(|command| matches!(command, Command::Yield { to, .. } if *to == holder("kality-1#1")));
+        .any(|command| matches!(command, Command::RequestTakeover { to, .. } if *to == holder("kality-1#1")));
     assert!(asked, "{commands:?}");
 }
 
 /// Carries out what a home wants, as a store and backups that work at once do; gives
 /// back the rows written.
-fn carry_out(control: &mut Control, now: Instant, version: &mut u64) -> Vec<Row> {
+fn carry_out(control: &mut SlicePlanner, now: Instant, version: &mut u64) -> Vec<Row> {
     let mut written = Vec::new();
     for command in control.tick(now) {
         match command {
             Command::Write { document, rows, .. } => {
                 *version += 1;
                 written.extend(rows.into_iter().filter(|row| row.epoch.0 > 1));
-                control.written(now, document, Written::Done(*version));
+                control.write_finished(now, document, WriteResult::Done(*version));
             }
-            Command::Join { slices, backup } => {
+            Command::AddBackup { slices, backup } => {
                 for slice in slices {
-                    control.joined(slice, &backup);
+                    control.backup_synced(slice, &backup);
                 }
             }
             _ => {}
@@ -172,7 +172,7 @@
     let mut now = Instant::now();
     let mut control = loaded(now, MANY);
     let mut version = 1;
-    let mut step = |control: &mut Control, peers: &[(&str, &str)]| {
+    let mut step = |control: &mut SlicePlanner, peers: &[(&str, &str)]| {
         now += Duration::from_millis(100);
         control.contact(now);
         for (name, zone) in peers {
--- a/tests/metric.rs
+++ b/tests/metric.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use godwitreel::action::Note;
+use godwitreel::action::TraceEvent;
 use godwitreel::metric::Direction;
 use godwitreel::metric::Levels;
 use godwitreel::metric::MAX_SERVICES;
@@ -19,14 +19,14 @@
     platform::Client::new(vec![base], platform::Options::default()).expect("a client")
 }
 
-fn answered(service: &str, elapsed: Duration) -> Note {
-    Note {
+fn answered(service: &str, elapsed: Duration) -> TraceEvent {
+    TraceEvent {
         flow: Some(Flow {
             service: service.parse().expect("a service"),
             caller: "127.0.0.1:1".parse().expect("an endpoint"),
         }),
         elapsed: Some(elapsed),
-        ..Note::new(Reason::Answered)
+        ..TraceEvent::new(Reason::Answered)
     }
 }
 
@@ -54,7 +54,7 @@
     let metrics = Metrics::new(client);
     metrics.note(&answered("dispatch", Duration::from_millis(15)));
     metrics.note(&answered("dispatch", Duration::from_millis(500)));
-    metrics.note(&Note::new(Reason::HomeGained));
+    metrics.note(&TraceEvent::new(Reason::HomeGained));
     metrics.peer_message("heartbeat", Direction::Sent, 120);
     metrics.peer_message("heartbeat", Direction::Sent, 30);
     metrics.peer_message("relay", Direction::Received, 900);
--- a/tests/moves.rs
+++ b/tests/moves.rs
@@ -11,8 +11,8 @@
 use godwitreel::engine::Settings;
 use godwitreel::event::Event;
 use godwitreel::id;
-use godwitreel::member::View;
-use godwitreel::peer::Body;
+use godwitreel::member::MembershipView;
+use godwitreel::peer::PeerMessage;
 use godwitreel::request::Flow;
 use godwitreel::request::Id;
 use godwitreel::request::Kind;
@@ -60,12 +60,12 @@
     };
     let services = HashMap::from([(listed.service, Arc::new(service))]);
     engine.handle(now, Event::Snapshot(Arc::new(Snapshot { services })));
-    let view = View {
+    let view = MembershipView {
         live: [holder("a#1"), holder("b#1")].into(),
         authority_until: Some(now + Duration::from_secs(3_600)),
-        ..View::default()
+        ..MembershipView::default()
     };
-    engine.handle(now, Event::Members(Arc::new(view)));
+    engine.handle(now, Event::Membership(Arc::new(view)));
     engine
 }
 
@@ -89,9 +89,9 @@
         },
         id: Id(number),
         token: Token(number),
-        kind: Kind::Once,
+        kind: Kind::NonIdempotent,
         confirmable: true,
-        part: godwitreel::request::Part::default(),
+        block: godwitreel::request::BodyBlock::default(),
         datagram: Bytes::from_static(b"booking"),
     }
 }
@@ -116,7 +116,7 @@
     actions.iter().filter_map(outcome).collect()
 }
 
-fn body(action: Action) -> Option<Body> {
+fn body(action: Action) -> Option<PeerMessage> {
     match action {
         Action::Peer { body, .. } => Some(body),
         _ => None,
@@ -143,12 +143,12 @@
     new.handle(now, event);
     let moved = old.handle(now, table(2, "b#1", None, false));
     assert_eq!(forwards(&moved), 0);
-    let bodies: Vec<Body> = moved.into_iter().filter_map(body).collect();
-    let [Body::Relay(relay)] = bodies.as_slice() else {
+    let bodies: Vec<PeerMessage> = moved.into_iter().filter_map(body).collect();
+    let [PeerMessage::Relay(relay)] = bodies.as_slice() else {
         panic!("{bodies:?}");
     };
     assert!(relay.released);
-    let event = Event::Released {
+    let event = Event::ReleasedRequest {
         from: holder("a#1"),
         request: booking(7),
         hops: relay.hops,
--- a/tests/outcome.rs
+++ b/tests/outcome.rs
@@ -14,7 +14,7 @@
 use godwitreel::request::Answer;
 use godwitreel::request::Kind;
 use godwitreel::request::Outcome;
-use godwitreel::request::Part;
+use godwitreel::request::BodyBlock;
 use godwitreel::request::Receipt;
 use godwitreel::server::Server;
 
@@ -33,10 +33,10 @@
 
 /// A home without a backup, which forwards at once.
 /// A later part of an upload.
-const PART: Part = Part {
-    body: 1,
-    later: true,
-    upload: true,
+const PART: BodyBlock = BodyBlock {
+    body_id: 1,
+    is_continuation: true,
+    is_upload: true,
 };
 
 fn alone() -> Pair {
@@ -187,7 +187,7 @@
     for number in 0..30 {
         pair.book(number);
         pair.run(ms(1_000));
-        let resting = |server: &&Arc<Server>| server.state().is_resting(pair.now);
+        let resting = |server: &&Arc<Server>| server.state().is_in_cooldown(pair.now);
         assert!(pair.servers.iter().filter(resting).count() <= 1);
     }
 }
@@ -195,7 +195,7 @@
 /// The last server refuses new work: not run, at once, with a time to come back.
 #[test]
 fn without_a_server_a_request_is_not_run() {
-    for kind in [Kind::Once, Kind::Idempotent] {
+    for kind in [Kind::NonIdempotent, Kind::Idempotent] {
         let mut pair = alone();
         for server in &pair.servers {
             server.state().draining = true;
@@ -214,7 +214,7 @@
     let asked = sent(&ask_part(&mut pair, 1));
     pair.answer(&asked, answer("next"));
     for server in &pair.servers {
-        server.disown();
+        server.revoke_confirmation();
     }
     assert!(forwards(&ask_part(&mut pair, 2)).is_empty());
     assert!(forwards(&pair.book(3)).is_empty());
@@ -222,8 +222,8 @@
 
 fn ask_part(pair: &mut Pair, number: u64) -> Vec<Action> {
     let mut part = lab::request(&lab::flow("dispatch", 1), number, Kind::Idempotent);
-    part.part = Part {
-        later: number > 0,
+    part.block = BodyBlock {
+        is_continuation: number > 0,
         ..PART
     };
     let event = Event::Request {
@@ -241,7 +241,7 @@
     for number in 0..20 {
         let asked = sent(&ask_part(&mut pair, number));
         let next = Answer {
-            more: true,
+            has_more_blocks: true,
             ..answer("next")
         };
         pair.answer(&asked, next);
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -16,14 +16,14 @@
 use godwitreel::document::Policy;
 use godwitreel::engine;
 use godwitreel::engine::Engine;
-use godwitreel::engine::PATHS;
+use godwitreel::engine::SERVER_SOCKETS;
 use godwitreel::event::Event;
 use godwitreel::id;
-use godwitreel::member::View;
+use godwitreel::member::MembershipView;
 use godwitreel::request::Answer;
 use godwitreel::request::Flow;
 use godwitreel::request::Outcome;
-use godwitreel::request::Part;
+use godwitreel::request::BodyBlock;
 use godwitreel::request::Request;
 use godwitreel::request::Verdict;
 use godwitreel::server::Server;
@@ -91,10 +91,10 @@
     engine.handle(now, Event::Snapshot(Arc::new(Snapshot { services })));
     engine.handle(
         now,
-        Event::Members(Arc::new(View {
+        Event::Membership(Arc::new(MembershipView {
             live: [me.clone()].into(),
             authority_until: Some(now + HOUR),
-            ..View::default()
+            ..MembershipView::default()
         })),
     );
     let mut table = Table::new(1);
@@ -166,8 +166,8 @@
 fn reply(engine: &mut Engine, now: Instant, sent: &Sent, verdict: Verdict) -> Vec<Action> {
     let answer = Answer {
         verdict,
-        feed: false,
-        more: verdict == Verdict::Handled,
+        keeps_feed_open: false,
+        has_more_blocks: verdict == Verdict::Handled,
         retry_after: None,
         datagram: Bytes::from_static(b"answer"),
     };
@@ -191,24 +191,24 @@
 #[test]
 fn parts_are_named_by_what_they_have_in_common() {
     let part = |method, path, option, number, tag| {
-        request(&datagram(method, path, (option, number), tag)).part
+        request(&datagram(method, path, (option, number), tag)).block
     };
     let first = part(RequestType::Put, "a", CoapOption::Block1, 0, 1);
     let later = part(RequestType::Put, "a", CoapOption::Block1, 3, 1);
-    assert_eq!(first.body, later.body);
-    assert_eq!((first.later, first.upload), (false, true));
-    assert_eq!((later.later, later.upload), (true, true));
+    assert_eq!(first.body_id, later.body_id);
+    assert_eq!((first.is_continuation, first.is_upload), (false, true));
+    assert_eq!((later.is_continuation, later.is_upload), (true, true));
     let load = part(RequestType::Get, "a", CoapOption::Block2, 2, 1);
-    assert_eq!((load.later, load.upload), (true, false));
+    assert_eq!((load.is_continuation, load.is_upload), (true, false));
     for other in [
         load,
         part(RequestType::Put, "b", CoapOption::Block1, 0, 1),
         part(RequestType::Put, "a", CoapOption::Block1, 0, 2),
         part(RequestType::Post, "a", CoapOption::Block1, 0, 1),
     ] {
-        assert_ne!(other.body, first.body);
+        assert_ne!(other.body_id, first.body_id);
     }
-    assert!(!Part::default().later);
+    assert!(!BodyBlock::default().is_continuation);
 }
 
 /// Two bodies of one caller are under way. Each later part goes to the server and
@@ -224,7 +224,7 @@
             for (begun, tag) in [(&first, tag), (&other, tag + 100)] {
                 let next = exchange(&mut engine, now, put(number, tag));
                 assert_eq!(next.server.id, begun.server.id);
-                assert_eq!(next.attempt.0 % PATHS, begun.attempt.0 % PATHS);
+                assert_eq!(next.attempt.0 % SERVER_SOCKETS, begun.attempt.0 % SERVER_SOCKETS);
             }
         }
     }
@@ -243,7 +243,7 @@
     let again = forwards(&engine.handle(later, Event::Tick));
     assert_eq!(again.len(), 1);
     assert_eq!(again[0].server.id, first.server.id);
-    assert_eq!(again[0].attempt.0 % PATHS, first.attempt.0 % PATHS);
+    assert_eq!(again[0].attempt.0 % SERVER_SOCKETS, first.attempt.0 % SERVER_SOCKETS);
 }
 
 /// The server sheds a part. The caller is told to come back and finds its body
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use godwitreel::action::Action;
 use godwitreel::balance;
-use godwitreel::balance::Work;
+use godwitreel::balance::WorkKind;
 use godwitreel::document;
 use godwitreel::document::Policy;
 use godwitreel::document::Profile;
@@ -84,7 +84,7 @@
 }
 
 /// Names of the servers chosen in many draws, one for each draw.
-fn draw(service: &Service, work: Work, now: Instant) -> Vec<String> {
+fn draw(service: &Service, work: WorkKind, now: Instant) -> Vec<String> {
     let mut rng = SmallRng::seed_from_u64(1);
     let place = zone("bole");
     let chosen = (0..DRAWS).filter_map(|caller| {
@@ -109,16 +109,16 @@
         vec![server(1, "bole"), server(2, "bole")],
     );
     confirm(&service, now);
-    service.servers[0].state().elsewhere = 2;
+    service.servers[0].state().peer_outstanding = 2;
     service.servers[1].state().outstanding = 1;
     assert!(
-        draw(&service, Work::Request, now)
+        draw(&service, WorkKind::Request, now)
             .iter()
             .all(|id| id == "d01")
     );
-    service.servers[0].state().feeds_elsewhere = 2;
+    service.servers[0].state().peer_feeds = 2;
     service.servers[1].state().feeds = 1;
-    assert!(draw(&service, Work::Feed, now).iter().all(|id| id == "d02"));
+    assert!(draw(&service, WorkKind::Feed, now).iter().all(|id| id == "d02"));
 }
 
 /// Callers would be refused though every server works: health endpoints fail
@@ -131,9 +131,9 @@
     let service = service(profile(Policy::LeastLoaded), servers);
     confirm(&service, now);
     let later = now + Duration::from_secs(20);
-    assert_eq!(draw(&service, Work::Request, later).len(), DRAWS);
+    assert_eq!(draw(&service, WorkKind::Request, later).len(), DRAWS);
     let end = now + Duration::from_secs(61);
-    assert!(draw(&service, Work::Request, end).is_empty());
+    assert!(draw(&service, WorkKind::Request, end).is_empty());
 }
 
 /// A pickup booking would reach the ledger: a server is replaced, its health
@@ -148,11 +148,11 @@
     let later = now + Duration::from_secs(20);
     service.servers[1].confirm(later, CONFIRM_FOR);
     service.servers[2].confirm(later, CONFIRM_FOR);
-    assert!(!draw(&service, Work::Request, later).contains(&"d01".to_owned()));
+    assert!(!draw(&service, WorkKind::Request, later).contains(&"d01".to_owned()));
     let end = now + Duration::from_secs(30);
-    service.servers[0].disown();
-    service.servers[0].prove(end);
-    let chosen = draw(&service, Work::Request, end);
+    service.servers[0].revoke_confirmation();
+    service.servers[0].confirm_by_answer(end);
+    let chosen = draw(&service, WorkKind::Request, end);
     assert_eq!(chosen.len(), DRAWS);
     assert!(!chosen.contains(&"d01".to_owned()));
 }
@@ -168,12 +168,12 @@
     confirm(&service, now);
     let later = now + Duration::from_secs(5);
     for _ in 0..3 {
-        service.servers[0].doubt(later);
-        service.servers[1].doubt(later);
-        service.servers[1].prove(later);
+        service.servers[0].record_not_found(later);
+        service.servers[1].record_not_found(later);
+        service.servers[1].confirm_by_answer(later);
     }
     assert!(
-        draw(&service, Work::Request, later)
+        draw(&service, WorkKind::Request, later)
             .iter()
             .all(|id| id == "d02")
     );
@@ -238,8 +238,8 @@
             asked.push(server.id.to_string());
             let answer = Answer {
                 verdict: Verdict::Handled,
-                feed: true,
-                more: false,
+                keeps_feed_open: true,
+                has_more_blocks: false,
                 retry_after: None,
                 datagram: Bytes::new(),
             };
@@ -263,9 +263,9 @@
                 },
                 id: Id(number.into()),
                 token: Token(number.into()),
-                kind: Kind::Open,
+                kind: Kind::OpenFeed,
                 confirmable: false,
-                part: godwitreel::request::Part::default(),
+                block: godwitreel::request::BodyBlock::default(),
                 datagram: Bytes::new(),
             },
             hops: 0,
@@ -359,10 +359,10 @@
     let server = Server::new("d1".parse().expect("a name"), &listed);
     assert!(server.reserve() && server.reserve());
     server.state().outstanding = 0;
-    server.refuse(now, Duration::ZERO);
+    server.record_refusal(now, Duration::ZERO);
     assert!(server.reserve());
     assert!(!server.reserve());
     server.state().outstanding = 0;
-    server.succeed();
+    server.record_success();
     assert!(server.reserve() && server.reserve());
 }
