--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -9,18 +9,18 @@
 use godwitreel::action::Action;
 use godwitreel::control;
 use godwitreel::control::Command;
-use godwitreel::control::Control;
+use godwitreel::control::SlicePlanner;
 use godwitreel::control::INSTANCES;
-use godwitreel::control::SLICES;
-use godwitreel::control::Written;
+use godwitreel::control::SLICES_PREFIX;
+use godwitreel::control::WriteResult;
 use godwitreel::document::Profile;
 use godwitreel::engine::Engine;
 use godwitreel::event::Event;
 use godwitreel::id;
 use godwitreel::member::Member;
-use godwitreel::member::View;
+use godwitreel::member::MembershipView;
 use godwitreel::peer;
-use godwitreel::peer::Body;
+use godwitreel::peer::PeerMessage;
 use godwitreel::platform::Entry;
 use godwitreel::reason::Reason;
 use godwitreel::request::Kind;
@@ -29,7 +29,7 @@
 use godwitreel::table::Row;
 use tokio::time::Instant;
 
-use crate::lab::bodies;
+use crate::lab::peer_messages;
 use crate::lab::deliver;
 use crate::lab::forwards;
 use crate::lab::has_reason;
@@ -70,11 +70,11 @@
     pair.install(blank(row(6, Some(&a), Some(&b))));
     pair.install(blank(row(7, Some(&b), None)));
     assert_eq!(
-        outcomes(&pair.ask_backup(1, Kind::Once)),
+        outcomes(&pair.ask_backup(1, Kind::NonIdempotent)),
         [Outcome::Unknown]
     );
     pair.run(secs(1));
-    assert_eq!(forwards(&pair.ask_backup(2, Kind::Once)).len(), 1);
+    assert_eq!(forwards(&pair.ask_backup(2, Kind::NonIdempotent)).len(), 1);
 }
 
 /// A second takeover without records follows the first: what the home in between
@@ -89,8 +89,8 @@
         pair.install(blank(row(epoch, Some(next), None)));
         pair.run(secs(2));
         let told = match epoch {
-            6 => pair.ask_backup(1, Kind::Once),
-            _ => pair.ask(1, Kind::Once),
+            6 => pair.ask_backup(1, Kind::NonIdempotent),
+            _ => pair.ask(1, Kind::NonIdempotent),
         };
         assert_eq!(outcomes(&told), [Outcome::Unknown], "epoch {epoch}");
     }
@@ -100,12 +100,12 @@
 /// copy comes. The booking may have run, so the copy gets "unknown" and no start.
 #[test]
 fn a_new_home_never_runs_what_was_claimed_before() {
-    let mut pair = Pair::joined();
-    assert_eq!(forwards(&pair.book_through(1)).len(), 1);
+    let mut pair = Pair::with_backup();
+    assert_eq!(forwards(&pair.book_acknowledged(1)).len(), 1);
     pair.lose_home();
     let b = pair.b.clone();
     pair.backup.handle(pair.now, table(row(2, Some(&b), None)));
-    let copy = pair.ask_for_claimed(1);
+    let copy = pair.duplicate_of_claimed(1);
     assert!(forwards(&copy).is_empty());
     assert_eq!(outcomes(&copy), [Outcome::Unknown]);
     assert!(has_reason(&copy, Reason::UnknownClaimed));
@@ -124,14 +124,14 @@
 /// itself, and so may the new home.
 #[test]
 fn a_cut_off_home_may_answer_until_the_deadline() {
-    let mut pair = Pair::joined();
-    let sent = forwards(&pair.book_through(1));
+    let mut pair = Pair::with_backup();
+    let sent = forwards(&pair.book_acknowledged(1));
     pair.run(ms(750));
     pair.lose_home();
     let b = pair.b.clone();
     pair.backup.handle(pair.now, table(row(2, Some(&b), None)));
     let ask_again = |pair: &mut Pair| {
-        let copy = pair.ask_backup(1, Kind::Once);
+        let copy = pair.ask_backup(1, Kind::NonIdempotent);
         assert!(forwards(&copy).is_empty());
         outcomes(&copy)
     };
@@ -152,14 +152,14 @@
 /// deadline, once, and not left waiting for its own next copy.
 #[test]
 fn the_caller_of_a_dead_home_is_told_at_the_deadline() {
-    let mut pair = Pair::joined();
-    pair.book_through(1);
+    let mut pair = Pair::with_backup();
+    pair.book_acknowledged(1);
     pair.run(ms(500));
     pair.lose_home();
     let b = pair.b.clone();
     pair.backup.handle(pair.now, table(row(2, Some(&b), None)));
     pair.run(secs(2));
-    assert_eq!(outcomes(&pair.ask_backup(1, Kind::Once)), []);
+    assert_eq!(outcomes(&pair.ask_backup(1, Kind::NonIdempotent)), []);
     let (_, early) = pair.run(deadline() - ms(2_600));
     assert_eq!(outcomes(&early), []);
     let (_, told) = pair.run(secs(2));
@@ -171,8 +171,8 @@
 /// answer the booking any more, so its caller is told at once and not at the deadline.
 #[test]
 fn the_caller_of_a_home_that_has_started_again_is_told_at_once() {
-    let mut pair = Pair::joined();
-    pair.book_through(1);
+    let mut pair = Pair::with_backup();
+    pair.book_acknowledged(1);
     let b = pair.b.clone();
     let restarted = Member {
         holder: holder("a", 2),
@@ -180,14 +180,14 @@
         address: lab::endpoint(4, 1),
         leaving: false,
     };
-    let view = View {
+    let view = MembershipView {
         live: [b.clone(), restarted.holder.clone()].into(),
         known: [(restarted.holder.instance.clone(), restarted)].into(),
         authority_until: Some(pair.now + lab::FOREVER),
     };
-    pair.backup.handle(pair.now, Event::Members(Arc::new(view)));
+    pair.backup.handle(pair.now, Event::Membership(Arc::new(view)));
     pair.backup.handle(pair.now, table(row(2, Some(&b), None)));
-    let copy = pair.ask_backup(1, Kind::Once);
+    let copy = pair.ask_backup(1, Kind::NonIdempotent);
     assert!(forwards(&copy).is_empty());
     assert_eq!(outcomes(&copy), [Outcome::Unknown]);
 }
@@ -198,8 +198,8 @@
 /// booking also there, not one that begins with each copy of the record.
 #[test]
 fn a_second_takeover_waits_for_the_first_home_and_no_longer() {
-    let mut pair = Pair::joined();
-    pair.book_through(1);
+    let mut pair = Pair::with_backup();
+    pair.book_acknowledged(1);
     pair.run(ms(500));
     pair.lose_home();
     let (b, c) = (pair.b.clone(), holder("c", 1));
@@ -213,7 +213,7 @@
     let copied = pair.backup.handle(pair.now, joining);
     deliver(pair.now, &b, &copied, &c, &mut third);
     third.handle(pair.now, table(row(3, Some(&c), None)));
-    let request = || lab::request(&lab::flow("dispatch", 1), 1, Kind::Once);
+    let request = || lab::request(&lab::flow("dispatch", 1), 1, Kind::NonIdempotent);
     let copy = |third: &mut Engine, now| {
         let request = request();
         third.handle(now, Event::Request { request, hops: 1 })
@@ -231,8 +231,8 @@
 /// answer comes first. Only what must not run twice waits.
 #[test]
 fn a_feed_of_a_cut_off_home_waits_for_nothing() {
-    for kind in [Kind::Open, Kind::Idempotent] {
-        let mut pair = Pair::joined();
+    for kind in [Kind::OpenFeed, Kind::Idempotent] {
+        let mut pair = Pair::with_backup();
         pair.ask(1, kind);
         pair.run(ms(500));
         pair.lose_home();
@@ -246,15 +246,15 @@
 /// the answer and tells the new one, so that the caller's copy gets it too.
 #[test]
 fn the_new_home_learns_the_answer_of_a_request_in_progress() {
-    let mut pair = Pair::joined();
-    let sent = forwards(&pair.book_through(1));
+    let mut pair = Pair::with_backup();
+    let sent = forwards(&pair.book_acknowledged(1));
     let b = pair.b.clone();
     pair.install(row(2, Some(&b), None));
     let told = pair.answer(&sent[0], lab::answer("done"));
     assert_eq!(outcomes(&told).len(), 1);
-    pair.tell_backup(&told);
+    pair.deliver_to_backup(&told);
     assert_eq!(
-        outcomes(&pair.ask_backup(1, Kind::Once)),
+        outcomes(&pair.ask_backup(1, Kind::NonIdempotent)),
         [Outcome::Answered(Bytes::from_static(b"done"))]
     );
 }
@@ -264,41 +264,41 @@
 /// on, and the new home runs it. Without that the caller would get "unknown".
 #[test]
 fn a_claim_that_was_never_forwarded_is_given_back() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let asked = pair.book(1);
-    let kept = pair.tell_backup(&asked);
+    let kept = pair.deliver_to_backup(&asked);
     let b = pair.b.clone();
     let moved = pair.install(row(2, Some(&b), None));
-    let relayed = bodies(&moved)
+    let relayed = peer_messages(&moved)
         .iter()
-        .any(|(to, body)| *to == b && matches!(body, Body::Relay(_)));
+        .any(|(to, body)| *to == b && matches!(body, PeerMessage::Relay(_)));
     assert!(relayed);
     assert!(
-        forwards(&pair.tell_home(&kept)).is_empty(),
+        forwards(&pair.deliver_to_home(&kept)).is_empty(),
         "passed on and run"
     );
-    assert_eq!(forwards(&pair.tell_backup(&moved)).len(), 1);
-    assert!(forwards(&pair.ask_backup(1, Kind::Once)).is_empty());
+    assert_eq!(forwards(&pair.deliver_to_backup(&moved)).len(), 1);
+    assert!(forwards(&pair.ask_backup(1, Kind::NonIdempotent)).is_empty());
 }
 
 /// A late message gives back a claim that another home has made since. That one
 /// may have forwarded the booking, so only the claimer's own word counts.
 #[test]
 fn a_claim_is_given_back_by_its_claimer_only() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let asked = pair.book(1);
-    pair.tell_backup(&asked);
+    pair.deliver_to_backup(&asked);
     let b = pair.b.clone();
     let moved = pair.install(row(2, Some(&b), None));
     let other = holder("c", 1);
     let late = deliver(pair.now, &other, &moved, &pair.b, &mut pair.backup);
     assert!(forwards(&late).is_empty());
     // While the claimer is heard it may still answer; after that, "unknown".
-    let copy = pair.ask_backup(1, Kind::Once);
+    let copy = pair.ask_backup(1, Kind::NonIdempotent);
     assert!(forwards(&copy).is_empty());
     assert_eq!(outcomes(&copy), []);
     pair.lose_home();
-    let copy = pair.ask_for_claimed(1);
+    let copy = pair.duplicate_of_claimed(1);
     assert!(forwards(&copy).is_empty());
     assert_eq!(outcomes(&copy), [Outcome::Unknown]);
 }
@@ -307,13 +307,13 @@
 /// replaced. Passed on, its waiting booking would run for nobody.
 #[test]
 fn a_claim_is_not_passed_on_after_its_deadline() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     pair.book(1);
     pair.now += Profile::default().deadline();
     let b = pair.b.clone();
     let moved = pair.home.handle(pair.now, table(row(2, Some(&b), None)));
     assert_eq!(outcomes(&moved), [Outcome::Unknown]);
-    assert!(bodies(&moved).is_empty());
+    assert!(peer_messages(&moved).is_empty());
 }
 
 /// Home and backup cannot be heard: a booking waits, the backup becomes home and
@@ -325,8 +325,8 @@
     pair.run(secs(2));
     let b = pair.b.clone();
     let moved = pair.home.handle(pair.now, table(row(2, Some(&b), None)));
-    let relayed = bodies(&moved);
-    assert!(matches!(relayed[..], [(ref to, Body::Relay(_))] if *to == b));
+    let relayed = peer_messages(&moved);
+    assert!(matches!(relayed[..], [(ref to, PeerMessage::Relay(_))] if *to == b));
     assert!(outcomes(&pair.run(secs(9)).0).is_empty(), "answered twice");
 }
 
@@ -372,20 +372,20 @@
 #[test]
 fn relays_are_counted_through_a_wait() {
     let mut pair = Pair::new(row(1, Some(&holder("x", 1)), None));
-    let request = lab::request(&lab::flow("dispatch", 1), 1, Kind::Once);
+    let request = lab::request(&lab::flow("dispatch", 1), 1, Kind::NonIdempotent);
     let event = Event::Request { request, hops: 3 };
     pair.home.handle(pair.now, event);
     let b = pair.b.clone();
     let moved = pair.home.handle(pair.now, table(row(2, Some(&b), None)));
-    let relays = bodies(&moved);
-    let [(_, Body::Relay(relay))] = relays.as_slice() else {
+    let relays = peer_messages(&moved);
+    let [(_, PeerMessage::Relay(relay))] = relays.as_slice() else {
         panic!("{relays:?}");
     };
     assert_eq!(relay.hops, 3);
-    let request = lab::request(&lab::flow("dispatch", 1), 1, Kind::Once);
+    let request = lab::request(&lab::flow("dispatch", 1), 1, Kind::NonIdempotent);
     let event = Event::Request { request, hops: 3 };
     let returned = pair.home.handle(pair.now, event);
-    assert!(bodies(&returned).is_empty());
+    assert!(peer_messages(&returned).is_empty());
     assert!(has_reason(&returned, Reason::Parked));
 }
 
@@ -422,7 +422,7 @@
 
 struct Lab {
     now: Instant,
-    control: Control,
+    control: SlicePlanner,
     version: u64,
 }
 
@@ -436,11 +436,11 @@
             slices: 1,
             suspect_after: SUSPECT,
             isolation_limit: secs(100),
-            outsider_wait: secs(120),
+            recordless_takeover_wait: secs(120),
         };
         let mut lab = Self {
             now,
-            control: Control::new(settings, now),
+            control: SlicePlanner::new(settings, now),
             version: 0,
         };
         lab.control.contact(now);
@@ -454,7 +454,7 @@
             rows: vec![row],
         };
         Entry {
-            key: format!("{SLICES}0"),
+            key: format!("{SLICES_PREFIX}0"),
             value: serde_json::to_vec(&document).expect("plain data").into(),
             mod_revision: self.version,
         }
@@ -462,7 +462,7 @@
 
     fn store(&mut self, row: Row) {
         let entry = self.entry(row);
-        self.control.store(self.now, &entry);
+        self.control.apply_entry(self.now, &entry);
     }
 
     fn register(&mut self, holder: &id::Holder) {
@@ -481,7 +481,7 @@
                 .into(),
             mod_revision: self.version,
         };
-        self.control.store(self.now, &entry);
+        self.control.apply_entry(self.now, &entry);
     }
 
     fn hear(&mut self, holder: &id::Holder, leaving: bool) {
@@ -491,7 +491,7 @@
             leaving,
             digest: 0,
             loads: None,
-            trimmed: false,
+            loads_omitted: false,
         };
         self.control.heartbeat(self.now, holder, &message);
     }
@@ -521,7 +521,7 @@
 
 fn authority(commands: &[Command]) -> Option<Instant> {
     let mut views = commands.iter().filter_map(|command| match command {
-        Command::Members(view) => Some(Arc::clone(view)),
+        Command::Membership(view) => Some(Arc::clone(view)),
         _ => None,
     });
     views.next_back().and_then(|view| view.authority_until)
@@ -612,12 +612,12 @@
 fn joining(lab: &mut Lab, a: &id::Holder, b: &id::Holder) {
     lab.store(row(1, Some(a), None));
     let commands = lab.run(secs(1), &[b]);
-    let join = |command: &Command| matches!(command, Command::Join { .. });
+    let join = |command: &Command| matches!(command, Command::AddBackup { .. });
     assert!(commands.iter().any(join));
 }
 
 fn has_abandon(commands: &[Command]) -> bool {
-    let abandon = |command: &Command| matches!(command, Command::Abandon(_));
+    let abandon = |command: &Command| matches!(command, Command::CancelBackup(_));
     commands.iter().any(abandon)
 }
 
@@ -629,17 +629,17 @@
     let (a, b) = (holder("a", 1), holder("b", 1));
     let mut lab = Lab::new(&a);
     joining(&mut lab, &a, &b);
-    lab.control.joined(id::Slice(0), &b);
+    lab.control.backup_synced(id::Slice(0), &b);
     let row = written(&lab.run(ms(500), &[&b])).expect("a write");
     assert!(row.is_backup(&b));
     assert!(!has_abandon(&lab.run(SUSPECT * 2, &[])), "under way");
-    lab.control.written(lab.now, 0, Written::Unknown);
+    lab.control.write_finished(lab.now, 0, WriteResult::Unknown);
     let commands = lab.run(ms(500), &[]);
     assert!(!has_abandon(&commands), "unknown");
     assert!(written(&commands).is_some(), "not settled by another write");
     let stands = lab.entry(row);
-    lab.control.store(lab.now, &stands);
-    lab.control.written(lab.now, 0, Written::Lost(Some(stands)));
+    lab.control.apply_entry(lab.now, &stands);
+    lab.control.write_finished(lab.now, 0, WriteResult::Lost(Some(stands)));
     let row = written(&lab.run(ms(500), &[])).expect("a write");
     assert!(row.backup.is_none(), "now it is dropped through the table");
 }
@@ -661,7 +661,7 @@
     let (a, b) = (holder("a", 1), holder("b", 1));
     let mut lab = Lab::new(&a);
     joining(&mut lab, &a, &b);
-    lab.control.joined(id::Slice(0), &holder("c", 1));
+    lab.control.backup_synced(id::Slice(0), &holder("c", 1));
     assert_eq!(written(&lab.run(secs(1), &[&b])), None);
 }
 
@@ -673,7 +673,7 @@
     let mut lab = Lab::new(&b);
     let old = lab.entry(row(1, Some(&b), None));
     lab.store(row(2, Some(&a), Some(&b)));
-    lab.control.store(lab.now, &old);
+    lab.control.apply_entry(lab.now, &old);
     assert_eq!(lab.control.holdings(), (0, 1, 0));
     let commands = lab.run(SUSPECT * 3, &[]);
     let expected = commands.iter().find_map(|command| match command {
@@ -701,10 +701,10 @@
     let (a, b) = (holder("a", 1), holder("b", 1));
     let mut lab = Lab::new(&b);
     lab.store(row(1, Some(&a), Some(&b)));
-    lab.control.yielded(lab.now, &a, &[0]);
+    lab.control.takeover_requested(lab.now, &a, &[0]);
     assert!(written(&lab.run(ms(500), &[&a])).is_some());
     lab.run(secs(6), &[&a]);
-    lab.control.written(lab.now, 0, Written::Unknown);
+    lab.control.write_finished(lab.now, 0, WriteResult::Unknown);
     let row = written(&lab.run(ms(500), &[&a])).expect("one more write");
     assert!(row.is_home(&a), "the wish has lapsed");
 }
@@ -749,9 +749,9 @@
     let (a, b) = (holder("a", 1), holder("b", 1));
     let mut lab = Lab::new(&b);
     lab.store(row(1, Some(&a), Some(&b)));
-    lab.control.yielded(lab.now, &holder("c", 1), &[0, 9]);
+    lab.control.takeover_requested(lab.now, &holder("c", 1), &[0, 9]);
     assert_eq!(written(&lab.run(secs(1), &[&a])), None);
-    lab.control.yielded(lab.now, &a, &[0]);
+    lab.control.takeover_requested(lab.now, &a, &[0]);
     assert!(written(&lab.run(secs(1), &[&a])).is_some());
 }
 
@@ -759,10 +759,10 @@
 /// a view in which everybody is silent must not make it home.
 #[test]
 fn silence_alone_makes_nobody_home() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let alone = view(&[&pair.b.clone()], pair.now + lab::FOREVER);
     pair.backup.handle(pair.now, alone);
-    let waiting: Vec<Action> = pair.ask_backup(1, Kind::Once);
+    let waiting: Vec<Action> = pair.ask_backup(1, Kind::NonIdempotent);
     assert!(forwards(&waiting).is_empty());
     assert!(has_reason(&waiting, Reason::Parked));
 }
@@ -778,9 +778,9 @@
     joining(&mut lab, &a, &b);
     assert!(has_abandon(&lab.run(SUSPECT * 2, &[])));
     lab.run(ms(500), &[&b]);
-    lab.control.joined(id::Slice(0), &b);
+    lab.control.backup_synced(id::Slice(0), &b);
     assert_eq!(written(&lab.run(secs(1), &[&b])), None);
-    let join = |command: &Command| matches!(command, Command::Join { .. });
+    let join = |command: &Command| matches!(command, Command::AddBackup { .. });
     let later = lab.run(secs(12), &[&b]);
     assert!(later.iter().any(join), "never copied to again");
 }
