--- a/benches/core.rs
+++ b/benches/core.rs
@@ -266,7 +266,7 @@
                             epoch: id::Epoch(epoch),
                             ..table.row(slice).clone()
                         };
-                        table.advance(slice, row);
+                        table.update_if_newer(slice, row);
                         let event = Event::Table(Arc::new(table));
                         let start = Clock::now();
                         black_box(core.handle(event));
@@ -298,7 +298,7 @@
         bencher.iter(|| codec::read_server(from, black_box(&notification)));
     });
     group.bench_function("write_answer", |bencher| {
-        let address = codec::Address {
+        let address = codec::AnswerHeader {
             id: godwitreel::request::Id(0x1234 << 72),
             token: godwitreel::request::Token(4 << 64 | 0x0102_0304),
             confirmable: true,
--- a/examples/demo/deployment.rs
+++ b/examples/demo/deployment.rs
@@ -53,7 +53,7 @@
     listeners: BTreeMap<&'static str, SocketAddr>,
     handle: daemon::Handle,
     /// Writes the log out when the instance goes.
-    _flush: log::Flush,
+    _flush: log::LogGuard,
 }
 
 /// One backend server with its place.
--- a/examples/policy/world.rs
+++ b/examples/policy/world.rs
@@ -162,9 +162,9 @@
                 epoch: id::Epoch(1),
                 home: Some(self.homes[home].holder.clone()),
                 backup: self.plan.backup.then(|| self.homes[backup].holder.clone()),
-                blank: false,
+                records_lost: false,
             };
-            self.table.advance(id::Slice(slice), row);
+            self.table.update_if_newer(id::Slice(slice), row);
         }
         self.tell_table();
         self.tell_view();
@@ -475,7 +475,7 @@
                     epoch,
                     home,
                     backup: None,
-                    blank,
+                    records_lost: blank,
                 }
             } else if row.is_backup(&holder) {
                 Row {
@@ -486,7 +486,7 @@
             } else {
                 continue;
             };
-            self.table.advance(id::Slice(slice), next);
+            self.table.update_if_newer(id::Slice(slice), next);
         }
         self.tell_table();
     }
--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -286,7 +286,7 @@
                 "i{}",
                 (slice as usize + 1) % peers
             ))),
-            blank: false,
+            records_lost: false,
         })
         .collect()
 }
--- a/examples/utils/fixture.rs
+++ b/examples/utils/fixture.rs
@@ -139,9 +139,9 @@
             epoch: id::Epoch(epoch),
             home: Some(holder(home)),
             backup: Some(holder(backup)),
-            blank: false,
+            records_lost: false,
         };
-        table.advance(id::Slice(slice), row);
+        table.update_if_newer(id::Slice(slice), row);
     }
     Arc::new(table)
 }
--- a/examples/utils/fleet.rs
+++ b/examples/utils/fleet.rs
@@ -353,7 +353,7 @@
             let document: table::Document = serde_json::from_slice(&value).expect("document");
             let first = number * table::ROWS_PER_DOCUMENT;
             for (place, row) in document.rows.into_iter().enumerate() {
-                table.advance(godwitreel::id::Slice(first + place as u32), row);
+                table.update_if_newer(godwitreel::id::Slice(first + place as u32), row);
             }
         }
         table
--- a/src/burn.rs
+++ b/src/burn.rs
@@ -61,7 +61,7 @@
 
 /// What an event means for the objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mark {
+pub enum EventClass {
     /// It met the objective.
     Good,
     /// It did not.
@@ -72,11 +72,11 @@
 ///
 /// Only an answer within the latency is good: a caller that was refused or told
 /// "unknown" did not get what was promised, however quickly it was told.
-pub fn classify(outcome: &Outcome, elapsed: Duration, objective: &Objective) -> Mark {
+pub fn classify(outcome: &Outcome, elapsed: Duration, objective: &Objective) -> EventClass {
     let in_time = elapsed <= Duration::from_millis(objective.latency_ms);
     match outcome {
-        Outcome::Answered(_) if in_time => Mark::Good,
-        Outcome::Answered(_) | Outcome::NotRun { .. } | Outcome::Unknown => Mark::Bad,
+        Outcome::Answered(_) if in_time => EventClass::Good,
+        Outcome::Answered(_) | Outcome::NotRun { .. } | Outcome::Unknown => EventClass::Bad,
     }
 }
 
@@ -175,13 +175,13 @@
 /// One ledger serves all workers, behind a lock of the daemon's: several under
 /// one holder would look like copies of each other to a [`Report`].
 #[derive(Debug)]
-pub struct Ledger {
+pub struct BurnCounter {
     holder: id::Holder,
     started: Instant,
     accounts: BTreeMap<id::Service, Account>,
 }
 
-impl Ledger {
+impl BurnCounter {
     /// An empty ledger, which knows no service yet.
     pub fn new(holder: id::Holder, started: Instant) -> Self {
         Self {
@@ -208,12 +208,12 @@
 
     /// Counts a good event, if the service is known.
     pub fn good(&mut self, now: Instant, service: &id::Service) {
-        self.add(now, service, Mark::Good);
+        self.add(now, service, EventClass::Good);
     }
 
     /// Counts a bad event, if the service is known.
     pub fn bad(&mut self, now: Instant, service: &id::Service) {
-        self.add(now, service, Mark::Bad);
+        self.add(now, service, EventClass::Bad);
     }
 
     /// Counts an answered request by the time that it took.
@@ -222,7 +222,7 @@
             return;
         };
         let late = elapsed > Duration::from_millis(account.objective.latency_ms);
-        let mark = if late { Mark::Bad } else { Mark::Good };
+        let mark = if late { EventClass::Bad } else { EventClass::Good };
         self.add(now, service, mark);
     }
 
@@ -254,14 +254,14 @@
         }
     }
 
-    fn add(&mut self, now: Instant, service: &id::Service, mark: Mark) {
+    fn add(&mut self, now: Instant, service: &id::Service, mark: EventClass) {
         let at = self.since_start(now);
         let Some(account) = self.accounts.get_mut(service) else {
             return;
         };
         let (good, bad) = match mark {
-            Mark::Good => (1, 0),
-            Mark::Bad => (0, 1),
+            EventClass::Good => (1, 0),
+            EventClass::Bad => (0, 1),
         };
         for ring in &mut account.windows {
             ring.add(at, Count { good, bad });
--- a/src/burn/merge.rs
+++ b/src/burn/merge.rs
@@ -122,7 +122,7 @@
     /// Adds what became known to be missing after the merge: instances that were
     /// not heard, and a list of instances that may be incomplete. A service that
     /// looked well before is not known to be.
-    pub fn miss(&mut self, gaps: Vec<Gap>, unlisted: Option<String>) {
+    pub fn add_missing(&mut self, gaps: Vec<Gap>, unlisted: Option<String>) {
         if gaps.is_empty() && unlisted.is_none() {
             return;
         }
--- a/src/codec.rs
+++ b/src/codec.rs
@@ -302,7 +302,7 @@
 
 /// How an answer to a caller is addressed.
 #[derive(Clone, Copy, Debug)]
-pub struct Address {
+pub struct AnswerHeader {
     /// The request's identity.
     pub id: Id,
     /// The caller's token.
@@ -322,7 +322,7 @@
 /// # Errors
 ///
 /// [`Error::Decode`] if the server's datagram is malformed.
-pub fn write_answer(address: &Address, outcome: &Outcome) -> Result<Vec<u8>> {
+pub fn write_answer(address: &AnswerHeader, outcome: &Outcome) -> Result<Vec<u8>> {
     let (mut packet, original) = match outcome {
         Outcome::Answered(datagram) => (decode(datagram, &"server")?, datagram.clone()),
         Outcome::NotRun { retry_after } => {
@@ -397,7 +397,7 @@
 }
 
 /// Writes the acknowledgement of a server's message.
-pub fn write_receipt(message: u16) -> Vec<u8> {
+pub fn write_server_acknowledgement(message: u16) -> Vec<u8> {
     write_empty(MessageType::Acknowledgement, message)
 }
 
--- a/src/config.rs
+++ b/src/config.rs
@@ -26,7 +26,7 @@
 use crate::snapshot::Snapshot;
 
 /// Everything of ours in the platform.
-pub const OURS: &str = "godwitreel/";
+pub const KEY_PREFIX: &str = "godwitreel/";
 
 /// The platform's own list of backend servers.
 pub use crate::path::SERVERS;
@@ -87,7 +87,7 @@
     }
 
     /// The platform has told everything of a prefix up to this revision.
-    pub fn told(&mut self, prefix: &str, revision: u64) {
+    pub fn mark_synced(&mut self, prefix: &str, revision: u64) {
         let horizon = self.horizons.entry(prefix.to_owned()).or_default();
         *horizon = revision.max(*horizon);
         let horizon = *horizon;
@@ -123,7 +123,7 @@
     }
 
     /// Revision at which a key is known not to exist, if that is newer than `than`.
-    pub fn gone_since(&self, key: &str, than: u64) -> Option<u64> {
+    pub fn deleted_since(&self, key: &str, than: u64) -> Option<u64> {
         let horizon = self.horizon(key);
         (horizon >= than && !self.entries.contains_key(key)).then_some(horizon)
     }
--- a/src/control.rs
+++ b/src/control.rs
@@ -263,10 +263,10 @@
         let home = row.is_home(&self.settings.me);
         let backup = row.backup.clone();
         let before = self.table.get(slice).cloned().unwrap_or_default();
-        if !self.table.advance(slice, row.clone()) {
+        if !self.table.update_if_newer(slice, row.clone()) {
             return;
         }
-        if !row.blank {
+        if !row.records_lost {
             self.blank_since.remove(&slice);
         } else if row.continues(&before) {
             self.blank_since.entry(slice).or_insert(now);
--- a/src/control/plan.rs
+++ b/src/control/plan.rs
@@ -293,7 +293,7 @@
             epoch: id::Epoch(row.epoch.0 + 1),
             home: Some(self.settings.me.clone()),
             backup: None,
-            blank: row.blank,
+            records_lost: row.records_lost,
         }
     }
 
@@ -326,7 +326,7 @@
         let with = |backup: Option<id::Holder>| Row {
             epoch: id::Epoch(row.epoch.0 + 1),
             backup,
-            blank: row.blank && self.is_blank(now, slice),
+            records_lost: row.records_lost && self.is_blank(now, slice),
             ..row.clone()
         };
         let Some(backup) = &row.backup else {
@@ -340,7 +340,7 @@
             return Some(with(None));
         }
         // A mark that stays would start the window at instances that come later.
-        let over = row.blank && !self.is_blank(now, slice);
+        let over = row.records_lost && !self.is_blank(now, slice);
         over.then(|| with(Some(backup.clone())))
     }
 
@@ -386,7 +386,7 @@
         }
         let backup = row.backup.as_ref();
         let blank = Row {
-            blank: true,
+            records_lost: true,
             ..self.successor(row)
         };
         // An earlier life of this very instance is gone for sure, and its
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -20,7 +20,7 @@
 use tokio::time::Instant;
 
 use crate::action::TraceEvent;
-use crate::burn::Ledger;
+use crate::burn::BurnCounter;
 use crate::control;
 use crate::control::SlicePlanner;
 use crate::control::Registration;
@@ -106,8 +106,8 @@
         settings.peer_bytes_per_second,
         Arc::clone(&metrics),
     ));
-    let ring = Arc::new(explain::Ring::default());
-    let ledger = Arc::new(Mutex::new(Ledger::new(me.clone(), Instant::now())));
+    let ring = Arc::new(explain::TraceBuffer::default());
+    let ledger = Arc::new(Mutex::new(BurnCounter::new(me.clone(), Instant::now())));
     let (joined, joins) = mpsc::unbounded_channel();
     let paths: Result<Vec<_>> = (0..SERVER_SOCKETS)
         .map(|_| edge::bind((settings.backend_bind, 0).into()))
@@ -308,8 +308,8 @@
 
 fn observer(
     metrics: &Arc<Metrics>,
-    ring: &Arc<explain::Ring>,
-    ledger: &Arc<Mutex<Ledger>>,
+    ring: &Arc<explain::TraceBuffer>,
+    ledger: &Arc<Mutex<BurnCounter>>,
     log: &Logger,
 ) -> Observe {
     let (metrics, ring, log) = (Arc::clone(metrics), Arc::clone(ring), log.clone());
@@ -329,7 +329,7 @@
 }
 
 /// Counts a final outcome for the burn report; a feed that was lost is a bad event.
-fn count(ledger: &Mutex<Ledger>, now: Instant, note: &TraceEvent) {
+fn count(ledger: &Mutex<BurnCounter>, now: Instant, note: &TraceEvent) {
     let Some(flow) = &note.flow else {
         return;
     };
--- a/src/edge.rs
+++ b/src/edge.rs
@@ -16,7 +16,7 @@
 use crate::error::Result;
 use crate::event::Event;
 use crate::id;
-use crate::inbox::Told;
+use crate::inbox::ControlEvent;
 use crate::peer;
 use crate::peer::PeerMessage;
 use crate::reason::Reason;
@@ -151,7 +151,7 @@
 pub(crate) fn peers(
     shared: Arc<Shared>,
     socket: &UdpSocket,
-    told: UnboundedSender<Told>,
+    told: UnboundedSender<ControlEvent>,
 ) -> Result<()> {
     let socket = receiver(socket)?;
     let task = Arc::clone(&shared);
@@ -173,7 +173,7 @@
     shared: &Shared,
     address: SocketAddr,
     bytes: &[u8],
-    told: &UnboundedSender<Told>,
+    told: &UnboundedSender<ControlEvent>,
 ) -> Result<()> {
     let frame = shared.link.verify_frame(address, bytes)?;
     let from = frame.from;
@@ -187,11 +187,11 @@
             }
         }
         PeerMessage::Heartbeat(message) => {
-            let _ = told.send(Told::Heartbeat { from, message });
+            let _ = told.send(ControlEvent::Heartbeat { from, message });
         }
         PeerMessage::TakeoverRequest(message) => {
             let slices = message.slices;
-            let _ = told.send(Told::Yield { from, slices });
+            let _ = told.send(ControlEvent::Yield { from, slices });
         }
         body @ (PeerMessage::ReplicationStep(_) | PeerMessage::ReplicationAck(_) | PeerMessage::FinalOutcome(_) | PeerMessage::FeedTransfer(_)) => {
             if let Some(slice) = slice_of(&body) {
@@ -271,7 +271,7 @@
         value: entry.value.clone(),
     });
     let gone = pull.known_versions.iter().filter_map(|version| {
-        let modified = config.gone_since(&version.key, version.modified)?;
+        let modified = config.deleted_since(&version.key, version.modified)?;
         let key = version.key.clone();
         Some(peer::Version { key, modified })
     });
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -36,9 +36,9 @@
 use crate::peer::member::MembershipView;
 use crate::reason::Reason;
 use crate::record::FeedKey;
-use crate::record::Park;
-use crate::record::Receipts;
-use crate::record::Sending;
+use crate::record::ParkedRequests;
+use crate::record::UnacknowledgedAnswers;
+use crate::record::SentAttempt;
 use crate::record::Slice;
 use crate::record::Timer;
 use crate::request::Flow;
@@ -91,10 +91,10 @@
     table: Arc<Table>,
     members: Arc<MembershipView>,
     slices: HashMap<id::Slice, Slice>,
-    sendings: HashMap<id::Attempt, Sending>,
+    sendings: HashMap<id::Attempt, SentAttempt>,
     usage: HashMap<id::Service, Usage>,
-    receipts: Receipts,
-    park: Park,
+    receipts: UnacknowledgedAnswers,
+    park: ParkedRequests,
     timers: BinaryHeap<Reverse<(Instant, Timer)>>,
     /// Slices with replication steps that are not acknowledged.
     unacknowledged: BTreeSet<id::Slice>,
@@ -134,8 +134,8 @@
             slices: HashMap::new(),
             sendings: HashMap::new(),
             usage: HashMap::new(),
-            receipts: Receipts::new(),
-            park: Park::new(),
+            receipts: UnacknowledgedAnswers::new(),
+            park: ParkedRequests::new(),
             timers: BinaryHeap::new(),
             unacknowledged: BTreeSet::new(),
             moves: VecDeque::new(),
--- a/src/engine/clock.rs
+++ b/src/engine/clock.rs
@@ -68,9 +68,9 @@
                 Timer::Attempt(slice, key, attempt) => self.retry(now, slice, &key, attempt),
                 Timer::Deadline(slice, key) => self.give_up(now, slice, &key),
                 Timer::Resend(slice, key) => self.resend(now, slice, &key),
-                Timer::Forget(slice, key) => self.expire(now, slice, &key),
+                Timer::Expire(slice, key) => self.expire(now, slice, &key),
                 Timer::Feed(slice, key) => self.tend_feed(now, slice, &key),
-                Timer::Return(slice) => {
+                Timer::OfferFeeds(slice) => {
                     if !self.tends(slice) {
                         self.offer_feeds(slice);
                     }
@@ -86,7 +86,7 @@
         let Some(record) = self.record(slice, key) else {
             return;
         };
-        let early = now < record.born + ACKNOWLEDGE_AFTER;
+        let early = now < record.received_at + ACKNOWLEDGE_AFTER;
         if early || !record.is_open() || record.separate.is_some() {
             return;
         }
@@ -109,7 +109,7 @@
         if !record.is_open() {
             return;
         }
-        let due = record.born + deadline;
+        let due = record.received_at + deadline;
         if now < due {
             // The timer is that of an earlier request under the same key, which was
             // answered and forgotten: its copy has its own time. Or the profile
@@ -135,14 +135,14 @@
         let Some(record) = self.record(slice, key) else {
             return;
         };
-        let due = record.born + deadline;
+        let due = record.received_at + deadline;
         if now < due {
             // The profile allows more time by now.
             self.schedule(due, Timer::Deadline(slice, key.clone()));
             return;
         }
-        let is_awaited = std::mem::take(&mut record.is_awaited);
-        if !is_awaited || !is_home {
+        let has_waiting_sender = std::mem::take(&mut record.has_waiting_sender);
+        if !has_waiting_sender || !is_home {
             return;
         }
         let (token, confirmable) = (record.token, record.confirmable);
@@ -156,7 +156,7 @@
             return;
         };
         let finished = record.is_settled() || record.phase == Phase::Claimed;
-        let born = record.born;
+        let born = record.received_at;
         if finished && now >= born + self.keep_time(&key.flow.service) {
             self.forget(slice, key);
         } else {
--- a/src/engine/feed.rs
+++ b/src/engine/feed.rs
@@ -20,7 +20,7 @@
 use crate::record::FeedKey;
 use crate::record::Purpose;
 use crate::record::Renewal;
-use crate::record::Sending;
+use crate::record::SentAttempt;
 use crate::record::Timer;
 use crate::request::Answer;
 use crate::request::Flow;
@@ -123,7 +123,7 @@
         key: FeedKey,
         datagram: Bytes,
         attempt: id::Attempt,
-        sending: &Sending,
+        sending: &SentAttempt,
     ) -> u32 {
         let server = Arc::clone(&sending.server);
         let earlier = self.remove_feed(slice, &key);
@@ -136,11 +136,11 @@
             renewal: None,
             failed: Vec::new(),
             sequence,
-            heard: now,
+            last_notification: now,
             confirmed: now,
             unconfirmed: 0,
-            due: now,
-            stamp: 0,
+            next_check: now,
+            replication_step: 0,
         };
         self.insert_feed(slice, key.clone(), feed);
         self.watch_feed(now, slice, &key);
@@ -166,7 +166,7 @@
         server.state().feeds += 1;
         self.sendings.insert(
             attempt,
-            Sending {
+            SentAttempt {
                 slice,
                 purpose: Purpose::Feed(key.clone()),
                 server: Arc::clone(server),
@@ -211,7 +211,7 @@
         let Some(feed) = self.feed(slice, key) else {
             return;
         };
-        feed.due = at;
+        feed.next_check = at;
         self.schedule(at, Timer::Feed(slice, key.clone()));
     }
 
@@ -253,7 +253,7 @@
             return;
         };
         feed.sequence = (feed.sequence + 1) & SEQUENCE_MASK;
-        feed.heard = now;
+        feed.last_notification = now;
         feed.failed.clear();
         let confirmable = now >= feed.confirmed + CONFIRM_AFTER;
         if confirmable {
@@ -479,7 +479,7 @@
         };
         feed.failed.clear();
         let patience = service.profile.feed_silence() * LOST_AFTER_SILENCES;
-        if now >= feed.heard + patience {
+        if now >= feed.last_notification + patience {
             self.finish_feed(now, slice, key, None, Reason::FeedLost);
             return;
         }
@@ -494,7 +494,7 @@
         let (true, Some(service)) = (tends, service) else {
             // Another looks after it, or nobody can for now. If that changes back,
             // its silence must be noticed again.
-            if self.feed(slice, key).is_some_and(|feed| feed.due <= now) {
+            if self.feed(slice, key).is_some_and(|feed| feed.next_check <= now) {
                 self.look_at(now + silence, slice, key);
             }
             return;
@@ -502,7 +502,7 @@
         let Some(feed) = self.feed(slice, key) else {
             return;
         };
-        if feed.due > now {
+        if feed.next_check > now {
             return;
         }
         let timeout = service.profile.attempt_timeout();
@@ -517,10 +517,10 @@
                 self.blame(now, &server);
             }
             self.renewal_failed(now, slice, key);
-        } else if feed.attempt.is_none() || now >= feed.heard + silence {
+        } else if feed.attempt.is_none() || now >= feed.last_notification + silence {
             self.renew(now, slice, key);
         } else {
-            let at = feed.heard + silence;
+            let at = feed.last_notification + silence;
             self.look_at(at, slice, key);
         }
     }
--- a/src/engine/handover.rs
+++ b/src/engine/handover.rs
@@ -60,7 +60,7 @@
             }
             if feed.attempt.is_none() {
                 // Silence is counted from now on: the copy's time is another's.
-                feed.heard = now;
+                feed.last_notification = now;
                 feed.confirmed = now;
             }
             self.renew(now, slice, &key);
@@ -111,7 +111,7 @@
         self.offer_feeds(slice);
         for round in 1..RELEASE_AFTER.as_millis() / RETURN_EVERY.as_millis() {
             let at = now + RETURN_EVERY * round as u32;
-            self.schedule(at, Timer::Return(slice));
+            self.schedule(at, Timer::OfferFeeds(slice));
         }
         self.releases.push_back((now + RELEASE_AFTER, slice));
     }
@@ -195,7 +195,7 @@
         }
         let feed = Feed {
             sequence,
-            heard: now,
+            last_notification: now,
             confirmed: now,
             ..feed
         };
--- a/src/engine/inbound.rs
+++ b/src/engine/inbound.rs
@@ -12,9 +12,9 @@
 use crate::id;
 use crate::peer;
 use crate::reason::Reason;
-use crate::record::Arrival;
-use crate::record::Intent;
-use crate::record::Park;
+use crate::record::IncomingRequest;
+use crate::record::ClaimFollowUp;
+use crate::record::ParkedRequests;
 use crate::record::Phase;
 use crate::record::Record;
 use crate::record::Timer;
@@ -54,7 +54,7 @@
             self.turn_away(&request, Outcome::Unknown, Reason::UnknownDeadline);
             return;
         }
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             request,
             hops,
             since: now,
@@ -63,7 +63,7 @@
     }
 
     /// Brings a request to whoever decides for it now.
-    pub(super) fn settle_route(&mut self, now: Instant, mut arrival: Arrival) {
+    pub(super) fn settle_route(&mut self, now: Instant, mut arrival: IncomingRequest) {
         if self.table.is_empty() {
             // Just started; the caller repeats it.
             self.note(Reason::ParkFull);
@@ -87,7 +87,7 @@
                 self.wait(arrival);
             }
             Route::To(holder) => {
-                let Arrival { request, hops, .. } = arrival;
+                let IncomingRequest { request, hops, .. } = arrival;
                 self.relay(&holder, &request.flow, request.datagram, hops);
             }
             Route::Wait => self.wait(arrival),
@@ -154,14 +154,14 @@
         // Only the claimer knows that it did not forward the request. Another one
         // may have: this message could be a late one about an earlier claim.
         let own = |record: &Record| {
-            record.phase == Phase::Claimed && record.claimer.as_ref() == Some(from)
+            record.phase == Phase::Claimed && record.claimed_by.as_ref() == Some(from)
         };
         if self.record(slice, &key).is_some_and(|record| own(record)) {
             self.forget(slice, &key);
         }
         if self.table.row(slice).is_home(from) {
             // The table here is late and would send it back.
-            self.wait(Arrival {
+            self.wait(IncomingRequest {
                 request,
                 hops,
                 since: now,
@@ -171,9 +171,9 @@
         }
     }
 
-    fn wait(&mut self, arrival: Arrival) {
+    fn wait(&mut self, arrival: IncomingRequest) {
         let request = &arrival.request;
-        let same = |parked: &Arrival| {
+        let same = |parked: &IncomingRequest| {
             parked.request.id == request.id && parked.request.flow == request.flow
         };
         if self.park.iter().any(same) {
@@ -198,7 +198,7 @@
                 Route::Wait => self.park.push_back(parked),
                 _ => {
                     let hops = parked.hops.min(MAX_HOPS - 1);
-                    self.settle_route(now, Arrival { hops, ..parked });
+                    self.settle_route(now, IncomingRequest { hops, ..parked });
                 }
             }
         }
@@ -206,14 +206,14 @@
 
     /// Gives up on requests that have waited long enough.
     pub(super) fn expire_parked(&mut self, now: Instant) {
-        let over = |parked: &Arrival| now >= parked.since + PARK_TIMEOUT;
+        let over = |parked: &IncomingRequest| now >= parked.since + PARK_TIMEOUT;
         if !self.park.iter().any(over) {
             return;
         }
         let parked = std::mem::take(&mut self.park);
         let (late, waiting) = parked.into_iter().partition(over);
         self.park = waiting;
-        let late: Park = late;
+        let late: ParkedRequests = late;
         for parked in late {
             // Another copy may have reached the home before it fell silent, so
             // "not run" would be a guess.
@@ -249,7 +249,7 @@
         });
     }
 
-    fn serve(&mut self, now: Instant, slice: id::Slice, service: &Service, arrival: Arrival) {
+    fn serve(&mut self, now: Instant, slice: id::Slice, service: &Service, arrival: IncomingRequest) {
         let key = arrival.request.key();
         let state = self.slices.entry(slice).or_default();
         if state.records.contains_key(&key) {
@@ -312,9 +312,9 @@
         let Some(record) = state.and_then(|state| state.records.get(key)) else {
             return false;
         };
-        let claimer = record.claimer.as_ref();
+        let claimer = record.claimed_by.as_ref();
         let has_ended = claimer.is_some_and(|claimer| self.members.has_ended(claimer));
-        !has_ended && now < record.born + self.deadline(&key.flow.service)
+        !has_ended && now < record.received_at + self.deadline(&key.flow.service)
     }
 
     /// Keeps in mind that the sender of this copy waits for a word.
@@ -328,16 +328,16 @@
         };
         record.token = request.token;
         record.confirmable = request.confirmable;
-        if std::mem::replace(&mut record.is_awaited, true) {
+        if std::mem::replace(&mut record.has_waiting_sender, true) {
             return;
         }
-        let due = record.born + deadline;
+        let due = record.received_at + deadline;
         self.schedule(due, Timer::Deadline(slice, key.clone()));
     }
 
-    fn admit_once(&mut self, now: Instant, slice: id::Slice, service: &Service, arrival: Arrival) {
-        let Arrival { request, since, .. } = arrival;
-        let blank = self.slices.get(&slice).and_then(|state| state.blank_since);
+    fn admit_once(&mut self, now: Instant, slice: id::Slice, service: &Service, arrival: IncomingRequest) {
+        let IncomingRequest { request, since, .. } = arrival;
+        let blank = self.slices.get(&slice).and_then(|state| state.records_lost_since);
         if !self.members.has_authority(now) {
             self.turn_away(&request, Outcome::Unknown, Reason::UnknownAuthority);
             return;
@@ -355,8 +355,8 @@
             return;
         }
         let intent = match self.limit(slice, service, &request.flow) {
-            None => Intent::Forward,
-            Some(reason) => Intent::Refuse {
+            None => ClaimFollowUp::Forward,
+            Some(reason) => ClaimFollowUp::Refuse {
                 retry_after: service.profile.retry_after_s,
                 reason,
             },
@@ -405,7 +405,7 @@
         let busy = self
             .slices
             .get(&slice)
-            .and_then(|state| state.busy.get(flow));
+            .and_then(|state| state.open_requests.get(flow));
         if busy.is_some_and(|busy| *busy >= service.profile.max_per_caller) {
             return Some(Reason::RefusedCaller);
         }
@@ -425,23 +425,23 @@
         let key = request.key();
         let record = Record {
             phase,
-            claimer: None,
-            is_awaited: false,
+            claimed_by: None,
+            has_waiting_sender: false,
             kind: request.kind,
             token: request.token,
             confirmable: request.confirmable,
             block: request.block,
-            born: since,
+            received_at: since,
             separate: None,
             resends: 0,
             sequence: None,
             attempts: Vec::new(),
-            tried: Vec::new(),
+            tried_servers: Vec::new(),
             datagram: request.datagram,
         };
         let state = self.slices.entry(slice).or_default();
         state.records.insert(key.clone(), record);
-        *state.busy.entry(key.flow.clone()).or_default() += 1;
+        *state.open_requests.entry(key.flow.clone()).or_default() += 1;
         self.records += 1;
         self.usage(&service.id).in_progress += 1;
         if request.confirmable {
--- a/src/engine/outbound.rs
+++ b/src/engine/outbound.rs
@@ -19,7 +19,7 @@
 use crate::record::Pin;
 use crate::record::Purpose;
 use crate::record::Record;
-use crate::record::Sending;
+use crate::record::SentAttempt;
 use crate::record::Timer;
 use crate::request::Answer;
 use crate::request::Key;
@@ -48,7 +48,7 @@
 
     /// The claim is safe: forward the request, or tell the caller that it is not run.
     pub(super) fn proceed(&mut self, now: Instant, slice: id::Slice, key: &Key) {
-        use crate::record::Intent;
+        use crate::record::ClaimFollowUp;
         let authority = self.members.has_authority(now);
         let deadline = self.deadline(&key.flow.service);
         let Some(record) = self.record(slice, key) else {
@@ -59,7 +59,7 @@
         };
         // After a pause of this process the acknowledgement can be read before the
         // timer fires: the caller would have its booking run after it gave up.
-        if now >= record.born + deadline {
+        if now >= record.received_at + deadline {
             self.settle(now, slice, key, Outcome::Unknown, Reason::UnknownDeadline);
             return;
         }
@@ -70,8 +70,8 @@
             return;
         }
         match intent {
-            Intent::Forward => self.dispatch(now, slice, key),
-            Intent::Refuse {
+            ClaimFollowUp::Forward => self.dispatch(now, slice, key),
+            ClaimFollowUp::Refuse {
                 retry_after,
                 reason,
             } => {
@@ -94,7 +94,7 @@
             return;
         }
         let (part, kind) = (record.block, record.kind);
-        let tried = record.tried.clone();
+        let tried = record.tried_servers.clone();
         let waiting = !record.attempts.is_empty();
         let pinned = if part.is_continuation {
             self.pinned(now, slice, &service, key)
@@ -119,7 +119,7 @@
             }
             Some(server) => {
                 if let Some(record) = self.record(slice, key) {
-                    record.tried.push(server.id.clone());
+                    record.tried_servers.push(server.id.clone());
                 }
                 self.dispatch(now, slice, key);
             }
@@ -202,8 +202,8 @@
         };
         record.phase = Phase::Sent;
         record.attempts.push(attempt);
-        record.tried.push(server.id.clone());
-        let deadline = record.born + service.profile.deadline();
+        record.tried_servers.push(server.id.clone());
+        let deadline = record.received_at + service.profile.deadline();
         let once = record.kind.is_non_idempotent();
         let later = record.block.is_continuation;
         let datagram = record.datagram.clone();
@@ -216,7 +216,7 @@
         }
         self.sendings.insert(
             attempt,
-            Sending {
+            SentAttempt {
                 slice,
                 purpose: Purpose::Request(key.clone()),
                 server: Arc::clone(&server),
@@ -271,7 +271,7 @@
         if !record.is_open() || !record.attempts.contains(&attempt) {
             return;
         }
-        let tries = record.tried.len() as u32;
+        let tries = record.tried_servers.len() as u32;
         if let Some(sending) = self.sendings.get(&attempt) {
             let server = Arc::clone(&sending.server);
             self.blame(now, &server);
@@ -355,7 +355,7 @@
         };
         record.attempts.retain(|open| *open != attempt);
         let waiting = !record.attempts.is_empty();
-        let tries = record.tried.len() as u32;
+        let tries = record.tried_servers.len() as u32;
         let later = record.block.is_continuation;
         let Some(service) = self.service(&key.flow.service) else {
             return;
@@ -418,7 +418,7 @@
     }
 
     /// Ends a sending and gives its place at the server back.
-    pub(super) fn drop_sending(&mut self, attempt: id::Attempt) -> Option<Sending> {
+    pub(super) fn drop_sending(&mut self, attempt: id::Attempt) -> Option<SentAttempt> {
         let sending = self.sendings.remove(&attempt)?;
         let mut state = sending.server.state();
         match sending.purpose {
--- a/src/engine/ownership.rs
+++ b/src/engine/ownership.rs
@@ -12,7 +12,7 @@
 use crate::peer;
 use crate::peer::member::MembershipView;
 use crate::reason::Reason;
-use crate::record::Arrival;
+use crate::record::IncomingRequest;
 use crate::record::Pending;
 use crate::record::Phase;
 use crate::record::Record;
@@ -74,8 +74,8 @@
         // Every instance counts the window from when it first sees the takeover,
         // so that a planned move does not begin it anew: each one would cost the
         // callers another copy lifetime of unknown outcomes.
-        let since = state.blank_since.filter(|_| continued).unwrap_or(now);
-        state.blank_since = row.blank.then_some(since);
+        let since = state.records_lost_since.filter(|_| continued).unwrap_or(now);
+        state.records_lost_since = row.records_lost.then_some(since);
         if row.is_home(&self.settings.me) {
             state.role = Role::Home;
             if before != Role::Home {
@@ -149,11 +149,11 @@
         let Some(record) = self.record(slice, key) else {
             return;
         };
-        if now >= record.born + deadline {
+        if now >= record.received_at + deadline {
             self.settle(now, slice, key, Outcome::Unknown, Reason::UnknownDeadline);
             return;
         }
-        let since = record.born;
+        let since = record.received_at;
         let request = Request {
             flow: key.flow.clone(),
             id: key.id,
@@ -167,7 +167,7 @@
         let row = self.table.row(slice);
         let home = row.home.clone().filter(|home| *home != self.settings.me);
         let Some(to) = home else {
-            let arrival = Arrival {
+            let arrival = IncomingRequest {
                 request,
                 hops: 0,
                 since,
@@ -196,10 +196,10 @@
         };
         let known = state.replica.as_mut();
         match (backup, known) {
-            (None, Some(replica)) if replica.installed => self.drop_replica(now, slice),
+            (None, Some(replica)) if replica.is_in_table => self.drop_replica(now, slice),
             (None, _) => {}
             (Some(backup), Some(replica)) if replica.holder == backup => {
-                replica.installed = true;
+                replica.is_in_table = true;
                 self.note(Reason::BackupJoined);
             }
             (Some(backup), _) => self.copy_all(now, slice, &backup, true),
--- a/src/engine/replica.rs
+++ b/src/engine/replica.rs
@@ -59,7 +59,7 @@
         }
         self.note_request(Reason::Claimed, slice, key);
         let record = self.record(slice, key);
-        let age = record.map(|record| now - record.born).unwrap_or_default();
+        let age = record.map(|record| now - record.received_at).unwrap_or_default();
         let item = peer::ReplicationItem::Claim(pack_claim(key, None, age));
         self.replicate(now, slice, item, Some(key.clone()));
     }
@@ -161,7 +161,7 @@
         if state
             .replica
             .as_ref()
-            .is_some_and(|replica| replica.installed)
+            .is_some_and(|replica| replica.is_in_table)
         {
             return;
         }
@@ -188,8 +188,8 @@
         let claims = sorted(state.records.iter().filter_map(is_non_idempotent));
         let claim = |key: &Key| {
             let record = state.records.get(key);
-            let claimer = record.and_then(|record| record.claimer.as_ref());
-            let age = record.map(|record| now - record.born).unwrap_or_default();
+            let claimer = record.and_then(|record| record.claimed_by.as_ref());
+            let age = record.map(|record| now - record.received_at).unwrap_or_default();
             peer::ReplicationItem::Claim(pack_claim(key, claimer, age))
         };
         items.extend(claims.iter().map(claim));
@@ -207,9 +207,9 @@
         }
         state.replica = Some(Replica {
             holder: backup.clone(),
-            installed,
+            is_in_table: installed,
             complete: false,
-            copied: self.next_number,
+            initial_copy_end: self.next_number,
             pending,
         });
         self.unacknowledged.insert(slice);
@@ -225,7 +225,7 @@
             let Some(state) = self.slices.get_mut(slice) else {
                 continue;
             };
-            if state.replica.as_ref().is_some_and(|r| !r.installed) {
+            if state.replica.as_ref().is_some_and(|r| !r.is_in_table) {
                 self.drop_replica(now, *slice);
             }
         }
@@ -266,7 +266,7 @@
             return Ok(());
         }
         let state = self.slices.entry(slice).or_default();
-        state.seen = state.seen.max(epoch);
+        state.replicated_epoch = state.replicated_epoch.max(epoch);
         match message.item {
             Some(peer::ReplicationItem::Claim(claim)) => {
                 let mut key = peer::unpack_key(claim.flow.as_ref(), &claim.id)?;
@@ -334,7 +334,7 @@
             return false;
         }
         let state = self.slices.get(&slice);
-        state.is_none_or(|state| epoch >= state.seen)
+        state.is_none_or(|state| epoch >= state.replicated_epoch)
     }
 
     fn keep_claim(&mut self, now: Instant, slice: id::Slice, key: Key, claimed: Record) {
@@ -342,7 +342,7 @@
         if let Some(record) = state.records.get_mut(&key) {
             // A request that was released is claimed anew, by its next home.
             if record.phase == Phase::Claimed {
-                record.claimer = claimed.claimer;
+                record.claimed_by = claimed.claimed_by;
             }
             return;
         }
@@ -357,7 +357,7 @@
             return;
         };
         let outdated = |(key, feed): (&FeedKey, &Feed)| {
-            let old = feed.stamp < number && feed.attempt.is_none();
+            let old = feed.replication_step < number && feed.attempt.is_none();
             old.then(|| key.clone())
         };
         let keys: Vec<FeedKey> = state.feeds.iter().filter_map(outdated).collect();
@@ -379,7 +379,7 @@
             return;
         };
         let first = replica.pending.keys().next();
-        let copied = first.is_none_or(|first| *first > replica.copied);
+        let copied = first.is_none_or(|first| *first > replica.initial_copy_end);
         if copied && !replica.complete {
             replica.complete = true;
             let backup = replica.holder.clone();
@@ -453,11 +453,11 @@
         renewal: None,
         failed: Vec::new(),
         sequence: feed.sequence,
-        heard: now,
+        last_notification: now,
         confirmed: now,
         unconfirmed: 0,
-        due: now,
-        stamp,
+        next_check: now,
+        replication_step: stamp,
     };
     Ok((key, feed))
 }
--- a/src/engine/settlement.rs
+++ b/src/engine/settlement.rs
@@ -50,9 +50,9 @@
         let (token, confirmable, kept) = (record.token, record.confirmable, record.is_kept());
         let once = record.kind.is_non_idempotent();
         let (separate, sequence) = (record.separate, record.sequence);
-        let born = record.born;
+        let born = record.received_at;
         let server = match outcome {
-            Outcome::Answered(_) => record.tried.last().cloned(),
+            Outcome::Answered(_) => record.tried_servers.last().cloned(),
             _ => None,
         };
         for attempt in attempts {
@@ -91,10 +91,10 @@
         let Some(state) = self.slices.get_mut(&slice) else {
             return;
         };
-        if let Some(busy) = state.busy.get_mut(&key.flow) {
+        if let Some(busy) = state.open_requests.get_mut(&key.flow) {
             *busy = busy.saturating_sub(1);
             if *busy == 0 {
-                state.busy.remove(&key.flow);
+                state.open_requests.remove(&key.flow);
             }
         }
     }
@@ -129,7 +129,7 @@
 
     pub(super) fn schedule_forget(&mut self, now: Instant, slice: id::Slice, key: &Key) {
         let keep = self.keep_time(&key.flow.service);
-        self.schedule(now + keep, Timer::Forget(slice, key.clone()));
+        self.schedule(now + keep, Timer::Expire(slice, key.clone()));
     }
 
     /// How long a record is kept after its request came.
--- a/src/entry/start.rs
+++ b/src/entry/start.rs
@@ -67,9 +67,9 @@
 /// Delays between tries while the store is silent. A tenth of a second at first,
 /// as most outages at the start of an instance are its own; a second at most,
 /// since new flows must follow the store 4 s after it is back.
-const BACKOFF: pacing::Bounds = pacing::Bounds {
-    first: Duration::from_millis(100),
-    most: Duration::from_secs(1),
+const BACKOFF: pacing::BackoffBounds = pacing::BackoffBounds {
+    first_delay: Duration::from_millis(100),
+    max_delay: Duration::from_secs(1),
 };
 
 pub(crate) fn options(settings: &Settings) -> Options {
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -90,19 +90,19 @@
 
 /// The newest notes of one instance.
 #[derive(Debug)]
-pub struct Ring {
+pub struct TraceBuffer {
     max_entries: usize,
     max_bytes: usize,
     store: Mutex<Store>,
 }
 
-impl Default for Ring {
+impl Default for TraceBuffer {
     fn default() -> Self {
         Self::new(DEFAULT_ENTRIES, DEFAULT_BYTES)
     }
 }
 
-impl Ring {
+impl TraceBuffer {
     /// An empty ring with these bounds.
     pub fn new(max_entries: usize, max_bytes: usize) -> Self {
         Self {
--- a/src/http.rs
+++ b/src/http.rs
@@ -47,7 +47,7 @@
 
 async fn metrics(State(shared): Instance) -> impl IntoResponse {
     let (homes, backups, alone) = shared.control().holdings();
-    shared.metrics.set(&metric::Levels {
+    shared.metrics.set(&metric::GaugeValues {
         homes,
         backups,
         alone,
--- a/src/inbox.rs
+++ b/src/inbox.rs
@@ -7,7 +7,7 @@
 
 /// What the control task is told.
 #[derive(Debug)]
-pub(crate) enum Told {
+pub(crate) enum ControlEvent {
     /// From the platform, about one prefix.
     Platform(&'static str, Update),
     /// A peer's sign of life.
@@ -20,5 +20,5 @@
     /// A write of the slice table has ended.
     Written { document: u32, written: WriteResult },
     /// A peer's copies.
-    Pulled(peer::ConfigResponse),
+    PulledEntries(peer::ConfigResponse),
 }
--- a/src/log.rs
+++ b/src/log.rs
@@ -28,10 +28,10 @@
 /// Waits, when it is dropped, until all records are written. Worker threads keep
 /// clones of the logger to the end, so that without it the last lines would be
 /// lost, which are those that tell what a stop has cut off.
-pub struct Flush(#[expect(dead_code, reason = "it acts when it is dropped")] AsyncGuard);
+pub struct LogGuard(#[expect(dead_code, reason = "it acts when it is dropped")] AsyncGuard);
 
 /// Builds the logger and what completes its records.
-pub fn logger(settings: &Log) -> (Logger, Flush) {
+pub fn logger(settings: &Log) -> (Logger, LogGuard) {
     match settings.format {
         Format::Json => {
             let json = slog_json::Json::new(io::stderr())
@@ -53,7 +53,7 @@
 /// # Errors
 ///
 /// Fails when its thread cannot be started.
-pub fn lines(settings: &Log) -> Result<(Logger, Guard)> {
+pub fn stdout_logger(settings: &Log) -> Result<(Logger, Guard)> {
     let (sink, guard) = sink::sink(io::stdout()).map_err(|source| Error::Io {
         step: "start log thread",
         peer: "system".to_owned(),
@@ -72,7 +72,7 @@
     record.module()
 }
 
-fn queued<D>(drain: D, settings: &Log) -> (Logger, Flush)
+fn queued<D>(drain: D, settings: &Log) -> (Logger, LogGuard)
 where
     D: Drain<Ok = (), Err = slog::Never> + Send + 'static,
 {
@@ -80,7 +80,7 @@
         .chan_size(QUEUE)
         .build_with_guard();
     let logger = Logger::root(filtered(queue, settings.clone()).fuse(), o!());
-    (logger, Flush(guard))
+    (logger, LogGuard(guard))
 }
 
 /// Passes on what the settings of a record's module allow.
--- a/src/metric.rs
+++ b/src/metric.rs
@@ -134,7 +134,7 @@
 
 /// What the gauges show.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Levels {
+pub struct GaugeValues {
     /// Slices that this instance is home of.
     pub homes: u32,
     /// Slices that it is backup of.
@@ -259,7 +259,7 @@
     }
 
     /// Sets all gauges.
-    pub fn set(&self, levels: &Levels) {
+    pub fn set(&self, levels: &GaugeValues) {
         let gauges = &self.gauges;
         gauges.homes.set(levels.homes.into());
         gauges.backups.set(levels.backups.into());
--- a/src/pacing.rs
+++ b/src/pacing.rs
@@ -16,17 +16,17 @@
 
 /// Bounds of a backoff.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct BackoffBounds {
     /// Bound of the first delay.
-    pub first: Duration,
+    pub first_delay: Duration,
     /// Bound of every later delay.
-    pub most: Duration,
+    pub max_delay: Duration,
 }
 
 /// State of one row of tries.
 #[derive(Debug)]
 pub struct Backoff {
-    bounds: Bounds,
+    bounds: BackoffBounds,
     current: Duration,
     has_failed: bool,
     random: SmallRng,
@@ -34,10 +34,10 @@
 
 impl Backoff {
     /// A fresh backoff whose delays depend on the seed only.
-    pub fn new(bounds: Bounds, seed: u64) -> Self {
+    pub fn new(bounds: BackoffBounds, seed: u64) -> Self {
         Self {
             bounds,
-            current: bounds.first,
+            current: bounds.first_delay,
             has_failed: false,
             random: SmallRng::seed_from_u64(seed),
         }
@@ -46,14 +46,14 @@
     /// The delay before the next try; its bound doubles each time.
     pub fn next_delay(&mut self) -> Duration {
         self.has_failed = true;
-        let bound = self.current.min(self.bounds.most);
-        self.current = self.current.saturating_mul(2).min(self.bounds.most);
+        let bound = self.current.min(self.bounds.max_delay);
+        self.current = self.current.saturating_mul(2).min(self.bounds.max_delay);
         bound.mul_f64(self.random.random_range(0.0..=1.0))
     }
 
     /// Starts again from the first bound, after a success.
     pub fn reset(&mut self) {
-        self.current = self.bounds.first;
+        self.current = self.bounds.first_delay;
         self.has_failed = false;
     }
 
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -167,7 +167,7 @@
     /// Time for finding out what became of an unanswered write.
     pub resolve_timeout: Duration,
     /// Delays between tries.
-    pub backoff: pacing::Bounds,
+    pub backoff: pacing::BackoffBounds,
     /// Time between the probes of [`follow()`].
     pub probe_interval: Duration,
     /// Allowance of reads, watches included.
@@ -185,9 +185,9 @@
             call_timeout: Duration::from_secs(2),
             connect_timeout: Duration::from_millis(500),
             resolve_timeout: Duration::from_secs(5),
-            backoff: pacing::Bounds {
-                first: Duration::from_millis(100),
-                most: Duration::from_secs(5),
+            backoff: pacing::BackoffBounds {
+                first_delay: Duration::from_millis(100),
+                max_delay: Duration::from_secs(5),
             },
             probe_interval: Duration::from_secs(2),
             read_rate: Rate(200),
--- a/src/query/burn.rs
+++ b/src/query/burn.rs
@@ -27,6 +27,6 @@
         let reason = silence.reason;
         Some(Gap { instance, reason })
     });
-    report.miss(gaps.collect(), members.unlisted);
+    report.add_missing(gaps.collect(), members.unlisted);
     Ok(report)
 }
--- a/src/query/explain.rs
+++ b/src/query/explain.rs
@@ -21,7 +21,7 @@
 
 /// What the instances tell of a caller.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Account {
+pub struct CallerHistory {
     /// The steps, newest first.
     pub steps: Vec<Step>,
     /// Who was not heard from.
@@ -30,7 +30,7 @@
     pub unlisted: Option<String>,
 }
 
-impl Account {
+impl CallerHistory {
     /// Whether every instance was heard, as far as the platform's list goes.
     pub fn is_whole(&self) -> bool {
         self.silent.is_empty() && self.unlisted.is_none()
@@ -46,7 +46,7 @@
     fleet: &Fleet,
     service: &id::Service,
     caller: id::Endpoint,
-) -> Result<Account> {
+) -> Result<CallerHistory> {
     let members = status::known(fleet).await?;
     let path = format!("/explain?service={service}&caller={caller}");
     let gathered = fleet.ask::<Vec<Trace>>(&members, &path).await;
@@ -61,7 +61,7 @@
         })
         .collect();
     steps.sort_by_key(|step| step.trace.age_ms);
-    Ok(Account {
+    Ok(CallerHistory {
         steps,
         silent: gathered.silent,
         unlisted: gathered.unlisted,
--- a/src/record.rs
+++ b/src/record.rs
@@ -23,7 +23,7 @@
 
 /// What a claim leads to once the backup has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Intent {
+pub(crate) enum ClaimFollowUp {
     Forward,
     Refuse { retry_after: u32, reason: Reason },
 }
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// Waiting for the backup to acknowledge the claim; not forwarded.
-    Claiming(Intent),
+    Claiming(ClaimFollowUp),
     /// At one or more servers.
     Sent,
     /// Has its final outcome, kept for copies.
@@ -46,22 +46,22 @@
 pub(crate) struct Record {
     pub(crate) phase: Phase,
     /// As backup, and as its successor: whose claim it is.
-    pub(crate) claimer: Option<id::Holder>,
+    pub(crate) claimed_by: Option<id::Holder>,
     /// Whether a copy of what another home claimed came here, whose sender is to be
     /// told when that home has no time left.
-    pub(crate) is_awaited: bool,
+    pub(crate) has_waiting_sender: bool,
     pub(crate) kind: Kind,
     pub(crate) token: Token,
     pub(crate) confirmable: bool,
     pub(crate) block: BodyBlock,
-    pub(crate) born: Instant,
+    pub(crate) received_at: Instant,
     /// Number of the separate answer, once receipt has been acknowledged.
     pub(crate) separate: Option<u16>,
     /// Separate answers sent so far without a receipt.
     pub(crate) resends: u32,
     pub(crate) sequence: Option<u32>,
     pub(crate) attempts: Vec<id::Attempt>,
-    pub(crate) tried: Vec<id::Server>,
+    pub(crate) tried_servers: Vec<id::Server>,
     /// The caller's datagram, dropped when no sending can follow.
     pub(crate) datagram: Bytes,
 }
@@ -71,18 +71,18 @@
     pub(crate) fn claimed(born: Instant, claimer: id::Holder) -> Self {
         Self {
             phase: Phase::Claimed,
-            claimer: Some(claimer),
-            is_awaited: false,
+            claimed_by: Some(claimer),
+            has_waiting_sender: false,
             kind: Kind::NonIdempotent,
             token: Token(0),
             confirmable: true,
             block: BodyBlock::default(),
-            born,
+            received_at: born,
             separate: None,
             resends: 0,
             sequence: None,
             attempts: Vec::new(),
-            tried: Vec::new(),
+            tried_servers: Vec::new(),
             datagram: Bytes::new(),
         }
     }
@@ -133,15 +133,15 @@
     /// Servers that failed to take the feed since it was last heard.
     pub(crate) failed: Vec<id::Server>,
     pub(crate) sequence: u32,
-    pub(crate) heard: Instant,
+    pub(crate) last_notification: Instant,
     /// When the caller last showed that it is there.
     pub(crate) confirmed: Instant,
     /// Confirmable notifications without a receipt.
     pub(crate) unconfirmed: u32,
     /// When it is looked after next; a timer for another time is outdated.
-    pub(crate) due: Instant,
+    pub(crate) next_check: Instant,
     /// As a copy: number of the replication step that brought it.
-    pub(crate) stamp: u64,
+    pub(crate) replication_step: u64,
 }
 
 /// What this instance is for a slice.
@@ -168,12 +168,12 @@
 pub(crate) struct Replica {
     pub(crate) holder: id::Holder,
     /// Whether the table names it.
-    pub(crate) installed: bool,
+    pub(crate) is_in_table: bool,
     /// Whether the control task was told that it has everything.
     pub(crate) complete: bool,
     pub(crate) pending: BTreeMap<u64, Pending>,
     /// Number of the last step of the first copy.
-    pub(crate) copied: u64,
+    pub(crate) initial_copy_end: u64,
 }
 
 /// The server that holds the parts of a larger body.
@@ -192,16 +192,16 @@
     pub(crate) role: Role,
     pub(crate) epoch: id::Epoch,
     /// As backup: the greatest epoch under which a home has replicated to us.
-    pub(crate) seen: id::Epoch,
+    pub(crate) replicated_epoch: id::Epoch,
     /// Since when the slice is known to have lost its records.
-    pub(crate) blank_since: Option<Instant>,
+    pub(crate) records_lost_since: Option<Instant>,
     pub(crate) replica: Option<Replica>,
     pub(crate) records: HashMap<Key, Record>,
     pub(crate) feeds: BTreeMap<FeedKey, Feed>,
     /// Servers that hold parts of larger bodies, by the bodies' names.
     pub(crate) pins: HashMap<(Flow, u64), Pin>,
     /// Open requests by flow.
-    pub(crate) busy: HashMap<Flow, u32>,
+    pub(crate) open_requests: HashMap<Flow, u32>,
 }
 
 /// What a sending was for.
@@ -213,7 +213,7 @@
 
 /// A sending whose answer is still of use.
 #[derive(Clone, Debug)]
-pub(crate) struct Sending {
+pub(crate) struct SentAttempt {
     pub(crate) slice: id::Slice,
     pub(crate) purpose: Purpose,
     pub(crate) server: Arc<Server>,
@@ -222,7 +222,7 @@
 
 /// A request on its way to whoever decides for it.
 #[derive(Clone, Debug)]
-pub(crate) struct Arrival {
+pub(crate) struct IncomingRequest {
     pub(crate) request: Request,
     /// Relays so far.
     pub(crate) hops: u32,
@@ -242,15 +242,15 @@
     /// The separate answer has no receipt.
     Resend(id::Slice, Key),
     /// The record is not needed any more.
-    Forget(id::Slice, Key),
+    Expire(id::Slice, Key),
     /// Look after the feed.
     Feed(id::Slice, FeedKey),
     /// Offer the slice's feeds to its home once more.
-    Return(id::Slice),
+    OfferFeeds(id::Slice),
 }
 
 /// Non-idempotent requests that wait for their slices to get a home.
-pub(crate) type Park = VecDeque<Arrival>;
+pub(crate) type ParkedRequests = VecDeque<IncomingRequest>;
 
 /// A separate answer that waits for its receipt, by message number.
-pub(crate) type Receipts = HashMap<(Flow, u16), Id>;
+pub(crate) type UnacknowledgedAnswers = HashMap<(Flow, u16), Id>;
--- a/src/render.rs
+++ b/src/render.rs
@@ -25,7 +25,7 @@
 use crate::id;
 use crate::query::departure::Departure;
 use crate::query::evacuation::Evacuation;
-use crate::query::explain::Account;
+use crate::query::explain::CallerHistory;
 use crate::query::profile::Diff;
 use crate::query::profile::fields;
 use crate::query::rollout::Rollout;
@@ -477,7 +477,7 @@
 }
 
 /// What was done for a caller.
-pub fn account(account: &Account) -> String {
+pub fn account(account: &CallerHistory) -> String {
     let mut table = new([
         "age", "instance", "reason", "request", "slice", "epoch", "revision", "server", "took",
     ]);
--- a/src/replica/follow/search.rs
+++ b/src/replica/follow/search.rs
@@ -22,7 +22,7 @@
 use tokio::time;
 use tokio::time::Instant;
 
-use crate::pacing::Bounds;
+use crate::pacing::BackoffBounds;
 use crate::replica::Member;
 use crate::replica::subscribe::Report;
 use crate::replica::subscribe::Subscription;
@@ -38,9 +38,9 @@
 /// Pauses before one that gave nothing is asked again: at first half of what a caller waits
 /// before it repeats its first packet, and so much at most that a seed that is gone for
 /// good fills no log.
-const RETRY: Bounds = Bounds {
-    first: Duration::from_millis(100),
-    most: Duration::from_millis(400),
+const RETRY: BackoffBounds = BackoffBounds {
+    first_delay: Duration::from_millis(100),
+    max_delay: Duration::from_millis(400),
 };
 
 /// A search for a copy.
@@ -101,17 +101,17 @@
 pub(super) async fn await_copy(
     peer: SocketAddrV4,
     me: &Member,
-    retry: Bounds,
+    retry: BackoffBounds,
     log: &Logger,
 ) -> Report {
-    let mut pause = retry.first;
+    let mut pause = retry.first_delay;
     loop {
         match ask_for_copy(peer, me).await {
             Ok(report) => return report,
             Err(error) => info!(log, "no copy from another instance"; "error" => %error),
         }
         time::sleep(pause).await;
-        pause = (pause * 2).min(retry.most);
+        pause = (pause * 2).min(retry.max_delay);
     }
 }
 
--- a/src/replica/follow/start.rs
+++ b/src/replica/follow/start.rs
@@ -18,7 +18,7 @@
 use tokio::time;
 use tokio::time::Instant;
 
-use crate::pacing::Bounds;
+use crate::pacing::BackoffBounds;
 use crate::replica::Member;
 use crate::replica::follow::End;
 use crate::replica::follow::Follower;
@@ -34,9 +34,9 @@
 
 /// Pause before an instance that does not answer yet is asked for a copy again; the store
 /// is read beside it, so that this does not go on for long.
-const RETRY: Bounds = Bounds {
-    first: Duration::from_millis(25),
-    most: Duration::from_millis(25),
+const RETRY: BackoffBounds = BackoffBounds {
+    first_delay: Duration::from_millis(25),
+    max_delay: Duration::from_millis(25),
 };
 
 /// Where an instance that starts gets its first copy.
--- a/src/shared.rs
+++ b/src/shared.rs
@@ -16,7 +16,7 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use crate::burn::Ledger;
+use crate::burn::BurnCounter;
 use crate::config::Config;
 use crate::control::SlicePlanner;
 use crate::explain;
@@ -37,8 +37,8 @@
     pub(crate) outputs: Arc<Outputs>,
     pub(crate) link: Arc<Link>,
     pub(crate) metrics: Arc<Metrics>,
-    pub(crate) ring: Arc<explain::Ring>,
-    pub(crate) ledger: Arc<Mutex<Ledger>>,
+    pub(crate) ring: Arc<explain::TraceBuffer>,
+    pub(crate) ledger: Arc<Mutex<BurnCounter>>,
     pub(crate) ready: AtomicBool,
     closing: CancellationToken,
     tasks: TaskTracker,
@@ -55,8 +55,8 @@
     pub(crate) outputs: Arc<Outputs>,
     pub(crate) link: Arc<Link>,
     pub(crate) metrics: Arc<Metrics>,
-    pub(crate) ring: Arc<explain::Ring>,
-    pub(crate) ledger: Arc<Mutex<Ledger>>,
+    pub(crate) ring: Arc<explain::TraceBuffer>,
+    pub(crate) ledger: Arc<Mutex<BurnCounter>>,
     pub(crate) control: SlicePlanner,
 }
 
--- a/src/steer.rs
+++ b/src/steer.rs
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 use tokio::time::MissedTickBehavior;
 
-use crate::config::OURS;
+use crate::config::KEY_PREFIX;
 use crate::config::SERVERS;
 use crate::control::Command;
 use crate::control::INSTANCES;
@@ -28,7 +28,7 @@
 use crate::edge;
 use crate::event::Event;
 use crate::id;
-use crate::inbox::Told;
+use crate::inbox::ControlEvent;
 use crate::peer;
 use crate::peer::PeerMessage;
 use crate::platform;
@@ -49,7 +49,7 @@
 pub(crate) struct ControlTask {
     shared: Arc<Shared>,
     client: Client,
-    told: UnboundedSender<Told>,
+    told: UnboundedSender<ControlEvent>,
     registration: watch::Sender<Registration>,
     stopping: watch::Receiver<bool>,
     loads: HashMap<id::Instance, peer::Loads>,
@@ -63,7 +63,7 @@
     pub(crate) fn new(
         shared: Arc<Shared>,
         client: Client,
-        told: UnboundedSender<Told>,
+        told: UnboundedSender<ControlEvent>,
         registration: watch::Sender<Registration>,
         stopping: watch::Receiver<bool>,
     ) -> Self {
@@ -84,7 +84,7 @@
     /// Runs until the daemon ends.
     pub(crate) async fn run(
         mut self,
-        mut told: UnboundedReceiver<Told>,
+        mut told: UnboundedReceiver<ControlEvent>,
         mut joined: UnboundedReceiver<crate::worker::SyncedBackup>,
     ) {
         let mut plan = tokio::time::interval(PLAN_EVERY);
@@ -103,17 +103,17 @@
         }
     }
 
-    fn take(&mut self, told: Told) {
+    fn take(&mut self, told: ControlEvent) {
         let now = Instant::now();
         match told {
-            Told::Platform(prefix, update) => self.take_update(now, prefix, update),
-            Told::Heartbeat { from, message } => self.take_heartbeat(now, &from, message),
-            Told::Yield { from, slices } => self.shared.control().takeover_requested(now, &from, &slices),
-            Told::Written { document, written } => {
+            ControlEvent::Platform(prefix, update) => self.take_update(now, prefix, update),
+            ControlEvent::Heartbeat { from, message } => self.take_heartbeat(now, &from, message),
+            ControlEvent::Yield { from, slices } => self.shared.control().takeover_requested(now, &from, &slices),
+            ControlEvent::Written { document, written } => {
                 self.shared.control().write_finished(now, document, written);
                 self.plan();
             }
-            Told::Pulled(push) => self.take_copies(now, push),
+            ControlEvent::PulledEntries(push) => self.take_copies(now, push),
         }
     }
 
@@ -126,10 +126,10 @@
             } => {
                 let keep: BTreeSet<&str> = entries.iter().map(|e| e.key.as_str()).collect();
                 let mut config = self.shared.config();
-                config.told(prefix, revision);
+                config.mark_synced(prefix, revision);
                 config.retain(prefix, &keep);
                 drop(config);
-                if prefix == OURS {
+                if prefix == KEY_PREFIX {
                     self.shared.control().retain(&keep);
                 }
                 self.contact(prefix, at);
@@ -139,11 +139,11 @@
                 self.changed = true;
             }
             Update::Change(change) => {
-                self.shared.config().told(prefix, change.mod_revision());
+                self.shared.config().mark_synced(prefix, change.mod_revision());
                 self.take_change(now, &change);
             }
             Update::Silent { .. } => {
-                if prefix == OURS {
+                if prefix == KEY_PREFIX {
                     warn!(self.shared.log, "platform does not answer");
                     self.shared.control().lose_contact();
                 }
@@ -178,7 +178,7 @@
     }
 
     fn contact(&self, prefix: &str, at: Instant) {
-        if prefix == OURS {
+        if prefix == KEY_PREFIX {
             self.shared.control().contact(at);
         }
     }
@@ -344,7 +344,7 @@
                 Ok(ResolvedWrite::Unknown) => WriteResult::Unknown,
                 Err(_) => WriteResult::Lost(None),
             };
-            let _ = told.send(Told::Written { document, written });
+            let _ = told.send(ControlEvent::Written { document, written });
         });
     }
 }
@@ -367,15 +367,15 @@
 }
 
 /// Prefixes of the platform that are followed.
-pub(crate) const WATCHED_PREFIXES: [&str; 2] = [OURS, SERVERS];
+pub(crate) const WATCHED_PREFIXES: [&str; 2] = [KEY_PREFIX, SERVERS];
 
 /// Passes on what a follower tells.
-pub(crate) async fn follow(client: Client, prefix: &'static str, told: UnboundedSender<Told>) {
+pub(crate) async fn follow(client: Client, prefix: &'static str, told: UnboundedSender<ControlEvent>) {
     const QUEUE: usize = 1_024;
     let (sender, mut receiver) = tokio::sync::mpsc::channel(QUEUE);
     let pass_on = async {
         while let Some(update) = receiver.recv().await {
-            if told.send(Told::Platform(prefix, update)).is_err() {
+            if told.send(ControlEvent::Platform(prefix, update)).is_err() {
                 return;
             }
         }
--- a/src/steer/heartbeat.rs
+++ b/src/steer/heartbeat.rs
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 use crate::id;
-use crate::inbox::Told;
+use crate::inbox::ControlEvent;
 use crate::peer;
 use crate::peer::PeerMessage;
 use crate::steer::ControlTask;
@@ -92,7 +92,7 @@
         self.shared.spawn(async move {
             match link.pull(address.0, peer::ConfigRequest { known_versions: have }).await {
                 Ok(push) => {
-                    let _ = told.send(Told::Pulled(push));
+                    let _ = told.send(ControlEvent::PulledEntries(push));
                 }
                 Err(error) => debug!(log, "no copies"; "error" => %error),
             }
--- a/src/table.rs
+++ b/src/table.rs
@@ -31,7 +31,7 @@
     pub backup: Option<id::Holder>,
     /// Whether the home took the slice over without its records.
     #[serde(rename = "x", default, skip_serializing_if = "std::ops::Not::not")]
-    pub blank: bool,
+    pub records_lost: bool,
 }
 
 impl Row {
@@ -103,7 +103,7 @@
     }
 
     /// Takes a row if its epoch is greater; tells whether it did.
-    pub fn advance(&mut self, slice: id::Slice, row: Row) -> bool {
+    pub fn update_if_newer(&mut self, slice: id::Slice, row: Row) -> bool {
         let Some(known) = self.rows.get_mut(slice.0 as usize) else {
             return false;
         };
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -263,7 +263,7 @@
             let actions = engine.handle(now, event);
             let rejected = actions.iter().any(|a| matches!(a, Action::Reject { .. }));
             if let Some(message) = acknowledge.filter(|_| !rejected) {
-                let receipt = codec::write_receipt(message);
+                let receipt = codec::write_server_acknowledgement(message);
                 let _ = outputs.server_sockets[path].send_to(&receipt, from.0);
             }
             act(now, actions, outputs);
@@ -310,7 +310,7 @@
             sequence,
             outcome,
         } => {
-            let address = codec::Address {
+            let address = codec::AnswerHeader {
                 id,
                 token,
                 confirmable,
--- a/tests/adapter/mod.rs
+++ b/tests/adapter/mod.rs
@@ -370,7 +370,7 @@
 fn table(rows: Vec<Row>) -> Table {
     let mut table = Table::new(rows.len() as u32);
     for (slice, row) in rows.into_iter().enumerate() {
-        table.advance(id::Slice(slice as u32), row);
+        table.update_if_newer(id::Slice(slice as u32), row);
     }
     table
 }
--- a/tests/burn.rs
+++ b/tests/burn.rs
@@ -10,8 +10,8 @@
 use godwitreel::burn;
 use godwitreel::burn::Count;
 use godwitreel::burn::Gap;
-use godwitreel::burn::Ledger;
-use godwitreel::burn::Mark;
+use godwitreel::burn::BurnCounter;
+use godwitreel::burn::EventClass;
 use godwitreel::burn::Rate;
 use godwitreel::burn::Report;
 use godwitreel::burn::Sample;
@@ -43,8 +43,8 @@
     text.parse().expect("a holder")
 }
 
-fn ledger(start: Instant) -> Ledger {
-    let mut ledger = Ledger::new(holder("e1#1"), start);
+fn ledger(start: Instant) -> BurnCounter {
+    let mut ledger = BurnCounter::new(holder("e1#1"), start);
     ledger.configure(&BTreeMap::from([(service("booking"), OBJECTIVE)]));
     ledger
 }
@@ -90,15 +90,15 @@
     let answered = Outcome::Answered(bytes::Bytes::new());
     let not_run = Outcome::NotRun { retry_after: 2 };
     let (limit, late) = (Duration::from_millis(500), Duration::from_millis(501));
-    assert_eq!(burn::classify(&answered, limit, &OBJECTIVE), Mark::Good);
-    assert_eq!(burn::classify(&answered, late, &OBJECTIVE), Mark::Bad);
+    assert_eq!(burn::classify(&answered, limit, &OBJECTIVE), EventClass::Good);
+    assert_eq!(burn::classify(&answered, late, &OBJECTIVE), EventClass::Bad);
     assert_eq!(
         burn::classify(&not_run, Duration::ZERO, &OBJECTIVE),
-        Mark::Bad
+        EventClass::Bad
     );
     assert_eq!(
         burn::classify(&Outcome::Unknown, Duration::ZERO, &OBJECTIVE),
-        Mark::Bad
+        EventClass::Bad
     );
 }
 
@@ -309,17 +309,17 @@
         Report::merge(&[sample("bole-1#1", 1, OBJECTIVE, counts)], Vec::new())
     };
     let mut report = whole();
-    report.miss(Vec::new(), None);
+    report.add_missing(Vec::new(), None);
     assert_eq!(
         (line(&report).verdict, report.is_whole()),
         (Verdict::Ok, true)
     );
-    report.miss(vec![gap("kality-1")], None);
+    report.add_missing(vec![gap("kality-1")], None);
     assert_eq!(line(&report).verdict, Verdict::UnknownGap);
     assert_eq!(report.worst(), Verdict::UnknownGap);
     assert!(!report.is_whole());
     let mut report = whole();
-    report.miss(Vec::new(), Some("platform: no answer".to_owned()));
+    report.add_missing(Vec::new(), Some("platform: no answer".to_owned()));
     assert_eq!(line(&report).verdict, Verdict::UnknownGap);
     assert!(!report.is_whole());
     assert!(
--- a/tests/decoders.rs
+++ b/tests/decoders.rs
@@ -353,8 +353,8 @@
             let slice = id::Slice(slice);
             let epoch = self.table.row(slice).epoch.0 + raise;
             let mut row = row(epoch, home, backup);
-            row.blank = raise > 1;
-            self.table.advance(slice, row);
+            row.records_lost = raise > 1;
+            self.table.update_if_newer(slice, row);
         }
         Event::Table(Arc::new(self.table.clone()))
     }
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -6,7 +6,7 @@
 use godwitreel::action::TraceEvent;
 use godwitreel::explain::Context;
 use godwitreel::explain::MAX_TRACES;
-use godwitreel::explain::Ring;
+use godwitreel::explain::TraceBuffer;
 use godwitreel::id;
 use godwitreel::reason::Reason;
 use godwitreel::request;
@@ -31,7 +31,7 @@
 
 #[test]
 fn traces_are_those_of_the_flow_newest_first() {
-    let ring = Ring::default();
+    let ring = TraceBuffer::default();
     let start = Instant::now();
     let mine = flow("dispatch", 1);
     let context = Context {
@@ -74,7 +74,7 @@
 
 #[test]
 fn the_oldest_go_first_when_there_are_too_many() {
-    let ring = Ring::new(2, NO_LIMIT);
+    let ring = TraceBuffer::new(2, NO_LIMIT);
     let now = Instant::now();
     let mine = flow("dispatch", 1);
     for reason in [Reason::Claimed, Reason::Forwarded, Reason::Answered] {
@@ -94,17 +94,17 @@
 fn bytes_are_bounded_and_given_back() {
     let now = Instant::now();
     let mine = flow("dispatch", 1);
-    let single = Ring::default();
+    let single = TraceBuffer::default();
     single.record(now, note(Reason::Answered, &mine), Context::default());
     let size = single.bytes();
-    let ring = Ring::new(NO_LIMIT, 3 * size);
+    let ring = TraceBuffer::new(NO_LIMIT, 3 * size);
     for _ in 0..10 {
         ring.record(now, note(Reason::Answered, &mine), Context::default());
     }
     assert_eq!(ring.len(), 3);
     assert_eq!(ring.bytes(), 3 * size);
 
-    let tight = Ring::new(NO_LIMIT, size - 1);
+    let tight = TraceBuffer::new(NO_LIMIT, size - 1);
     tight.record(now, note(Reason::Answered, &mine), Context::default());
     assert!(tight.is_empty());
     assert_eq!(tight.bytes(), 0);
@@ -112,7 +112,7 @@
 
 #[test]
 fn notes_without_a_flow_are_left_out() {
-    let ring = Ring::default();
+    let ring = TraceBuffer::default();
     ring.record(
         Instant::now(),
         TraceEvent::new(Reason::HomeGained),
@@ -123,7 +123,7 @@
 
 #[test]
 fn many_threads_record_and_ask_at_once() {
-    let ring = Arc::new(Ring::new(1_500, NO_LIMIT));
+    let ring = Arc::new(TraceBuffer::new(1_500, NO_LIMIT));
     let now = Instant::now();
     let mine = flow("dispatch", 1);
     std::thread::scope(|scope| {
--- a/tests/lab/mod.rs
+++ b/tests/lab/mod.rs
@@ -117,14 +117,14 @@
         epoch: id::Epoch(epoch),
         home: home.cloned(),
         backup: backup.cloned(),
-        blank: false,
+        records_lost: false,
     }
 }
 
 /// A table of one slice.
 pub(crate) fn table(row: Row) -> Event {
     let mut table = Table::new(1);
-    table.advance(id::Slice(0), row);
+    table.update_if_newer(id::Slice(0), row);
     Event::Table(Arc::new(table))
 }
 
--- a/tests/level.rs
+++ b/tests/level.rs
@@ -27,7 +27,7 @@
         epoch: id::Epoch(1),
         home: Some(holder("bole-1#1")),
         backup: Some(holder("kality-1#1")),
-        blank: false,
+        records_lost: false,
     };
     with_rows(now, vec![row; slices])
 }
@@ -124,7 +124,7 @@
         epoch: id::Epoch(1),
         home: Some(holder(home)),
         backup: Some(holder(backup)),
-        blank: false,
+        records_lost: false,
     };
     let mut rows = vec![row("bole-1#1", "kality-1#1"); 32];
     rows.extend(vec![row("kality-1#1", "bole-1#1"); 16]);
@@ -207,7 +207,7 @@
         epoch: id::Epoch(1),
         home: Some(holder("bole-1#1")),
         backup: None,
-        blank: false,
+        records_lost: false,
     };
     let mut control = with_rows(now, vec![row]);
     let mut version = 1;
--- a/tests/metric.rs
+++ b/tests/metric.rs
@@ -6,7 +6,7 @@
 
 use godwitreel::action::TraceEvent;
 use godwitreel::metric::Direction;
-use godwitreel::metric::Levels;
+use godwitreel::metric::GaugeValues;
 use godwitreel::metric::MAX_SERVICES;
 use godwitreel::metric::Metrics;
 use godwitreel::metric::NAMES;
@@ -58,7 +58,7 @@
     metrics.peer_message("heartbeat", Direction::Sent, 120);
     metrics.peer_message("heartbeat", Direction::Sent, 30);
     metrics.peer_message("relay", Direction::Received, 900);
-    metrics.set(&Levels {
+    metrics.set(&GaugeValues {
         homes: 128,
         backups: 127,
         alone: 1,
--- a/tests/moves.rs
+++ b/tests/moves.rs
@@ -75,9 +75,9 @@
         epoch: id::Epoch(epoch),
         home: Some(holder(home)),
         backup: backup.map(holder),
-        blank,
+        records_lost: blank,
     };
-    table.advance(SLICE, row);
+    table.update_if_newer(SLICE, row);
     Event::Table(Arc::new(table))
 }
 
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -103,7 +103,7 @@
         home: Some(me),
         ..Row::default()
     };
-    table.advance(id::Slice(0), row);
+    table.update_if_newer(id::Slice(0), row);
     engine.handle(now, Event::Table(Arc::new(table)));
     engine
 }
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -15,7 +15,7 @@
 use godwitreel::Error;
 use godwitreel::gateway;
 use godwitreel::pacing::Backoff;
-use godwitreel::pacing::Bounds;
+use godwitreel::pacing::BackoffBounds;
 use godwitreel::platform;
 use godwitreel::platform::Change;
 use godwitreel::platform::Client;
@@ -42,9 +42,9 @@
         call_timeout: Duration::from_secs(2),
         connect_timeout: Duration::from_secs(1),
         resolve_timeout: PATIENCE,
-        backoff: Bounds {
-            first: Duration::from_millis(20),
-            most: Duration::from_millis(100),
+        backoff: BackoffBounds {
+            first_delay: Duration::from_millis(20),
+            max_delay: Duration::from_millis(100),
         },
         probe_interval: Duration::from_millis(50),
         read_rate: Rate(10_000),
@@ -532,14 +532,14 @@
 
     #[test]
     fn delays_stay_inside_their_bounds(seed in any::<u64>(), tries in 1_usize..200) {
-        let bounds = Bounds { first: Duration::from_millis(100), most: Duration::from_secs(5) };
+        let bounds = BackoffBounds { first_delay: Duration::from_millis(100), max_delay: Duration::from_secs(5) };
         let delays = |seed| {
             let mut backoff = Backoff::new(bounds, seed);
             (0..tries).map(|_| backoff.next_delay()).collect::<Vec<_>>()
         };
         let drawn = delays(seed);
-        assert!(drawn[0] <= bounds.first);
-        assert!(drawn.iter().all(|delay| *delay <= bounds.most));
+        assert!(drawn[0] <= bounds.first_delay);
+        assert!(drawn.iter().all(|delay| *delay <= bounds.max_delay));
         assert_eq!(drawn, delays(seed));
     }
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -213,9 +213,9 @@
             epoch: id::Epoch(1),
             home: Some(me),
             backup: None,
-            blank: false,
+            records_lost: false,
         };
-        table.advance(id::Slice(0), row);
+        table.update_if_newer(id::Slice(0), row);
         engine.handle(now, Event::Table(Arc::new(table)));
         Self {
             engine,
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -43,7 +43,7 @@
 use crate::lab::view;
 
 fn blank(row: Row) -> Row {
-    Row { blank: true, ..row }
+    Row { records_lost: true, ..row }
 }
 
 /// The caller booked at a home that is gone with its records, and its copy comes
@@ -537,7 +537,7 @@
     lab.store(row(1, Some(&a), Some(&b)));
     lab.control.set_leaving(true);
     let row = written(&lab.run(SUSPECT * 3, &[])).expect("a promotion");
-    assert!(row.is_home(&b) && row.epoch.0 == 2 && !row.blank);
+    assert!(row.is_home(&b) && row.epoch.0 == 2 && !row.records_lost);
 }
 
 /// Shortly after its start an instance has heard nobody yet; that does not make
@@ -580,7 +580,7 @@
         "contact was broken"
     );
     let row = written(&lab.run(secs(3), &[])).expect("a takeover");
-    assert!(row.is_home(&c) && row.blank);
+    assert!(row.is_home(&c) && row.records_lost);
 }
 
 /// An outsider was frozen for most of its wait. The home may have registered again
@@ -740,7 +740,7 @@
     lab.store(blank(row(1, Some(&a), Some(&b))));
     assert_eq!(written(&lab.run(secs(599), &[&b])), None);
     let row = written(&lab.run(secs(2), &[&b])).expect("a write");
-    assert!(!row.blank && row.is_backup(&b) && row.is_home(&a));
+    assert!(!row.records_lost && row.is_backup(&b) && row.is_home(&a));
 }
 
 /// Somebody who is not home asks for a slice to be taken over: nothing happens.
