--- a/benches/core.rs
+++ b/benches/core.rs
@@ -184,7 +184,9 @@
                     next += 1;
                     Event::Peer {
                         from: fixture::holder("b"),
-                        body: peer::PeerMessage::ReplicationStep(fixture::claim_step(&backup, next)),
+                        body: peer::PeerMessage::ReplicationStep(fixture::claim_step(
+                            &backup, next,
+                        )),
                     }
                 });
                 let events = events.collect();
--- a/examples/policy/world/caller.rs
+++ b/examples/policy/world/caller.rs
@@ -4,11 +4,11 @@
 
 use bytes::Bytes;
 use godwitreel::event::Event;
+use godwitreel::request::BodyBlock;
 use godwitreel::request::Flow;
 use godwitreel::request::Id;
 use godwitreel::request::Kind;
 use godwitreel::request::Outcome;
-use godwitreel::request::BodyBlock;
 use godwitreel::request::Receipt;
 use godwitreel::request::Request;
 use godwitreel::request::Token;
@@ -51,7 +51,11 @@
         let wait = -self.rng.random::<f64>().max(1e-12).ln() / rate;
         self.after(wait, What::Arrival);
         let once = self.rng.random::<f64>() < self.plan.once;
-        let kind = if once { Kind::NonIdempotent } else { Kind::Idempotent };
+        let kind = if once {
+            Kind::NonIdempotent
+        } else {
+            Kind::Idempotent
+        };
         let caller = 1_000_000 + self.rng.random_range(0..5_000);
         self.call(caller, kind, self.now, 0);
     }
@@ -145,7 +149,8 @@
                     };
                     self.watchers.insert(number, watcher);
                 } else if count {
-                    self.measure.answered(now - wanted, kind.is_non_idempotent());
+                    self.measure
+                        .answered(now - wanted, kind.is_non_idempotent());
                 }
             }
             Outcome::NotRun { retry_after } => {
--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -428,7 +428,12 @@
     let core = Core::new("a", "b", 0);
     let loads: Vec<(f64, f64)> = [0, 8, 16, 32]
         .iter()
-        .map(|loads| (*loads as f64, frame(PeerMessage::Heartbeat(heartbeat(1, *loads)))))
+        .map(|loads| {
+            (
+                *loads as f64,
+                frame(PeerMessage::Heartbeat(heartbeat(1, *loads))),
+            )
+        })
         .collect();
     fit::report("heartbeat frame", "bytes by loads", &loads);
     let rows: Vec<(f64, f64)> = [64, 128, 256, 1_024]
@@ -447,7 +452,8 @@
         [1_000, 2_000, 5_000, 10_000]
             .iter()
             .map(|count| {
-                let steps = (0..*count).map(|number| frame(PeerMessage::ReplicationStep(step(&core, number))));
+                let steps = (0..*count)
+                    .map(|number| frame(PeerMessage::ReplicationStep(step(&core, number))));
                 let acknowledgement = frame(PeerMessage::ReplicationAck(peer::ReplicationAck {
                     slice: 1_000,
                     epoch: 3,
@@ -476,7 +482,9 @@
             let slices = (0..*count).collect();
             (
                 f64::from(*count),
-                frame(PeerMessage::TakeoverRequest(peer::TakeoverRequest { slices })),
+                frame(PeerMessage::TakeoverRequest(peer::TakeoverRequest {
+                    slices,
+                })),
             )
         })
         .collect();
@@ -490,7 +498,12 @@
                 modified: entry.mod_revision,
             });
             let have = have.collect();
-            (*servers as f64, frame(PeerMessage::ConfigRequest(peer::ConfigRequest { known_versions: have })))
+            (
+                *servers as f64,
+                frame(PeerMessage::ConfigRequest(peer::ConfigRequest {
+                    known_versions: have,
+                })),
+            )
         })
         .collect();
     fit::report(
--- a/src/burn.rs
+++ b/src/burn.rs
@@ -222,7 +222,11 @@
             return;
         };
         let late = elapsed > Duration::from_millis(account.objective.latency_ms);
-        let mark = if late { EventClass::Bad } else { EventClass::Good };
+        let mark = if late {
+            EventClass::Bad
+        } else {
+            EventClass::Good
+        };
         self.add(now, service, mark);
     }
 
--- a/src/control/plan.rs
+++ b/src/control/plan.rs
@@ -11,8 +11,8 @@
 use tokio::time::Instant;
 
 use super::Command;
-use super::SlicePlanner;
 use super::Joining;
+use super::SlicePlanner;
 use crate::id;
 use crate::peer::member::Member;
 use crate::peer::member::MembershipView;
--- a/src/edge.rs
+++ b/src/edge.rs
@@ -193,7 +193,10 @@
             let slices = message.slices;
             let _ = told.send(ControlEvent::Yield { from, slices });
         }
-        body @ (PeerMessage::ReplicationStep(_) | PeerMessage::ReplicationAck(_) | PeerMessage::FinalOutcome(_) | PeerMessage::FeedTransfer(_)) => {
+        body @ (PeerMessage::ReplicationStep(_)
+        | PeerMessage::ReplicationAck(_)
+        | PeerMessage::FinalOutcome(_)
+        | PeerMessage::FeedTransfer(_)) => {
             if let Some(slice) = slice_of(&body) {
                 shared.pool.enqueue(slice, Event::Peer { from, body });
             }
--- a/src/engine/feed.rs
+++ b/src/engine/feed.rs
@@ -468,7 +468,15 @@
             return Some(Arc::clone(server));
         }
         let zone = &self.settings.zone;
-        balance::choose(service, flow, WorkKind::Feed, zone, failed, now, &mut self.rng)
+        balance::choose(
+            service,
+            flow,
+            WorkKind::Feed,
+            zone,
+            failed,
+            now,
+            &mut self.rng,
+        )
     }
 
     /// No server takes the feed now: wait, and in the end tell the caller, who
@@ -494,7 +502,10 @@
         let (true, Some(service)) = (tends, service) else {
             // Another looks after it, or nobody can for now. If that changes back,
             // its silence must be noticed again.
-            if self.feed(slice, key).is_some_and(|feed| feed.next_check <= now) {
+            if self
+                .feed(slice, key)
+                .is_some_and(|feed| feed.next_check <= now)
+            {
                 self.look_at(now + silence, slice, key);
             }
             return;
--- a/src/engine/inbound.rs
+++ b/src/engine/inbound.rs
@@ -12,8 +12,8 @@
 use crate::id;
 use crate::peer;
 use crate::reason::Reason;
-use crate::record::IncomingRequest;
 use crate::record::ClaimFollowUp;
+use crate::record::IncomingRequest;
 use crate::record::ParkedRequests;
 use crate::record::Phase;
 use crate::record::Record;
@@ -83,7 +83,9 @@
             Route::Here => self.serve(now, slice, &service, arrival),
             // Two tables that are late name each other for a moment. A request
             // that nothing repeats waits here for the next table.
-            Route::To(_) if arrival.hops >= MAX_HOPS && arrival.request.kind.is_non_idempotent() => {
+            Route::To(_)
+                if arrival.hops >= MAX_HOPS && arrival.request.kind.is_non_idempotent() =>
+            {
                 self.wait(arrival);
             }
             Route::To(holder) => {
@@ -249,7 +251,13 @@
         });
     }
 
-    fn serve(&mut self, now: Instant, slice: id::Slice, service: &Service, arrival: IncomingRequest) {
+    fn serve(
+        &mut self,
+        now: Instant,
+        slice: id::Slice,
+        service: &Service,
+        arrival: IncomingRequest,
+    ) {
         let key = arrival.request.key();
         let state = self.slices.entry(slice).or_default();
         if state.records.contains_key(&key) {
@@ -335,9 +343,18 @@
         self.schedule(due, Timer::Deadline(slice, key.clone()));
     }
 
-    fn admit_once(&mut self, now: Instant, slice: id::Slice, service: &Service, arrival: IncomingRequest) {
+    fn admit_once(
+        &mut self,
+        now: Instant,
+        slice: id::Slice,
+        service: &Service,
+        arrival: IncomingRequest,
+    ) {
         let IncomingRequest { request, since, .. } = arrival;
-        let blank = self.slices.get(&slice).and_then(|state| state.records_lost_since);
+        let blank = self
+            .slices
+            .get(&slice)
+            .and_then(|state| state.records_lost_since);
         if !self.members.has_authority(now) {
             self.turn_away(&request, Outcome::Unknown, Reason::UnknownAuthority);
             return;
--- a/src/engine/outbound.rs
+++ b/src/engine/outbound.rs
@@ -178,7 +178,9 @@
             attempt,
             used: now,
         };
-        state.pins.insert((key.flow.clone(), record.block.body_id), pin);
+        state
+            .pins
+            .insert((key.flow.clone(), record.block.body_id), pin);
     }
 
     /// Forgets the servers of bodies that were given up.
--- a/src/engine/ownership.rs
+++ b/src/engine/ownership.rs
@@ -74,7 +74,10 @@
         // Every instance counts the window from when it first sees the takeover,
         // so that a planned move does not begin it anew: each one would cost the
         // callers another copy lifetime of unknown outcomes.
-        let since = state.records_lost_since.filter(|_| continued).unwrap_or(now);
+        let since = state
+            .records_lost_since
+            .filter(|_| continued)
+            .unwrap_or(now);
         state.records_lost_since = row.records_lost.then_some(since);
         if row.is_home(&self.settings.me) {
             state.role = Role::Home;
--- a/src/engine/replica.rs
+++ b/src/engine/replica.rs
@@ -59,7 +59,9 @@
         }
         self.note_request(Reason::Claimed, slice, key);
         let record = self.record(slice, key);
-        let age = record.map(|record| now - record.received_at).unwrap_or_default();
+        let age = record
+            .map(|record| now - record.received_at)
+            .unwrap_or_default();
         let item = peer::ReplicationItem::Claim(pack_claim(key, None, age));
         self.replicate(now, slice, item, Some(key.clone()));
     }
@@ -189,7 +191,9 @@
         let claim = |key: &Key| {
             let record = state.records.get(key);
             let claimer = record.and_then(|record| record.claimed_by.as_ref());
-            let age = record.map(|record| now - record.received_at).unwrap_or_default();
+            let age = record
+                .map(|record| now - record.received_at)
+                .unwrap_or_default();
             peer::ReplicationItem::Claim(pack_claim(key, claimer, age))
         };
         items.extend(claims.iter().map(claim));
@@ -259,7 +263,12 @@
     }
 
     /// As backup: keeps one step and acknowledges it.
-    fn keep(&mut self, now: Instant, from: &id::Holder, message: peer::ReplicationStep) -> Result<()> {
+    fn keep(
+        &mut self,
+        now: Instant,
+        from: &id::Holder,
+        message: peer::ReplicationStep,
+    ) -> Result<()> {
         let slice = id::Slice(message.slice);
         let epoch = id::Epoch(message.epoch);
         if message.slice >= self.table.len() || !self.accepts(slice, from, epoch) {
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -33,17 +33,17 @@
 use crate::id;
 use crate::metric::Direction;
 use crate::metric::Metrics;
-use crate::peer::PeerMessage;
-use crate::peer::Heartbeat;
 use crate::peer::ConfigRequest;
 use crate::peer::ConfigResponse;
+use crate::peer::Heartbeat;
+use crate::peer::PeerMessage;
 use crate::peer::member::MembershipView;
 use crate::peer::wire;
 use crate::peer::wire::Envelope;
 use crate::peer::wire::Frame;
-use crate::peer::wire::ReplayGuard;
 use crate::peer::wire::Keys;
 use crate::peer::wire::MAX_FRAME;
+use crate::peer::wire::ReplayGuard;
 use crate::platform::rate_limit::Rate;
 use crate::platform::rate_limit::TokenBucket;
 
@@ -210,7 +210,11 @@
     }
 
     /// Asks a peer for everything newer than what is here.
-    pub(crate) async fn pull(&self, peer: SocketAddr, have: ConfigRequest) -> Result<ConfigResponse> {
+    pub(crate) async fn pull(
+        &self,
+        peer: SocketAddr,
+        have: ConfigRequest,
+    ) -> Result<ConfigResponse> {
         let exchange = async {
             let frame = self.sign_frame("", PeerMessage::ConfigRequest(have));
             self.pay(peer, "pull", frame.len())?;
@@ -253,7 +257,10 @@
                 return Err(unanswered(peer, "another message"));
             };
             let push = copies(pull);
-            let answer = self.sign_frame(frame.from.instance.as_str(), PeerMessage::ConfigResponse(push));
+            let answer = self.sign_frame(
+                frame.from.instance.as_str(),
+                PeerMessage::ConfigResponse(push),
+            );
             let address = self.address(&frame.from).unwrap_or(peer);
             self.pay(address, "push", answer.len())?;
             framed
--- a/src/server.rs
+++ b/src/server.rs
@@ -286,7 +286,10 @@
 
     /// Whether new work may be sent.
     pub fn takes_work(&self, now: Instant) -> bool {
-        self.is_confirmed(now) && !self.is_closed() && !self.is_in_cooldown(now) && !self.is_on_trial()
+        self.is_confirmed(now)
+            && !self.is_closed()
+            && !self.is_in_cooldown(now)
+            && !self.is_on_trial()
     }
 
     /// Whether one request is finding out if it still refuses.
--- a/src/steer.rs
+++ b/src/steer.rs
@@ -108,7 +108,10 @@
         match told {
             ControlEvent::Platform(prefix, update) => self.take_update(now, prefix, update),
             ControlEvent::Heartbeat { from, message } => self.take_heartbeat(now, &from, message),
-            ControlEvent::Yield { from, slices } => self.shared.control().takeover_requested(now, &from, &slices),
+            ControlEvent::Yield { from, slices } => self
+                .shared
+                .control()
+                .takeover_requested(now, &from, &slices),
             ControlEvent::Written { document, written } => {
                 self.shared.control().write_finished(now, document, written);
                 self.plan();
@@ -139,7 +142,9 @@
                 self.changed = true;
             }
             Update::Change(change) => {
-                self.shared.config().mark_synced(prefix, change.mod_revision());
+                self.shared
+                    .config()
+                    .mark_synced(prefix, change.mod_revision());
                 self.take_change(now, &change);
             }
             Update::Silent { .. } => {
@@ -370,7 +375,11 @@
 pub(crate) const WATCHED_PREFIXES: [&str; 2] = [KEY_PREFIX, SERVERS];
 
 /// Passes on what a follower tells.
-pub(crate) async fn follow(client: Client, prefix: &'static str, told: UnboundedSender<ControlEvent>) {
+pub(crate) async fn follow(
+    client: Client,
+    prefix: &'static str,
+    told: UnboundedSender<ControlEvent>,
+) {
     const QUEUE: usize = 1_024;
     let (sender, mut receiver) = tokio::sync::mpsc::channel(QUEUE);
     let pass_on = async {
--- a/src/steer/heartbeat.rs
+++ b/src/steer/heartbeat.rs
@@ -90,7 +90,15 @@
         let told = self.told.clone();
         let log = self.shared.log.clone();
         self.shared.spawn(async move {
-            match link.pull(address.0, peer::ConfigRequest { known_versions: have }).await {
+            match link
+                .pull(
+                    address.0,
+                    peer::ConfigRequest {
+                        known_versions: have,
+                    },
+                )
+                .await
+            {
                 Ok(push) => {
                     let _ = told.send(ControlEvent::PulledEntries(push));
                 }
--- a/tests/burn.rs
+++ b/tests/burn.rs
@@ -8,10 +8,10 @@
 use axum::Router;
 use axum::routing::get;
 use godwitreel::burn;
-use godwitreel::burn::Count;
-use godwitreel::burn::Gap;
 use godwitreel::burn::BurnCounter;
+use godwitreel::burn::Count;
 use godwitreel::burn::EventClass;
+use godwitreel::burn::Gap;
 use godwitreel::burn::Rate;
 use godwitreel::burn::Report;
 use godwitreel::burn::Sample;
@@ -90,7 +90,10 @@
     let answered = Outcome::Answered(bytes::Bytes::new());
     let not_run = Outcome::NotRun { retry_after: 2 };
     let (limit, late) = (Duration::from_millis(500), Duration::from_millis(501));
-    assert_eq!(burn::classify(&answered, limit, &OBJECTIVE), EventClass::Good);
+    assert_eq!(
+        burn::classify(&answered, limit, &OBJECTIVE),
+        EventClass::Good
+    );
     assert_eq!(burn::classify(&answered, late, &OBJECTIVE), EventClass::Bad);
     assert_eq!(
         burn::classify(&not_run, Duration::ZERO, &OBJECTIVE),
--- a/tests/claim.rs
+++ b/tests/claim.rs
@@ -2,7 +2,6 @@
 
 mod lab;
 
-use crate::lab::peer_messages;
 use crate::lab::deliver;
 use crate::lab::forwards;
 use crate::lab::has_reason;
@@ -12,6 +11,7 @@
 use crate::lab::pair::Pair;
 use crate::lab::pair::is_claim;
 use crate::lab::pair::steps;
+use crate::lab::peer_messages;
 use crate::lab::row;
 use crate::lab::secs;
 use crate::lab::table;
--- a/tests/decoders.rs
+++ b/tests/decoders.rs
@@ -53,7 +53,9 @@
         from: holder("a", 1).to_string(),
         to: to.to_owned(),
         sequence,
-        body: Some(PeerMessage::TakeoverRequest(peer::TakeoverRequest { slices: vec![1, 2] })),
+        body: Some(PeerMessage::TakeoverRequest(peer::TakeoverRequest {
+            slices: vec![1, 2],
+        })),
     };
     wire::sign_frame(keys, &envelope)
 }
@@ -239,7 +241,12 @@
         };
         match step {
             Step::Ask(caller, number, kind) => {
-                let kinds = [Kind::NonIdempotent, Kind::Idempotent, Kind::OpenFeed, Kind::CloseFeed];
+                let kinds = [
+                    Kind::NonIdempotent,
+                    Kind::Idempotent,
+                    Kind::OpenFeed,
+                    Kind::CloseFeed,
+                ];
                 let kind = kinds[usize::from(kind)];
                 self.opened += 1;
                 let request = lab::request(&Self::flow(caller), number.into(), kind);
--- a/tests/feed.rs
+++ b/tests/feed.rs
@@ -21,7 +21,6 @@
 use godwitreel::server::Server;
 use tokio::time::Instant;
 
-use crate::lab::peer_messages;
 use crate::lab::deliver;
 use crate::lab::forwards;
 use crate::lab::has_reason;
@@ -30,6 +29,7 @@
 use crate::lab::notification;
 use crate::lab::pair::Pair;
 use crate::lab::pair::steps;
+use crate::lab::peer_messages;
 use crate::lab::row;
 use crate::lab::secs;
 use crate::lab::sequences;
@@ -63,8 +63,12 @@
 }
 
 fn offers(actions: &[Action]) -> usize {
-    let offer = |(_, body): &(id::Holder, PeerMessage)| matches!(body, PeerMessage::FeedTransfer(_));
-    peer_messages(actions).iter().filter(|sent| offer(sent)).count()
+    let offer =
+        |(_, body): &(id::Holder, PeerMessage)| matches!(body, PeerMessage::FeedTransfer(_));
+    peer_messages(actions)
+        .iter()
+        .filter(|sent| offer(sent))
+        .count()
 }
 
 fn hear(pair: &Pair, live: &[&id::Holder]) -> Event {
--- a/tests/history/fleet.rs
+++ b/tests/history/fleet.rs
@@ -16,9 +16,9 @@
 use godwitreel::action::Delivery;
 use godwitreel::control;
 use godwitreel::control::Command;
-use godwitreel::control::SlicePlanner;
 use godwitreel::control::INSTANCES;
 use godwitreel::control::SLICES_PREFIX;
+use godwitreel::control::SlicePlanner;
 use godwitreel::control::WriteResult;
 use godwitreel::document::Profile;
 use godwitreel::engine::ATTEMPT_BITS;
@@ -460,7 +460,9 @@
                 node.control.remove(&key);
             }
             Input::Written(document, written) => {
-                self.nodes[place].control.write_finished(now, document, written);
+                self.nodes[place]
+                    .control
+                    .write_finished(now, document, written);
                 self.plan(place);
             }
         }
@@ -619,7 +621,11 @@
             }
             Command::RequestTakeover { to, slices } => {
                 let slices = slices.into_iter().map(|slice| slice.0).collect();
-                self.send(place, &to, peer::PeerMessage::TakeoverRequest(peer::TakeoverRequest { slices }));
+                self.send(
+                    place,
+                    &to,
+                    peer::PeerMessage::TakeoverRequest(peer::TakeoverRequest { slices }),
+                );
             }
             Command::Table(table) => {
                 self.check_table(place, &table);
--- a/tests/lab/mod.rs
+++ b/tests/lab/mod.rs
@@ -212,7 +212,8 @@
 }
 
 pub(crate) fn has_reason(actions: &[Action], reason: Reason) -> bool {
-    let same = |action: &Action| matches!(action, Action::TraceEvent(note) if note.reason == reason);
+    let same =
+        |action: &Action| matches!(action, Action::TraceEvent(note) if note.reason == reason);
     actions.iter().any(same)
 }
 
--- a/tests/lab/pair.rs
+++ b/tests/lab/pair.rs
@@ -15,9 +15,9 @@
 use godwitreel::table::Row;
 use tokio::time::Instant;
 
-use super::peer_messages;
 use super::deliver;
 use super::holder;
+use super::peer_messages;
 use super::request;
 use super::row;
 use super::table;
@@ -180,7 +180,10 @@
         PeerMessage::ReplicationStep(step) => step.item,
         _ => None,
     };
-    peer_messages(actions).into_iter().filter_map(step).collect()
+    peer_messages(actions)
+        .into_iter()
+        .filter_map(step)
+        .collect()
 }
 
 pub(crate) fn is_claim(item: &ReplicationItem) -> bool {
--- a/tests/level.rs
+++ b/tests/level.rs
@@ -5,8 +5,8 @@
 
 use godwitreel::control;
 use godwitreel::control::Command;
-use godwitreel::control::SlicePlanner;
 use godwitreel::control::SLICES_PREFIX;
+use godwitreel::control::SlicePlanner;
 use godwitreel::control::WriteResult;
 use godwitreel::id;
 use godwitreel::peer;
--- a/tests/outcome.rs
+++ b/tests/outcome.rs
@@ -12,9 +12,9 @@
 use godwitreel::id;
 use godwitreel::reason::Reason;
 use godwitreel::request::Answer;
+use godwitreel::request::BodyBlock;
 use godwitreel::request::Kind;
 use godwitreel::request::Outcome;
-use godwitreel::request::BodyBlock;
 use godwitreel::request::Receipt;
 use godwitreel::server::Server;
 
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -21,9 +21,9 @@
 use godwitreel::id;
 use godwitreel::member::MembershipView;
 use godwitreel::request::Answer;
+use godwitreel::request::BodyBlock;
 use godwitreel::request::Flow;
 use godwitreel::request::Outcome;
-use godwitreel::request::BodyBlock;
 use godwitreel::request::Request;
 use godwitreel::request::Verdict;
 use godwitreel::server::Server;
@@ -224,7 +224,10 @@
             for (begun, tag) in [(&first, tag), (&other, tag + 100)] {
                 let next = exchange(&mut engine, now, put(number, tag));
                 assert_eq!(next.server.id, begun.server.id);
-                assert_eq!(next.attempt.0 % SERVER_SOCKETS, begun.attempt.0 % SERVER_SOCKETS);
+                assert_eq!(
+                    next.attempt.0 % SERVER_SOCKETS,
+                    begun.attempt.0 % SERVER_SOCKETS
+                );
             }
         }
     }
@@ -243,7 +246,10 @@
     let again = forwards(&engine.handle(later, Event::Tick));
     assert_eq!(again.len(), 1);
     assert_eq!(again[0].server.id, first.server.id);
-    assert_eq!(again[0].attempt.0 % SERVER_SOCKETS, first.attempt.0 % SERVER_SOCKETS);
+    assert_eq!(
+        again[0].attempt.0 % SERVER_SOCKETS,
+        first.attempt.0 % SERVER_SOCKETS
+    );
 }
 
 /// The server sheds a part. The caller is told to come back and finds its body
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -118,7 +118,11 @@
     );
     service.servers[0].state().peer_feeds = 2;
     service.servers[1].state().feeds = 1;
-    assert!(draw(&service, WorkKind::Feed, now).iter().all(|id| id == "d02"));
+    assert!(
+        draw(&service, WorkKind::Feed, now)
+            .iter()
+            .all(|id| id == "d02")
+    );
 }
 
 /// Callers would be refused though every server works: health endpoints fail
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -9,9 +9,9 @@
 use godwitreel::action::Action;
 use godwitreel::control;
 use godwitreel::control::Command;
-use godwitreel::control::SlicePlanner;
 use godwitreel::control::INSTANCES;
 use godwitreel::control::SLICES_PREFIX;
+use godwitreel::control::SlicePlanner;
 use godwitreel::control::WriteResult;
 use godwitreel::document::Profile;
 use godwitreel::engine::Engine;
@@ -29,7 +29,6 @@
 use godwitreel::table::Row;
 use tokio::time::Instant;
 
-use crate::lab::peer_messages;
 use crate::lab::deliver;
 use crate::lab::forwards;
 use crate::lab::has_reason;
@@ -37,13 +36,17 @@
 use crate::lab::ms;
 use crate::lab::outcomes;
 use crate::lab::pair::Pair;
+use crate::lab::peer_messages;
 use crate::lab::row;
 use crate::lab::secs;
 use crate::lab::table;
 use crate::lab::view;
 
 fn blank(row: Row) -> Row {
-    Row { records_lost: true, ..row }
+    Row {
+        records_lost: true,
+        ..row
+    }
 }
 
 /// The caller booked at a home that is gone with its records, and its copy comes
@@ -185,7 +188,8 @@
         known: [(restarted.holder.instance.clone(), restarted)].into(),
         authority_until: Some(pair.now + lab::FOREVER),
     };
-    pair.backup.handle(pair.now, Event::Membership(Arc::new(view)));
+    pair.backup
+        .handle(pair.now, Event::Membership(Arc::new(view)));
     pair.backup.handle(pair.now, table(row(2, Some(&b), None)));
     let copy = pair.ask_backup(1, Kind::NonIdempotent);
     assert!(forwards(&copy).is_empty());
@@ -639,7 +643,8 @@
     assert!(written(&commands).is_some(), "not settled by another write");
     let stands = lab.entry(row);
     lab.control.apply_entry(lab.now, &stands);
-    lab.control.write_finished(lab.now, 0, WriteResult::Lost(Some(stands)));
+    lab.control
+        .write_finished(lab.now, 0, WriteResult::Lost(Some(stands)));
     let row = written(&lab.run(ms(500), &[])).expect("a write");
     assert!(row.backup.is_none(), "now it is dropped through the table");
 }
@@ -749,7 +754,8 @@
     let (a, b) = (holder("a", 1), holder("b", 1));
     let mut lab = Lab::new(&b);
     lab.store(row(1, Some(&a), Some(&b)));
-    lab.control.takeover_requested(lab.now, &holder("c", 1), &[0, 9]);
+    lab.control
+        .takeover_requested(lab.now, &holder("c", 1), &[0, 9]);
     assert_eq!(written(&lab.run(secs(1), &[&a])), None);
     lab.control.takeover_requested(lab.now, &a, &[0]);
     assert!(written(&lab.run(secs(1), &[&a])).is_some());
