--- a/src/burn.rs
+++ b/src/burn.rs
@@ -4,7 +4,7 @@
 //! share that was measured over the share that is allowed: at 1 the allowance is
 //! used up exactly, at 14.4 a month's allowance is gone in two days.
 //!
-//! Each instance counts in its own [`Ledger`], which it loses when it stops. A
+//! Each instance counts in its own [`BurnCounter`], which it loses when it stops. A
 //! [`Report`] merges the [`Sample`]s of many instances: each life of each
 //! instance counts once, and an instance that was not heard from is a gap, which
 //! is never read as health.
--- a/src/control.rs
+++ b/src/control.rs
@@ -1,6 +1,6 @@
 //! The control task's decisions: who is home and backup of which slice.
 //!
-//! Like the engine, [`Control`] has no input or output of its own. It looks at
+//! Like the engine, [`SlicePlanner`] has no input or output of its own. It looks at
 //! the slice table, the registrations and the heartbeats, and asks for writes to
 //! the platform, for copies to new backups and for messages to peers. Everything
 //! that moves is made of two steps: install a backup, promote the backup.
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -1,6 +1,6 @@
 //! What was lately done for each flow, and why.
 //!
-//! A [`Ring`] keeps the newest notes and lets the oldest go, by count and by
+//! A [`TraceBuffer`] keeps the newest notes and lets the oldest go, by count and by
 //! bytes, so that a burst of traffic costs history and never memory. Its one lock
 //! is a leaf: nothing else is locked while it is held. It is held to push one
 //! entry or to copy the matching ones; text is made after it is released.
--- a/src/metric.rs
+++ b/src/metric.rs
@@ -244,7 +244,7 @@
         self.events.get_or_create(&labels).inc();
     }
 
-    /// Counts a message to or from a peer; `kind` is [`crate::peer::Body::kind`].
+    /// Counts a message to or from a peer; `kind` is [`crate::peer::PeerMessage::kind`].
     pub fn peer_message(&self, kind: &'static str, direction: Direction, bytes: usize) {
         let labels = PeerLabels { kind, direction };
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -312,28 +312,28 @@
     /// See [`Relay`].
     #[prost(message, tag = "4")]
     Relay(Relay),
-    /// See [`Replicate`].
+    /// See [`ReplicationStep`].
     #[prost(message, tag = "5")]
     ReplicationStep(ReplicationStep),
-    /// See [`Replicated`].
+    /// See [`ReplicationAck`].
     #[prost(message, tag = "6")]
     ReplicationAck(ReplicationAck),
-    /// See [`Settle`].
+    /// See [`FinalOutcome`].
     #[prost(message, tag = "7")]
     FinalOutcome(FinalOutcome),
-    /// See [`Adopt`].
+    /// See [`FeedTransfer`].
     #[prost(message, tag = "8")]
     FeedTransfer(FeedTransfer),
     /// See [`Heartbeat`].
     #[prost(message, tag = "9")]
     Heartbeat(Heartbeat),
-    /// See [`Yield`].
+    /// See [`TakeoverRequest`].
     #[prost(message, tag = "10")]
     TakeoverRequest(TakeoverRequest),
-    /// See [`Pull`].
+    /// See [`ConfigRequest`].
     #[prost(message, tag = "11")]
     ConfigRequest(ConfigRequest),
-    /// See [`Push`].
+    /// See [`ConfigResponse`].
     #[prost(message, tag = "12")]
     ConfigResponse(ConfigResponse),
 }
--- a/src/peer/wire.rs
+++ b/src/peer/wire.rs
@@ -114,7 +114,7 @@
     bytes
 }
 
-/// Checks and reads a frame. Whether it is a replay is for [`Guard`] to say.
+/// Checks and reads a frame. Whether it is a replay is for [`ReplayGuard`] to say.
 ///
 /// # Errors
 ///
--- a/src/probe.rs
+++ b/src/probe.rs
@@ -3,7 +3,7 @@
 //! A health answer does one thing that nothing else can: it names the service
 //! that runs at an address. No packet goes to an address whose last answer named
 //! another service, or that was never confirmed at all. Between health answers,
-//! those of the server itself prove as much, see [`Server::prove`]. Load figures
+//! those of the server itself prove as much, see [`Server::confirm_by_answer`]. Load figures
 //! in answers are not used: own observations are fresher and cannot be wrong in
 //! that way.
 //!
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -145,7 +145,7 @@
         self.closed.store(true, Ordering::Relaxed);
     }
 
-    /// Waits for the threads to end after [`Pool::close`].
+    /// Waits for the threads to end after [`WorkerPool::close`].
     pub(crate) fn join(&self) {
         let threads = self
             .threads
