--- a/src/flow.rs
+++ b/src/flow.rs
@@ -1,14 +1,16 @@
-//! Decisions for packets whose connection lives at caller and backend server.
+//! Forwarding decisions for packets of flows whose connection state lives at the caller
+//! and the backend server.
 //!
-//! The system sees only the caller's half of a flow and changes nothing but a
-//! routing tag, which both ends repeat. Any instance that knows the servers can
-//! therefore pass on any packet of any flow; what an instance remembers about a
-//! flow improves the choice for new ones and is never needed for open ones.
+//! An instance sees only the packets from caller to server and changes nothing but a
+//! routing tag, which both endpoints echo. Any instance that knows the servers can
+//! therefore forward any packet of any flow. The flow state that an instance keeps
+//! improves the server selection for new flows and is never required for open ones.
 //!
-//! Nothing here does input or output: packets, beliefs and the time go in,
-//! verdicts and notes come out.
+//! This module performs no I/O: its inputs are packets, state updates and the current
+//! time, and its outputs are verdicts and events.
 
 mod backlog;
+mod baseline;
 mod choice;
 mod contact;
 pub(crate) mod directory;
@@ -22,7 +24,6 @@
 mod segment;
 mod table;
 mod tag;
-mod usual;
 mod warmup;
 
 pub use backlog::Backlog;
--- a/src/flow/backlog.rs
+++ b/src/flow/backlog.rs
@@ -1,9 +1,9 @@
-//! Packets that come before an instance knows any server.
+//! Buffer for packets that arrive before an instance knows any server.
 //!
-//! Load pattern: all instances lose their power, and routers that find none of them
-//! ready send to all. An instance without its first copy of the store would drop
-//! what comes in the meantime, and callers repeat an opening packet 0.2 s later and
-//! others up to 1.6 s later.
+//! Load pattern: all instances lose power, and routers that find none of them ready send
+//! to all of them. An instance that has not read the store yet would drop every packet
+//! received in the meantime, and callers retransmit a SYN only after 0.2 s and other
+//! packets after up to 1.6 s.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,74 +12,74 @@
 
 use crate::flow::Segment;
 
-/// Packets kept at most; 600 KB of the largest.
-const MOST: usize = 512;
+/// Maximum number of buffered packets; 600 KB if all have the largest size.
+const MAX_PACKETS: usize = 512;
 
-/// Age at which an opening packet is given up. Its caller has sent a copy by then,
-/// which may have opened the flow elsewhere.
-const OPENING_AGE: Duration = Duration::from_millis(200);
+/// Age at which a SYN expires. Its caller has sent a retransmission by then, which may
+/// have opened the flow at another instance.
+const MAX_SYN_AGE: Duration = Duration::from_millis(200);
 
-/// Age at which another packet is given up: the longest pause of a caller's repeats.
-const LATER_AGE: Duration = Duration::from_millis(1_600);
+/// Age at which any other packet expires: the longest retransmission interval of callers.
+const MAX_OTHER_AGE: Duration = Duration::from_millis(1_600);
 
-/// A packet that waits.
+/// A buffered packet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Early {
-    /// When it came.
+    /// When the packet arrived.
     pub at: Instant,
-    /// What it says.
+    /// The parsed packet.
     pub segment: Segment,
-    /// Its bytes.
+    /// The raw packet.
     pub packet: Vec<u8>,
 }
 
 impl Early {
-    fn is_worth_keeping(&self, now: Instant) -> bool {
-        let most = if self.segment.opens() {
-            OPENING_AGE
+    fn is_fresh(&self, now: Instant) -> bool {
+        let max_age = if self.segment.opens() {
+            MAX_SYN_AGE
         } else {
-            LATER_AGE
+            MAX_OTHER_AGE
         };
-        now < self.at + most
+        now < self.at + max_age
     }
 }
 
-/// Packets that wait for the first copy, in the order in which they came.
+/// Packets buffered until the instance has read the store, in order of arrival.
 #[derive(Debug, Default)]
 pub struct Backlog {
     packets: VecDeque<Early>,
 }
 
 impl Backlog {
-    /// Keeps a packet; the oldest one makes room.
+    /// Buffers a packet; drops the oldest ones if the buffer is full.
     pub fn keep(&mut self, early: Early) {
         let now = early.at;
         while let Some(first) = self.packets.front()
-            && (self.packets.len() >= MOST || !first.is_worth_keeping(now))
+            && (self.packets.len() >= MAX_PACKETS || !first.is_fresh(now))
         {
             self.packets.pop_front();
         }
         self.packets.push_back(early);
     }
 
-    /// Takes out what its callers have not given up or repeated yet.
+    /// Drains the buffer and returns the packets that have not expired.
     pub fn take(&mut self, now: Instant) -> impl Iterator<Item = Early> {
         let packets = std::mem::take(&mut self.packets);
-        let worth = move |early: &Early| early.is_worth_keeping(now);
-        packets.into_iter().filter(worth)
+        let is_fresh = move |early: &Early| early.is_fresh(now);
+        packets.into_iter().filter(is_fresh)
     }
 
-    /// Drops everything.
+    /// Drops all packets.
     pub fn clear(&mut self) {
         self.packets.clear();
     }
 
-    /// Packets that wait.
+    /// Number of buffered packets.
     pub fn len(&self) -> usize {
         self.packets.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no packet is buffered.
     pub fn is_empty(&self) -> bool {
         self.packets.is_empty()
     }
--- a/src/flow/choice.rs
+++ b/src/flow/choice.rs
@@ -1,4 +1,4 @@
-//! Choice of a backend server for a new flow.
+//! Selection of a backend server for a new flow.
 
 use rand::RngExt;
 use rand::rngs::SmallRng;
@@ -6,176 +6,193 @@
 
 use crate::flow::directory::Directory;
 use crate::flow::directory::Record;
-use crate::flow::directory::Slot;
+use crate::flow::directory::ServerHandle;
 use crate::id;
 
-/// Weight of an open flow against a request in progress.
+/// Weight of an open flow relative to a request in progress.
 ///
-/// A caller that keeps its flow open sends about one request a second, which
-/// occupies a slot for 15 to 55 ms; with ten flows a server is as busy as with
-/// one more request half of the time.
+/// A caller that keeps its flow open sends about one request per second, which occupies
+/// a slot for 15 to 55 ms. Ten open flows therefore keep a server as busy as one more
+/// request during half of the time.
 const FLOW_WEIGHT: f64 = 0.05;
 
-/// Part of its usual rate that a server gives while it is cold; servers known
-/// take 1.6 times as long then.
-const COLD_RATE: f64 = 0.6;
+/// Speed of a cold server relative to a warm one; known servers take 1.6 times as long
+/// per request while they are cold.
+const COLD_SPEED: f64 = 0.6;
 
-/// Requests a slot that a server seems to have more when all requests end badly
-/// there; a share counts in proportion.
+/// Load per slot that is added to a server at which all requests fail; a lower share of
+/// failures adds proportionally less.
 ///
-/// Load pattern: one server in ten answers errors at once, or hangs. Without this
-/// the first is always least loaded and draws work in, and the second gets a
-/// further request each time that a caller gives up. More than the margin of other
-/// zones, so that those are used before servers that fail.
-const BAD_PENALTY: f64 = 4.0;
-
-/// Share of bad ends that is no cause to avoid a server. Queues that fill for a moment
-/// make some requests look stalled; if each of them moved work away, all instances
-/// of a zone would move together from one server to the next.
-const TOLERATED_SHARE: f64 = 0.35;
-
-/// Servers that are compared for one flow, of those that may take it.
+/// Load pattern: one server in ten answers with errors at once, or hangs. Without the
+/// penalty, the failing server is always the least loaded and attracts flows, and the
+/// hanging one gets another request whenever a caller gives up. The penalty is larger
+/// than the spill margin, so that servers of other zones are preferred to failing ones.
+const MAX_PENALTY: f64 = 4.0;
+
+/// Share of failures up to which a server gets no penalty. Queues that fill for a moment
+/// make some requests look stalled. If each of them moved load away, all instances of a
+/// zone would move together from one server to the next.
+const TOLERATED_BAD_SHARE: f64 = 0.35;
+
+/// Number of eligible servers that are compared for one flow.
 ///
-/// Load pattern: servers are replaced one after the other under load, and dozens of
-/// instances look for the least loaded one, each knowing its own requests only. If
-/// all compare all, all find the newest server at once, and its queue fills. Of a few
-/// drawn at random each finds another one.
-const SAMPLE: usize = 8;
+/// Load pattern: servers are replaced one by one under load, and dozens of instances
+/// select the least loaded server, each knowing its own requests only. If all instances
+/// compared all servers, all would select the newest one at once and fill its queue. With
+/// a small random sample, the instances select different servers.
+const SAMPLE_SIZE: usize = 8;
 
-/// How a chosen server stood against the others.
+/// The selected server and the size of the comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Choice {
-    pub(crate) slot: Slot,
-    /// Servers that were weighed.
+    pub(crate) handle: ServerHandle,
+    /// Number of servers that were compared.
     pub(crate) candidates: usize,
 }
 
-/// Whether a service has servers that take new flows, but only in evacuated zones.
+/// Whether a service has servers in evacuated zones that would accept new flows.
 pub(crate) fn is_evacuated(directory: &Directory, service: &id::Service) -> bool {
-    let Some(pool) = directory.of_service(service) else {
+    let Some(pool) = directory.pool_of(service) else {
         return false;
     };
-    let servers = pool.home.iter().chain(&pool.away);
-    let records = servers.filter_map(|slot| directory.get(*slot));
+    let servers = pool.local.iter().chain(&pool.remote);
+    let records = servers.filter_map(|handle| directory.get(*handle));
     records
         .filter(|record| record.is_evacuated)
-        .any(|record| record.may_open() || directory.may_return(record))
+        .any(|record| record.accepts_by_last_entry() || directory.accepts_while_missing(record))
 }
 
-/// Whether a service has servers that take new flows in a moment: they are cold and
-/// have had this instance's share.
-pub(crate) fn is_spent(directory: &Directory, service: &id::Service, now: Instant) -> bool {
-    let Some(pool) = directory.of_service(service) else {
+/// Whether a service has servers that will accept new flows shortly: they are cold, and
+/// this instance has used up its quota of new flows for them.
+pub(crate) fn is_quota_exhausted(
+    directory: &Directory,
+    service: &id::Service,
+    now: Instant,
+) -> bool {
+    let Some(pool) = directory.pool_of(service) else {
         return false;
     };
-    let servers = pool.home.iter().chain(&pool.away);
-    let records = servers.filter_map(|slot| directory.get(*slot));
+    let servers = pool.local.iter().chain(&pool.remote);
+    let records = servers.filter_map(|handle| directory.get(*handle));
     records
-        .filter(|record| !record.is_evacuated && record.is_spent(now))
-        .any(|record| record.may_open() || directory.may_return(record))
+        .filter(|record| !record.is_evacuated && record.is_quota_exhausted(now))
+        .any(|record| record.accepts_by_last_entry() || directory.accepts_while_missing(record))
 }
 
-/// What the choice depends on beside the directory.
-pub(crate) struct Question<'a> {
+/// Inputs of the selection other than the directory.
+pub(crate) struct Criteria<'a> {
     pub(crate) service: &'a id::Service,
-    /// Servers that have had the opening packet already.
-    pub(crate) tried: &'a [Slot],
-    /// Requests a slot by which a server of another zone must be less loaded.
+    /// Servers that have received the SYN already.
+    pub(crate) tried: &'a [ServerHandle],
+    /// Load per slot by which a server of another zone must be less loaded.
     pub(crate) spill: f64,
-    /// Instances that share this zone's callers, this one included.
-    pub(crate) neighbours: usize,
+    /// Instances that share this zone's callers, including this one.
+    pub(crate) zone_instances: usize,
     pub(crate) now: Instant,
 }
 
-/// Picks the server with the least load for its size of a few, this zone's first.
+/// Selects the server with the lowest load relative to its size from a random sample,
+/// preferring this zone.
+///
+/// Falls back in this order, so that false evidence never leaves a service without
+/// servers:
+///
+/// 1. Servers that are not suspected.
+/// 2. Suspected servers.
+/// 3. Servers whose entry has just lapsed, which is how a store looks that lost all
+///    leases in an outage.
+/// 4. Servers whose entry another writer has overwritten.
 ///
-/// Servers that are silent are used only when all are, so that wrong evidence
-/// never leaves a service without servers; servers whose entry has just lapsed
-/// only when none is listed, which is how a store looks that lost all leases
-/// in an outage; and servers whose entries somebody has overwritten last of all.
-/// Servers of evacuated zones are not used, whatever else there is, nor are cold ones
-/// beyond what they bear.
+/// Servers in evacuated zones are never selected, and cold servers only within this
+/// instance's quota.
 pub(crate) fn choose(
     directory: &Directory,
-    question: &Question<'_>,
+    criteria: &Criteria<'_>,
     random: &mut SmallRng,
 ) -> Option<Choice> {
-    let now = question.now;
-    let is_open = |record: &Record| record.is_open() && directory.is_complete(record);
-    let is_trusted = |record: &Record| is_open(record) && !record.evidence.is_suspected(now);
-    least_loaded(directory, question, random, is_trusted)
-        .or_else(|| least_loaded(directory, question, random, is_open))
-        .or_else(|| least_loaded(directory, question, random, |r| directory.may_return(r)))
-        .or_else(|| least_loaded(directory, question, random, |r| r.may_open()))
+    let now = criteria.now;
+    let accepts_flows =
+        |record: &Record| record.accepts_flows() && directory.has_expected_incarnation(record);
+    let is_trusted = |record: &Record| accepts_flows(record) && !record.evidence.is_suspected(now);
+    least_loaded(directory, criteria, random, is_trusted)
+        .or_else(|| least_loaded(directory, criteria, random, accepts_flows))
+        .or_else(|| {
+            least_loaded(directory, criteria, random, |r| {
+                directory.accepts_while_missing(r)
+            })
+        })
+        .or_else(|| least_loaded(directory, criteria, random, |r| r.accepts_by_last_entry()))
 }
 
 fn least_loaded(
     directory: &Directory,
-    question: &Question<'_>,
+    criteria: &Criteria<'_>,
     random: &mut SmallRng,
     is_candidate: impl Fn(&Record) -> bool,
 ) -> Option<Choice> {
-    let pool = directory.of_service(question.service)?;
-    let mut search = Search {
+    let pool = directory.pool_of(criteria.service)?;
+    let mut selection = Selection {
         directory,
-        question,
+        criteria,
         candidates: 0,
         best: None,
     };
-    search.look(&pool.home, 0.0, random, &is_candidate);
-    // No server of another zone can be better than its margin, so that most
-    // flows need no look at the others.
-    if search.best.is_none_or(|(load, _)| load > question.spill) {
-        search.look(&pool.away, question.spill, random, &is_candidate);
+    selection.compare(&pool.local, 0.0, random, &is_candidate);
+    // No server of another zone can have a load below the margin, so that most flows
+    // need no comparison with other zones.
+    if selection.best.is_none_or(|(load, _)| load > criteria.spill) {
+        selection.compare(&pool.remote, criteria.spill, random, &is_candidate);
     }
-    let candidates = search.candidates;
-    search.best.map(|(_, slot)| Choice { slot, candidates })
+    let candidates = selection.candidates;
+    selection
+        .best
+        .map(|(_, handle)| Choice { handle, candidates })
 }
 
-/// A search for the server with the least load.
-struct Search<'a> {
+/// State of the search for the least loaded server.
+struct Selection<'a> {
     directory: &'a Directory,
-    question: &'a Question<'a>,
+    criteria: &'a Criteria<'a>,
     candidates: usize,
-    best: Option<(f64, Slot)>,
+    best: Option<(f64, ServerHandle)>,
 }
 
-impl Search<'_> {
-    fn look(
+impl Selection<'_> {
+    fn compare(
         &mut self,
-        slots: &[Slot],
+        handles: &[ServerHandle],
         margin: f64,
         random: &mut SmallRng,
         is_candidate: impl Fn(&Record) -> bool,
     ) {
-        if slots.is_empty() {
+        if handles.is_empty() {
             return;
         }
         let mut sampled = 0;
-        for place in permutation(slots.len(), random) {
-            let slot = &slots[place];
-            let Some(record) = self.directory.get(*slot) else {
+        for index in permutation(handles.len(), random) {
+            let handle = &handles[index];
+            let Some(record) = self.directory.get(*handle) else {
                 continue;
             };
-            let is_barred = record.is_evacuated || record.is_spent(self.question.now);
-            if is_barred || self.question.tried.contains(slot) || !is_candidate(record) {
+            let is_excluded = record.is_evacuated || record.is_quota_exhausted(self.criteria.now);
+            if is_excluded || self.criteria.tried.contains(handle) || !is_candidate(record) {
                 continue;
             }
             self.candidates += 1;
-            let load = load(record, self.question) + margin;
+            let load = load(record, self.criteria) + margin;
             if self.best.is_none_or(|(least, _)| load < least) {
-                self.best = Some((load, *slot));
+                self.best = Some((load, *handle));
             }
             sampled += 1;
-            if sampled == SAMPLE {
+            if sampled == SAMPLE_SIZE {
                 return;
             }
         }
     }
 }
 
-/// All places below a count, each once, in an order that is drawn at random: from a
-/// start on, in steps that meet no place twice.
+/// Yields all indexes below `count` once each in random order: it begins at a random index
+/// and advances by a step that is coprime to `count`.
 fn permutation(count: usize, random: &mut SmallRng) -> impl Iterator<Item = usize> {
     let start = random.random_range(0..count);
     let step = loop {
@@ -194,26 +211,26 @@
     }
 }
 
-/// Expected requests a slot.
+/// Expected requests per slot.
 ///
-/// An instance sees its own requests only. Routers spread callers evenly over a
-/// zone's instances, so that each of the others has about as many there; without
-/// this a zone of three instances that lost two of its five servers let their
-/// queues overflow before it used another zone's.
-fn load(record: &Record, question: &Question<'_>) -> f64 {
-    let mine = f64::from(record.outstanding) + f64::from(record.flows) * FLOW_WEIGHT;
-    let all = mine * question.neighbours as f64 + 1.0;
-    let rate = if question.now < record.cold_until {
-        COLD_RATE
+/// An instance sees its own requests only. Routers spread callers evenly over a zone's
+/// instances, so that each of the others has about as many requests at the server.
+/// Without this factor, a zone of three instances that lost two of its five servers let
+/// their queues overflow before it used another zone's servers.
+fn load(record: &Record, criteria: &Criteria<'_>) -> f64 {
+    let own = f64::from(record.outstanding) + f64::from(record.flows) * FLOW_WEIGHT;
+    let all = own * criteria.zone_instances as f64 + 1.0;
+    let speed = if criteria.now < record.cold_until {
+        COLD_SPEED
     } else {
         1.0
     };
     let slots = f64::from(record.server.slots.max(1));
-    all / (slots * rate) + record.penalty
+    all / (slots * speed) + record.penalty
 }
 
-/// What a share of bad ends adds to a server's load.
+/// Load that a server's share of failures adds.
 pub(crate) fn penalty(bad_share: f64) -> f64 {
-    let excess = (bad_share - TOLERATED_SHARE).max(0.0);
-    BAD_PENALTY * excess / (1.0 - TOLERATED_SHARE)
+    let excess = (bad_share - TOLERATED_BAD_SHARE).max(0.0);
+    MAX_PENALTY * excess / (1.0 - TOLERATED_BAD_SHARE)
 }
--- a/src/flow/contact.rs
+++ b/src/flow/contact.rs
@@ -1,32 +1,32 @@
-//! Contact with the store, and what may be concluded from it.
+//! Contact with the store, and the conclusions it allows about missing entries.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// How long an entry that lapsed during an outage of the store may take to come
-/// back after it: the users' bound of 2 s, and half a second for its delivery.
-const RETURN_BOUND: Duration = Duration::from_millis(2_500);
+/// How long a server may take to write its entry again after the entry lapsed in an outage
+/// of the store: the users' limit of 2 s, and 0.5 s for the delivery to this instance.
+const RETURN_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Longest time between two contacts that belong together. Those whom others follow
-/// ask the store at least once a second, gather changes for up to 0.4 s and tell of it
-/// within 0.25 s; a longer gap is an outage that nobody has noticed.
-const MOST_GAP: Duration = Duration::from_millis(1_700);
+/// Longest gap between two contacts that are merged. Upstreams poll the store at least
+/// once per second, gather changes for up to 0.4 s and report them within 0.25 s. A longer
+/// gap is an outage that has not been detected.
+const MAX_GAP: Duration = Duration::from_millis(1_700);
 
-/// A span in which the store answered, as this instance's copy shows it.
+/// A time span in which the store answered, according to this instance's replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Contact {
-    /// When it began.
+    /// Start of the span.
     pub from: Instant,
-    /// When the store is last known to have had nothing newer than the copy.
+    /// When the store is last known to have had no data newer than the replica.
     ///
-    /// Time that has passed since is no contact: an upstream's copy may have been
-    /// growing old all the while, and an entry that has come back is not in it.
+    /// Time that has passed since then does not count as contact: the upstream's replica
+    /// may have become stale, so that an entry that was written again is not in it.
     pub until: Instant,
 }
 
 impl Contact {
-    /// Contact at one moment.
+    /// Contact at a single point in time.
     pub fn at(at: Instant) -> Self {
         Self {
             from: at,
@@ -34,11 +34,12 @@
         }
     }
 
-    /// The span that this one and a later one make together.
+    /// Merges this span with a later one.
     ///
-    /// Entries may have lapsed in a longer gap and need their time again.
+    /// After a longer gap the span starts again, because entries may have lapsed in the gap
+    /// and need the full time to return.
     pub(crate) fn join(self, later: Self) -> Self {
-        if later.from > self.until + MOST_GAP {
+        if later.from > self.until + MAX_GAP {
             return later;
         }
         Self {
@@ -47,9 +48,9 @@
         }
     }
 
-    /// Whether an entry that has been missing since then would be back by now if
-    /// its server lived.
-    pub(crate) fn outlasts(self, missing: Instant) -> bool {
-        self.until >= missing.max(self.from) + RETURN_BOUND
+    /// Whether the entry of a live server that has been missing since `missing` would have
+    /// returned by now.
+    pub(crate) fn rules_out_return(self, missing: Instant) -> bool {
+        self.until >= missing.max(self.from) + RETURN_TIMEOUT
     }
 }
--- a/src/flow/directory.rs
+++ b/src/flow/directory.rs
@@ -1,8 +1,8 @@
-//! The backend servers known, present and past.
+//! The known backend servers, current and former ones.
 //!
-//! Servers whose entry is gone stay known for as long as a flow may last, since
-//! their flows' packets still carry their tags: a server whose lease lapsed
-//! while the store was away may well live.
+//! A server without an entry stays known for the maximum lifetime of a flow, because
+//! packets of its flows still carry its tag. It may well be alive if its lease lapsed
+//! during an outage of the store.
 
 use std::cmp::Ordering;
 use std::collections::HashMap;
@@ -20,137 +20,137 @@
 use crate::flow::Tag;
 use crate::flow::Testimony;
 use crate::flow::Warmup;
+use crate::flow::baseline::ResponseBaseline;
 use crate::flow::choice;
 use crate::flow::evidence::Evidence;
 use crate::flow::experience::Experience;
-use crate::flow::usual::Usual;
 use crate::flow::warmup;
-use crate::flow::warmup::Share;
+use crate::flow::warmup::ColdQuota;
 use crate::id;
 
-/// Time after another server's start at an address in which its former server may still
-/// show that it lives. Whoever answers has been heard within it: callers repeat after
-/// 0.2 s, and a living server's own entry is passed on in milliseconds.
-const SUCCESSION: Duration = Duration::from_millis(500);
+/// How long after another server's start at the same address the former server may still
+/// prove that it is alive. A live server is noticed within this time: callers retransmit
+/// after 0.2 s, and the server's own entry is delivered within milliseconds.
+const REPLACEMENT_GRACE: Duration = Duration::from_millis(500);
 
-/// Servers that an instance tells others of at most. More that fail at once are
-/// hardly worth telling apart.
-const MOST_TESTIMONY: usize = 64;
+/// Maximum number of servers that an instance reports to others. If more servers fail at
+/// the same time, further reports hardly improve the selection.
+const MAX_OUTCOME_REPORTS: usize = 64;
 
-/// What a server says of itself.
+/// The state that a server announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
-    /// Takes new flows.
+    /// Accepts new flows.
     Ready,
-    /// Finishes its flows and leaves.
+    /// Finishes its open flows and then stops.
     Draining,
 }
 
-/// A server as the store lists it.
+/// A server as listed in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Server {
-    /// Its key in the store.
+    /// Key of the server in the store.
     pub id: id::Server,
-    /// What datagrams to it are named with.
+    /// Identity that datagrams to the server carry.
     pub serial: Serial,
-    /// Its present life; `None` when its entry does not tell.
+    /// Current incarnation; `None` if the entry does not contain one.
     pub incarnation: Option<Incarnation>,
-    /// The service it runs.
+    /// The service that the server runs.
     pub service: id::Service,
-    /// Where it takes datagrams.
+    /// Address that receives datagrams.
     pub address: SocketAddrV4,
-    /// Its availability zone.
+    /// Availability zone of the server.
     pub zone: id::Zone,
-    /// Requests that it works on at once.
+    /// Number of requests that the server processes concurrently.
     pub slots: u32,
-    /// Whether it takes new flows.
+    /// Whether the server accepts new flows.
     pub presence: Presence,
-    /// How long it stays slow after its start.
+    /// How long the server stays slow after its start.
     pub cold_for: Duration,
 }
 
-/// Where a datagram goes.
+/// Destination of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// The server's address.
+    /// Address of the server.
     pub address: SocketAddrV4,
-    /// The server that is meant.
+    /// Identity of the intended server.
     pub serial: Serial,
-    /// Tag that leads the flow's later packets there.
+    /// Tag that routes the later packets of the flow to the server.
     pub tag: Tag,
 }
 
-/// Index of one life of a server in the directory; stays valid until the server is
-/// forgotten, which is later than any of its flows is.
+/// Index of a server's incarnation in the directory. It stays valid until the server is
+/// removed, which happens after all of its flows have been forgotten.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) struct Slot {
+pub(crate) struct ServerHandle {
     index: u32,
-    /// Lives of the server before this one.
-    life: u32,
+    /// Number of earlier incarnations of the server.
+    generation: u32,
 }
 
-impl Slot {
+impl ServerHandle {
     fn index(self) -> usize {
         self.index as usize
     }
 
-    /// Whether both are lives of one server.
+    /// Whether both refer to incarnations of the same server.
     pub(crate) fn is_same_server(self, other: Self) -> bool {
         self.index == other.index
     }
 }
 
-/// What is known about a server.
+/// State that is kept for a server.
 #[derive(Debug)]
 pub(crate) struct Record {
     pub(crate) server: Server,
     pub(crate) tag: Tag,
-    /// Lives before this one.
-    life: u32,
-    /// Whether its entry holds something that nobody can read, so that it names no
-    /// server to use; the server itself may well live.
+    /// Number of earlier incarnations.
+    generation: u32,
+    /// Whether the entry cannot be parsed and therefore gets no new flows; the server itself
+    /// may be alive.
     pub(crate) is_unreadable: bool,
-    /// When its entry was found missing; `None` while it is listed.
+    /// When the entry was found missing; `None` while it is listed.
     pub(crate) missing_since: Option<Instant>,
-    /// When another server has started at its address.
+    /// When another server has started at the same address.
     replaced_since: Option<Instant>,
     pub(crate) draining_since: Option<Instant>,
-    /// Whether its zone is evacuated.
+    /// Whether the server's zone is evacuated.
     pub(crate) is_evacuated: bool,
     pub(crate) cold_until: Instant,
-    /// New flows that this instance may send it while it is cold.
-    pub(crate) share: Share,
+    /// Quota of new flows from this instance while the server is cold.
+    pub(crate) cold_quota: ColdQuota,
     pub(crate) evidence: Evidence,
     pub(crate) experience: Experience,
-    /// Requests of this instance that wait for the server's answer.
+    /// Requests of this instance that the server has not answered yet.
     pub(crate) outstanding: u32,
-    /// Open flows that passed this instance.
+    /// Open flows seen by this instance.
     pub(crate) flows: u32,
-    /// What its share of bad ends adds to its load, as of the last look.
+    /// Load added for the share of failures, as last computed.
     pub(crate) penalty: f64,
-    /// Whether an older server has the same tag, so that this one's flows could
-    /// not be told from that one's.
-    has_doubled_tag: bool,
+    /// Whether an older server has the same tag, so that the flows of both could not be
+    /// told apart.
+    has_duplicate_tag: bool,
 }
 
 impl Record {
-    fn new(slot: Slot, server: Server, has_doubled_tag: bool, now: Instant) -> Self {
+    fn new(handle: ServerHandle, server: Server, has_duplicate_tag: bool, now: Instant) -> Self {
         Self {
             tag: Tag::of(server.serial),
-            life: slot.life,
+            generation: handle.generation,
             is_unreadable: false,
             missing_since: None,
             replaced_since: None,
             draining_since: draining_since(&server, None, now),
             is_evacuated: false,
             cold_until: now + server.cold_for,
-            share: Share::default(),
+            cold_quota: ColdQuota::default(),
             evidence: Evidence::default(),
             experience: Experience::default(),
             outstanding: 0,
             flows: 0,
             penalty: 0.0,
-            has_doubled_tag,
+            has_duplicate_tag,
             server,
         }
     }
@@ -163,30 +163,30 @@
         }
     }
 
-    /// Works out the penalty anew. A choice looks at dozens of servers, and most of
-    /// them give no cause for any arithmetic.
-    pub(crate) fn weigh(&mut self, now: Instant) {
+    /// Updates the cached penalty. A selection compares dozens of servers, most of which have
+    /// no failures, so that the penalty is not computed there.
+    pub(crate) fn update_penalty(&mut self, now: Instant) {
         self.penalty = choice::penalty(self.experience.bad_share(now));
     }
 
-    /// Whether it is cold and has had this instance's share of new flows.
-    pub(crate) fn is_spent(&self, now: Instant) -> bool {
-        now < self.cold_until && !self.share.has_room(now)
+    /// Whether the server is cold and this instance has used up its quota for it.
+    pub(crate) fn is_quota_exhausted(&self, now: Instant) -> bool {
+        now < self.cold_until && !self.cold_quota.has_room(now)
     }
 
-    /// Whether new flows may go there.
-    pub(crate) fn is_open(&self) -> bool {
-        self.may_open() && !self.is_unreadable
+    /// Whether the server accepts new flows.
+    pub(crate) fn accepts_flows(&self) -> bool {
+        self.accepts_by_last_entry() && !self.is_unreadable
     }
 
-    /// Whether new flows may go there as far as its last readable entry tells.
-    pub(crate) fn may_open(&self) -> bool {
+    /// Whether the server accepts new flows according to its last readable entry.
+    pub(crate) fn accepts_by_last_entry(&self) -> bool {
         let ready = self.server.presence == Presence::Ready;
         let is_listed = self.missing_since.is_none() && self.replaced_since.is_none();
-        ready && is_listed && !self.has_doubled_tag
+        ready && is_listed && !self.has_duplicate_tag
     }
 
-    /// Whether it has answered something since then.
+    /// Whether the server has answered after `at`.
     fn has_answered_since(&self, at: Instant) -> bool {
         self.evidence.last_alive() > Some(at)
     }
@@ -195,102 +195,102 @@
 /// The servers of one service.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
-    /// Those of this instance's availability zone.
-    pub(crate) home: Vec<Slot>,
-    /// Those of other zones.
-    pub(crate) away: Vec<Slot>,
-    /// What its answers usually are.
-    pub(crate) usual: Usual,
+    /// Servers in this instance's availability zone.
+    pub(crate) local: Vec<ServerHandle>,
+    /// Servers in other zones.
+    pub(crate) remote: Vec<ServerHandle>,
+    /// Typical duration and size of the service's answers.
+    pub(crate) baseline: ResponseBaseline,
 }
 
 impl Pool {
-    fn side(&mut self, is_home: bool) -> &mut Vec<Slot> {
-        if is_home {
-            &mut self.home
+    fn list_mut(&mut self, is_local: bool) -> &mut Vec<ServerHandle> {
+        if is_local {
+            &mut self.local
         } else {
-            &mut self.away
+            &mut self.remote
         }
     }
 }
 
-/// All servers known.
+/// All known servers.
 #[derive(Debug)]
 pub struct Directory {
-    /// This instance's availability zone.
-    home: id::Zone,
-    /// Records by slot; a slot is used again after its server is forgotten.
+    /// Availability zone of this instance.
+    zone: id::Zone,
+    /// Records by index; an index is reused after its server has been removed.
     records: Vec<Option<Record>>,
-    free: Vec<Slot>,
-    by_id: HashMap<id::Server, Slot>,
-    by_tag: HashMap<Tag, Slot>,
+    free_handles: Vec<ServerHandle>,
+    by_id: HashMap<id::Server, ServerHandle>,
+    by_tag: HashMap<Tag, ServerHandle>,
     by_service: HashMap<id::Service, Pool>,
-    /// How long a server that is gone stays known.
-    keep: Duration,
-    /// Whether entries tell their servers' lives; one that does not is somebody
-    /// else's then, and counts as unreadable.
-    tells_lives: bool,
-    /// The last unbroken contact with the store; `None` while it is silent.
+    /// How long a server without an entry is kept.
+    retention: Duration,
+    /// Whether entries contain incarnations. If so, an entry without one comes from another
+    /// writer and is handled as unreadable.
+    entries_have_incarnation: bool,
+    /// The last uninterrupted contact with the store; `None` while it is unreachable.
     contact: Option<Contact>,
     evacuation: Evacuation,
-    /// This instance.
-    me: id::Instance,
-    /// The instances that share the callers, this one included.
+    /// Name of this instance.
+    own_instance: id::Instance,
+    /// The instances that share the callers, including this one.
     peers: Vec<Peer>,
-    /// What servers bear after their start, by service.
+    /// Load limits of cold servers, by service.
     warmups: HashMap<id::Service, Warmup>,
 }
 
 impl Directory {
-    /// An empty directory of an instance in this zone that knows past servers
-    /// for this long.
-    pub fn new(me: id::Instance, home: id::Zone, keep: Duration) -> Self {
+    /// Creates an empty directory for an instance in this zone that keeps servers
+    /// without an entry for `retention`.
+    pub fn new(own_instance: id::Instance, zone: id::Zone, retention: Duration) -> Self {
         Self {
             records: Vec::new(),
-            free: Vec::new(),
+            free_handles: Vec::new(),
             by_id: HashMap::new(),
             by_tag: HashMap::new(),
             by_service: HashMap::new(),
-            keep,
-            tells_lives: false,
+            retention,
+            entries_have_incarnation: false,
             contact: None,
             evacuation: Evacuation::default(),
             peers: vec![Peer {
-                instance: me.clone(),
-                zone: home.clone(),
+                instance: own_instance.clone(),
+                zone: zone.clone(),
             }],
             warmups: HashMap::new(),
-            me,
-            home,
+            own_instance,
+            zone,
         }
     }
 
-    /// Takes in a server's entry as it is written; `false` when it is of an earlier life.
+    /// Applies a server's entry. Returns `false` if it belongs to an earlier incarnation.
     ///
-    /// A write of a server's former life can reach the store after the first of
-    /// its present one.
+    /// The last write of a former incarnation can reach the store after the first write of
+    /// the current one.
     pub fn put(&mut self, now: Instant, server: Server) -> bool {
-        let slot = self.by_id.get(&server.id);
-        let known = slot.and_then(|slot| self.get(*slot));
-        let is_new_life = known.is_none_or(|known| {
+        let handle = self.by_id.get(&server.id);
+        let known = handle.and_then(|handle| self.get(*handle));
+        let is_new_incarnation = known.is_none_or(|known| {
             known.server.incarnation.is_some() && known.server.incarnation < server.incarnation
         });
-        if is_new_life {
-            self.replace_at(now, &server);
+        if is_new_incarnation {
+            self.mark_replaced(now, &server);
         }
-        self.take(now, server)
+        self.apply(now, server)
     }
 
-    /// Notes that a server starts at an address at which others are known.
+    /// Marks the servers known at an address at which another server starts.
     ///
-    /// An address belongs to one machine, so that a start there ends whoever was there
-    /// before. Load pattern: a quarter of a service's servers vanish and their
-    /// addresses are given away; callers with open flows there would wait for
-    /// their deadlines until the entries have lapsed and stayed away.
-    fn replace_at(&mut self, now: Instant, server: &Server) {
+    /// An address belongs to one machine, so that a start there means that its former server
+    /// has ended. Load pattern: a quarter of a service's servers vanish and their addresses
+    /// are reassigned. Without this rule, callers with open flows there would wait until
+    /// their deadlines, because the entries first have to lapse and stay missing.
+    fn mark_replaced(&mut self, now: Instant, server: &Server) {
         for record in self.records.iter_mut().flatten() {
             let known = &record.server;
             let is_former = known.address == server.address && known.id != server.id;
-            // Of those that tell their starts, one that is earlier was merely written late.
+            // An earlier incarnation is a late write and replaces no server.
             let is_later = server.incarnation >= known.incarnation;
             if is_former && is_later {
                 record.replaced_since.get_or_insert(now);
@@ -298,71 +298,73 @@
         }
     }
 
-    fn take(&mut self, now: Instant, server: Server) -> bool {
-        self.tells_lives |= server.incarnation.is_some();
-        let Some(slot) = self.by_id.get(&server.id).copied() else {
+    fn apply(&mut self, now: Instant, server: Server) -> bool {
+        self.entries_have_incarnation |= server.incarnation.is_some();
+        let Some(handle) = self.by_id.get(&server.id).copied() else {
             self.insert(now, server);
             return true;
         };
-        let known = self.get(slot).and_then(|record| record.server.incarnation);
+        let known = self
+            .get(handle)
+            .and_then(|record| record.server.incarnation);
         match known.cmp(&server.incarnation) {
             Ordering::Greater if server.incarnation.is_none() => {
                 self.mark_unreadable(&server.id);
                 return true;
             }
             Ordering::Greater => return false,
-            Ordering::Less if known.is_some() => self.restart(now, slot, server),
-            Ordering::Less | Ordering::Equal => self.update(now, slot, server),
+            Ordering::Less if known.is_some() => self.restart(now, handle, server),
+            Ordering::Less | Ordering::Equal => self.update(now, handle, server),
         }
         true
     }
 
-    fn update(&mut self, now: Instant, slot: Slot, server: Server) {
+    fn update(&mut self, now: Instant, handle: ServerHandle, server: Server) {
         let is_moved = |known: &Record| {
             known.server.service != server.service || known.server.zone != server.zone
         };
-        if self.get(slot).is_some_and(is_moved) {
-            self.unlist(slot);
-            self.list(slot, &server);
+        if self.get(handle).is_some_and(is_moved) {
+            self.remove_from_pool(handle);
+            self.add_to_pool(handle, &server);
         }
-        let Some(record) = self.get_mut(slot) else {
+        let Some(record) = self.get_mut(handle) else {
             return;
         };
         record.missing_since = None;
-        // Whoever writes lives.
+        // A server that writes its entry is alive.
         record.replaced_since = None;
         record.is_unreadable = false;
         record.draining_since = draining_since(&server, record.draining_since, now);
         record.cold_until = now + server.cold_for;
         record.server = server;
-        self.prepare(slot);
+        self.update_derived_fields(handle);
     }
 
-    /// Begins a server's next life, which holds nothing of the one before.
+    /// Replaces a server's record by one for its next incarnation, which has no open flows.
     ///
-    /// Flows, requests and evidence of the former life stay with its slot, which
-    /// counts nowhere any more: the new one would look loaded or silent for what
-    /// it never had. Packets of those flows go to the new life, which resets what
-    /// it does not hold, so that their callers know at once.
-    fn restart(&mut self, now: Instant, former: Slot, server: Server) {
-        self.unlist(former);
-        let slot = Slot {
-            life: former.life.wrapping_add(1),
+    /// Flows, requests and evidence of the former incarnation keep its index and are no
+    /// longer counted. Otherwise the new incarnation would look loaded or unresponsive
+    /// because of requests that it never received. Packets of the old flows are forwarded to
+    /// the new incarnation, which resets unknown flows, so that the callers know at once.
+    fn restart(&mut self, now: Instant, former: ServerHandle, server: Server) {
+        self.remove_from_pool(former);
+        let handle = ServerHandle {
+            generation: former.generation.wrapping_add(1),
             ..former
         };
         let tag = Tag::of(server.serial);
-        let has_doubled_tag = self.by_tag.get(&tag) != Some(&former);
-        if !has_doubled_tag {
-            self.by_tag.insert(tag, slot);
+        let has_duplicate_tag = self.by_tag.get(&tag) != Some(&former);
+        if !has_duplicate_tag {
+            self.by_tag.insert(tag, handle);
         }
-        self.by_id.insert(server.id.clone(), slot);
-        self.list(slot, &server);
-        self.records[slot.index()] = Some(Record::new(slot, server, has_doubled_tag, now));
-        self.prepare(slot);
+        self.by_id.insert(server.id.clone(), handle);
+        self.add_to_pool(handle, &server);
+        self.records[handle.index()] = Some(Record::new(handle, server, has_duplicate_tag, now));
+        self.update_derived_fields(handle);
     }
 
-    /// Changes which zones are evacuated; `false` when that changes nothing.
-    pub(crate) fn evacuate(
+    /// Changes the set of evacuated zones. Returns `false` if that has no effect.
+    pub(crate) fn change_evacuation(
         &mut self,
         now: Instant,
         change: impl FnOnce(&mut Evacuation) -> bool,
@@ -372,7 +374,7 @@
             let is_evacuated = self.evacuation.contains(&record.server.zone);
             let is_back = record.is_evacuated && !is_evacuated;
             record.is_evacuated = is_evacuated;
-            // Its entry may tell only later that it has become cold meanwhile.
+            // The server's entry may report only later that it has become cold meanwhile.
             let warmup = self.warmups.get(&record.server.service);
             if let Some(warmup) = warmup.filter(|warmup| is_back && warmup.rate > 0.0) {
                 record.cold_until = record.cold_until.max(now + warmup.lasts);
@@ -386,81 +388,95 @@
         &self.evacuation
     }
 
-    /// Takes over who shares the callers, this instance among them.
+    /// Replaces the list of instances that share the callers, including this one.
     pub(crate) fn set_peers(&mut self, peers: Vec<Peer>) {
         self.peers = peers;
-        self.share_out();
+        self.update_cold_quotas();
     }
 
-    /// Takes over what servers bear after their start.
+    /// Replaces the load limits of cold servers.
     pub(crate) fn set_warmups(&mut self, warmups: HashMap<id::Service, Warmup>) {
         if self.warmups != warmups {
             self.warmups = warmups;
-            self.share_out();
+            self.update_cold_quotas();
         }
     }
 
-    /// Counts a new flow at a server that may be cold.
-    pub(crate) fn take_share(&mut self, slot: Slot, now: Instant) {
-        if let Some(record) = self.get_mut(slot)
+    /// Counts a new flow against the quota if the server is cold.
+    pub(crate) fn use_cold_quota(&mut self, handle: ServerHandle, now: Instant) {
+        if let Some(record) = self.get_mut(handle)
             && now < record.cold_until
         {
-            record.share.take(now);
+            record.cold_quota.take(now);
         }
     }
 
-    fn share_out(&mut self) {
+    fn update_cold_quotas(&mut self) {
         for record in self.records.iter_mut().flatten() {
-            let most = most(&self.me, &self.peers, &self.warmups, &record.server);
-            record.share.set(most);
+            let limit = quota_limit(
+                &self.own_instance,
+                &self.peers,
+                &self.warmups,
+                &record.server,
+            );
+            record.cold_quota.set(limit);
         }
     }
 
-    /// Works out what depends on a server's entry and on others.
-    fn prepare(&mut self, slot: Slot) {
-        if let Some(Some(record)) = self.records.get_mut(slot.index()) {
+    /// Updates the fields that depend on the entry, the evacuated zones and the peers.
+    fn update_derived_fields(&mut self, handle: ServerHandle) {
+        if let Some(Some(record)) = self.records.get_mut(handle.index()) {
             record.is_evacuated = self.evacuation.contains(&record.server.zone);
-            let most = most(&self.me, &self.peers, &self.warmups, &record.server);
-            record.share.set(most);
+            let limit = quota_limit(
+                &self.own_instance,
+                &self.peers,
+                &self.warmups,
+                &record.server,
+            );
+            record.cold_quota.set(limit);
         }
     }
 
-    /// Takes in that a server's entry cannot be read.
+    /// Marks a server's entry as unreadable.
     pub fn mark_unreadable(&mut self, id: &id::Server) {
-        let slot = self.by_id.get(id).copied();
-        if let Some(record) = slot.and_then(|slot| self.get_mut(slot)) {
+        let handle = self.by_id.get(id).copied();
+        if let Some(record) = handle.and_then(|handle| self.get_mut(handle)) {
             record.is_unreadable = true;
         }
     }
 
     fn insert(&mut self, now: Instant, server: Server) {
-        let slot = self.free.pop().unwrap_or_else(|| {
+        let handle = self.free_handles.pop().unwrap_or_else(|| {
             self.records.push(None);
             let index = self.records.len() as u32 - 1;
-            Slot { index, life: 0 }
+            ServerHandle {
+                index,
+                generation: 0,
+            }
         });
         let tag = Tag::of(server.serial);
-        // The older server keeps the tag: its flows carry it already. Packets
-        // of the later one would reach the wrong server, so it gets no flows.
-        let has_doubled_tag = self.by_tag.contains_key(&tag);
-        if !has_doubled_tag {
-            self.by_tag.insert(tag, slot);
+        // The older server keeps the tag, because its flows carry it already. Packets for
+        // the newer one would reach the wrong server, so it gets no flows.
+        let has_duplicate_tag = self.by_tag.contains_key(&tag);
+        if !has_duplicate_tag {
+            self.by_tag.insert(tag, handle);
         }
-        self.by_id.insert(server.id.clone(), slot);
-        self.list(slot, &server);
-        self.records[slot.index()] = Some(Record::new(slot, server, has_doubled_tag, now));
-        self.prepare(slot);
+        self.by_id.insert(server.id.clone(), handle);
+        self.add_to_pool(handle, &server);
+        self.records[handle.index()] = Some(Record::new(handle, server, has_duplicate_tag, now));
+        self.update_derived_fields(handle);
     }
 
-    /// Takes in that a server's entry is gone.
+    /// Marks a server's entry as missing.
     pub fn remove(&mut self, now: Instant, id: &id::Server) {
-        let slot = self.by_id.get(id).copied();
-        if let Some(record) = slot.and_then(|slot| self.get_mut(slot)) {
+        let handle = self.by_id.get(id).copied();
+        if let Some(record) = handle.and_then(|handle| self.get_mut(handle)) {
             record.missing_since.get_or_insert(now);
         }
     }
 
-    /// Takes in the whole list; what is neither on it nor unreadable is gone.
+    /// Replaces the list of servers. Entries that are neither listed nor unreadable are
+    /// marked as missing.
     pub fn replace(&mut self, now: Instant, servers: Vec<Server>, unreadable: Vec<id::Server>) {
         for id in &unreadable {
             self.mark_unreadable(id);
@@ -476,185 +492,188 @@
         for id in missing {
             self.remove(now, &id);
         }
-        // A list does not tell which of two servers at one address is the later one.
+        // A list does not show which of two servers at one address started later.
         for server in servers {
-            self.take(now, server);
+            self.apply(now, server);
         }
     }
 
-    /// Notes that the store has answered.
+    /// Records that the store has answered.
     pub fn note_contact(&mut self, contact: Contact) {
         let joined = self.contact.map_or(contact, |before| before.join(contact));
         self.contact = Some(joined);
     }
 
-    /// Notes that the store does not answer.
-    pub fn note_silence(&mut self) {
+    /// Records that the store does not answer.
+    pub fn note_unreachable(&mut self) {
         self.contact = None;
     }
 
-    /// Whether an entry that has been missing since then may still come back.
-    fn may_come_back(&self, missing: Instant) -> bool {
+    /// Whether an entry that has been missing since `missing` may still return.
+    fn may_return(&self, missing: Instant) -> bool {
         self.contact
-            .is_none_or(|contact| !contact.outlasts(missing))
+            .is_none_or(|contact| !contact.rules_out_return(missing))
     }
 
-    /// Whether new flows may go to a server although its entry is missing.
+    /// Whether a server accepts new flows although its entry is missing.
     ///
-    /// A store that goes away may drop the entries of servers that live, all of them.
-    /// Callers would be refused until it is back.
-    pub(crate) fn may_return(&self, record: &Record) -> bool {
-        let ready = record.server.presence == Presence::Ready && !record.has_doubled_tag;
+    /// A store that fails may drop the entries of all servers although these are alive.
+    /// Otherwise new flows would be refused until the store is back.
+    pub(crate) fn accepts_while_missing(&self, record: &Record) -> bool {
+        let ready = record.server.presence == Presence::Ready && !record.has_duplicate_tag;
         let missing = record.missing_since;
         let is_replaced = record.replaced_since.is_some();
-        ready && !is_replaced && missing.is_some_and(|missing| self.may_come_back(missing))
+        ready && !is_replaced && missing.is_some_and(|missing| self.may_return(missing))
     }
 
-    /// Since when a server is proved to be gone; `None` while it may live.
+    /// Since when a server has been proven to be gone; `None` while it may be alive.
     ///
-    /// An entry also lapses while its server cannot reach the store. It counts
-    /// as gone when contact with the store has outlasted what a return may take and
-    /// nothing has come from the server since, or when another server has
-    /// its address and it has not been heard since.
-    pub(crate) fn gone_since(&self, slot: Slot, now: Instant) -> Option<Instant> {
-        let record = self.get(slot)?;
-        let is_over = |replaced: &Instant| now >= *replaced + SUCCESSION;
-        let replaced = record.replaced_since.filter(is_over);
+    /// An entry also lapses if its server cannot reach the store. The server therefore
+    /// counts as gone if it has not answered and the contact with the store has lasted
+    /// longer than a live server needs to restore its entry. It also counts as gone if
+    /// another server has started at its address and it has not answered since.
+    pub(crate) fn gone_since(&self, handle: ServerHandle, now: Instant) -> Option<Instant> {
+        let record = self.get(handle)?;
+        let has_grace_ended = |replaced: &Instant| now >= *replaced + REPLACEMENT_GRACE;
+        let replaced = record.replaced_since.filter(has_grace_ended);
         let missing = record.missing_since;
-        let missing = missing.filter(|missing| !self.may_come_back(*missing));
-        let is_silent = |since: &Instant| !record.has_answered_since(*since);
-        replaced.or(missing).filter(is_silent)
+        let missing = missing.filter(|missing| !self.may_return(*missing));
+        let is_unanswered = |since: &Instant| !record.has_answered_since(*since);
+        replaced.or(missing).filter(is_unanswered)
     }
 
-    /// Forgets servers that have been gone for longer than a flow lasts.
+    /// Removes servers that have been missing for longer than the lifetime of a flow.
     pub fn forget(&mut self, now: Instant) {
-        let keep = self.keep;
-        let is_over = |record: &Record| record.missing_since.is_some_and(|s| now >= s + keep);
-        let slots = self.records.iter().enumerate();
-        let over = slots.filter_map(|(index, record)| {
-            let record = record.as_ref().filter(|record| is_over(record))?;
-            Some(Slot {
+        let retention = self.retention;
+        let is_expired =
+            |record: &Record| record.missing_since.is_some_and(|s| now >= s + retention);
+        let indexed = self.records.iter().enumerate();
+        let expired = indexed.filter_map(|(index, record)| {
+            let record = record.as_ref().filter(|record| is_expired(record))?;
+            Some(ServerHandle {
                 index: index as u32,
-                life: record.life,
+                generation: record.generation,
             })
         });
-        let over: Vec<Slot> = over.collect();
-        for slot in over {
-            self.unlist(slot);
-            let Some(record) = self.records[slot.index()].take() else {
+        let expired: Vec<ServerHandle> = expired.collect();
+        for handle in expired {
+            self.remove_from_pool(handle);
+            let Some(record) = self.records[handle.index()].take() else {
                 continue;
             };
-            // Flows may still name the slot's former server.
-            self.free.push(Slot {
-                life: slot.life.wrapping_add(1),
-                ..slot
+            // Flows may still refer to the former server at this index.
+            self.free_handles.push(ServerHandle {
+                generation: handle.generation.wrapping_add(1),
+                ..handle
             });
             self.by_id.remove(&record.server.id);
-            if self.by_tag.get(&record.tag) == Some(&slot) {
+            if self.by_tag.get(&record.tag) == Some(&handle) {
                 self.by_tag.remove(&record.tag);
             }
         }
     }
 
-    fn list(&mut self, slot: Slot, server: &Server) {
-        let is_home = server.zone == self.home;
+    fn add_to_pool(&mut self, handle: ServerHandle, server: &Server) {
+        let is_local = server.zone == self.zone;
         let pool = self.by_service.entry(server.service.clone()).or_default();
-        pool.side(is_home).push(slot);
+        pool.list_mut(is_local).push(handle);
     }
 
-    fn unlist(&mut self, slot: Slot) {
-        let Some(record) = self.get(slot) else {
+    fn remove_from_pool(&mut self, handle: ServerHandle) {
+        let Some(record) = self.get(handle) else {
             return;
         };
         let service = record.server.service.clone();
-        let is_home = record.server.zone == self.home;
+        let is_local = record.server.zone == self.zone;
         if let Some(pool) = self.by_service.get_mut(&service) {
-            pool.side(is_home).retain(|other| *other != slot);
+            pool.list_mut(is_local).retain(|other| *other != handle);
         }
     }
 
-    /// What the known servers last told of themselves, in no order.
+    /// The last known entries of all servers, in no particular order.
     pub fn servers(&self) -> impl Iterator<Item = &Server> {
         self.records().map(|record| &record.server)
     }
 
-    /// Servers listed at this moment.
+    /// Number of servers that are listed in the store now.
     pub fn listed(&self) -> usize {
         let is_listed = |record: &&Record| record.missing_since.is_none();
         self.records().filter(is_listed).count()
     }
 
-    /// Flows and requests counted at all servers.
+    /// Sum of the flows and requests counted at all servers.
     pub fn load(&self) -> u64 {
         let of = |record: &Record| u64::from(record.flows) + u64::from(record.outstanding);
         self.records().map(of).sum()
     }
 
-    /// What a server's answers usually are.
-    pub(crate) fn usual_mut(&mut self, slot: Slot) -> Option<&mut Usual> {
-        let service = &self.records.get(slot.index())?.as_ref()?.server.service;
-        self.by_service.get_mut(service).map(|pool| &mut pool.usual)
+    /// Typical answers of the server's service.
+    pub(crate) fn baseline_mut(&mut self, handle: ServerHandle) -> Option<&mut ResponseBaseline> {
+        let service = &self.records.get(handle.index())?.as_ref()?.server.service;
+        self.by_service
+            .get_mut(service)
+            .map(|pool| &mut pool.baseline)
     }
 
-    /// What this instance counted against servers, the worst first.
+    /// The outcomes that this instance counted for suspicious servers, the worst first.
     pub(crate) fn testimony(&self, now: Instant) -> Vec<Testimony> {
-        let told = self.records().filter_map(|record| {
+        let reports = self.records().filter_map(|record| {
             Some(Testimony {
                 serial: record.server.serial,
                 incarnation: record.server.incarnation,
                 counts: record.experience.testimony(now)?,
             })
         });
-        let mut told: Vec<Testimony> = told.collect();
-        told.sort_by(|a, b| b.counts.bad_share().total_cmp(&a.counts.bad_share()));
-        told.truncate(MOST_TESTIMONY);
-        told
+        let mut reports: Vec<Testimony> = reports.collect();
+        reports.sort_by(|a, b| b.counts.bad_share().total_cmp(&a.counts.bad_share()));
+        reports.truncate(MAX_OUTCOME_REPORTS);
+        reports
     }
 
-    /// Takes over what the zone counted; of other lives nothing counts.
-    pub(crate) fn hear(&mut self, now: Instant, testimony: &[Testimony]) {
-        for told in testimony {
-            let slot = self.by_tag(Tag::of(told.serial));
-            let Some(record) = slot.and_then(|slot| self.get_mut(slot)) else {
+    /// Applies the outcomes that the zone counted; those of other incarnations are ignored.
+    pub(crate) fn apply_zone_outcomes(&mut self, now: Instant, testimony: &[Testimony]) {
+        for report in testimony {
+            let handle = self.by_tag(Tag::of(report.serial));
+            let Some(record) = handle.and_then(|handle| self.get_mut(handle)) else {
                 continue;
             };
             let server = &record.server;
-            if (server.serial, server.incarnation) == (told.serial, told.incarnation) {
-                record.experience.hear(now, told.counts);
+            if (server.serial, server.incarnation) == (report.serial, report.incarnation) {
+                record.experience.set_zone_counts(now, report.counts);
             }
         }
-        self.weigh(now);
+        self.update_penalties(now);
     }
 
-    /// Works out all penalties anew: counts fade.
-    pub(crate) fn weigh(&mut self, now: Instant) {
+    /// Updates all penalties, because the counts decay over time.
+    pub(crate) fn update_penalties(&mut self, now: Instant) {
         for record in self.records.iter_mut().flatten() {
-            record.weigh(now);
+            record.update_penalty(now);
         }
     }
 
-    pub(crate) fn by_tag(&self, tag: Tag) -> Option<Slot> {
+    pub(crate) fn by_tag(&self, tag: Tag) -> Option<ServerHandle> {
         self.by_tag.get(&tag).copied()
     }
 
-    pub(crate) fn of_service(&self, service: &id::Service) -> Option<&Pool> {
+    pub(crate) fn pool_of(&self, service: &id::Service) -> Option<&Pool> {
         self.by_service.get(service)
     }
 
-    /// The server, in its present life.
-    pub(crate) fn get(&self, slot: Slot) -> Option<&Record> {
-        self.records.get(slot.index())?.as_ref()
+    /// The current record of the server, whatever incarnation the index refers to.
+    pub(crate) fn get(&self, handle: ServerHandle) -> Option<&Record> {
+        self.records.get(handle.index())?.as_ref()
     }
 
-    /// The server, if it still lives the life that is meant.
-    pub(crate) fn get_mut(&mut self, slot: Slot) -> Option<&mut Record> {
-        let record = self.records.get_mut(slot.index())?.as_mut();
-        record.filter(|record| record.life == slot.life)
+    /// The server's record if it still has the incarnation that the index refers to.
+    pub(crate) fn get_mut(&mut self, handle: ServerHandle) -> Option<&mut Record> {
+        let record = self.records.get_mut(handle.index())?.as_mut();
+        record.filter(|record| record.generation == handle.generation)
     }
 
-    /// Whether an entry tells what all servers tell of themselves.
-    pub(crate) fn is_complete(&self, record: &Record) -> bool {
-        !self.tells_lives || record.server.incarnation.is_some()
+    /// Whether the entry contains an incarnation, if the other servers' entries do.
+    pub(crate) fn has_expected_incarnation(&self, record: &Record) -> bool {
+        !self.entries_have_incarnation || record.server.incarnation.is_some()
     }
 
     pub(crate) fn records(&self) -> impl Iterator<Item = &Record> {
@@ -662,9 +681,9 @@
     }
 }
 
-/// New flows that this instance may send a server while it is cold.
-fn most(
-    me: &id::Instance,
+/// New flows that this instance may open at a server per second while it is cold.
+fn quota_limit(
+    own_instance: &id::Instance,
     peers: &[Peer],
     warmups: &HashMap<id::Service, Warmup>,
     server: &Server,
@@ -673,7 +692,7 @@
     let rate = warmup
         .map(|warmup| warmup.rate)
         .filter(|rate| *rate > 0.0)?;
-    Some(warmup::share(me, peers, server, rate))
+    Some(warmup::share(own_instance, peers, server, rate))
 }
 
 fn draining_since(server: &Server, before: Option<Instant>, now: Instant) -> Option<Instant> {
--- a/src/flow/egress.rs
+++ b/src/flow/egress.rs
@@ -1,13 +1,13 @@
-//! Packets that wait for this instance's own link.
+//! Queue for packets that exceed the rate of this instance's own link.
 //!
-//! Load pattern: through the routers the sixteen packets of an upload's window arrive
-//! within a millisecond. A link of 2 Mbit/s takes three of them at once and loses the
-//! others; their sender repeats all of them every 200 ms, and loses most again. Others'
-//! requests are lost with them, and the servers look silent.
+//! Load pattern: routers deliver the sixteen packets of an upload's window within a
+//! millisecond. A link of 2 Mbit/s accepts three of them at once and loses the others.
+//! The sender retransmits all of them every 200 ms and loses most of them again. Requests
+//! of other callers are lost as well, and the servers look unresponsive.
 //!
-//! So packets go out no faster than the link carries them. What waits is ordered by
-//! start-time fair queueing: each flow gets the same share, and whoever has nothing
-//! waiting, an opening packet or a short request, is next.
+//! Packets are therefore sent no faster than the link carries them. Queued packets are
+//! ordered by start-time fair queueing: each flow gets the same share of the link, and a
+//! flow without queued packets, such as a SYN or a short request, is sent next.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -19,202 +19,202 @@
 use crate::flow::Pair;
 use crate::flow::Segment;
 
-/// What a datagram takes on a link beside its bytes: the heads of UDP, IP and Ethernet.
-const OVERHEAD: usize = 42;
+/// Bytes per datagram on the link beside its payload: the UDP, IP and Ethernet headers.
+const HEADER_BYTES: usize = 42;
 
-/// Time on the link of what may go out at once. Links hold more than this, and a timer
-/// fires early enough for the next.
-const AHEAD: Duration = Duration::from_millis(5);
+/// Link time of the packets that may be sent ahead. Links buffer more than this, and it is
+/// long enough for a timer to fire before the link becomes idle.
+const SEND_AHEAD: Duration = Duration::from_millis(5);
 
-/// Part of the link that callers' packets may take; the rest is for the copy of the
-/// store, which must not grow old behind uploads.
-const SHARE: f64 = 0.9;
+/// FlowQueue of the link for callers' packets. The remainder is for updates from the store,
+/// which uploads must not delay.
+const CALLER_SHARE: f64 = 0.9;
 
-/// Longest time on the link of what waits: a sender repeats its packets several times
-/// within it, and most requests are late after it.
-const MOST_WAIT: Duration = Duration::from_secs(1);
+/// Link time of the queued packets at most: within it a sender retransmits several times,
+/// and after it most requests have missed their deadline.
+const MAX_QUEUE_TIME: Duration = Duration::from_secs(1);
 
-/// Bytes that wait at most, on wide links.
-const MOST_BYTES: f64 = 4e6;
+/// Upper bound of the queued bytes on fast links.
+const MAX_QUEUE_BYTES: f64 = 4e6;
 
-/// A datagram and where it goes.
+/// A datagram and its destination.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
-    /// Its bytes.
+    /// Payload of the datagram.
     pub bytes: Vec<u8>,
-    /// The server's address.
+    /// Address of the server.
     pub to: SocketAddrV4,
 }
 
-/// What becomes of a datagram.
+/// Result of queueing a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It waits for its turn.
+    /// The datagram has been queued.
     Waits,
-    /// It waits in place of an earlier copy of the same data.
+    /// The datagram has replaced a queued copy of the same data.
     Replaces,
-    /// Too much waits already.
+    /// The queue is full.
     Refused,
 }
 
-/// Where a datagram stands: by its start on a link shared fairly, then by arrival.
-type Place = (u64, u64);
+/// Order of the queue: start tag of the fair queueing, then order of arrival.
+type QueuePosition = (u64, u64);
 
-/// What names the data of a packet that is repeated.
-type Data = (Pair, u32);
+/// Flow and sequence number that identify the data of a retransmission.
+type DataKey = (Pair, u32);
 
 #[derive(Debug)]
-struct Waiting {
+struct QueuedDatagram {
     datagram: Datagram,
     pair: Pair,
-    /// `None` for packets without data, of which each says something else.
-    data: Option<Data>,
+    /// `None` for packets without data, which are never retransmissions of each other.
+    data: Option<DataKey>,
 }
 
-/// A flow with packets that wait.
+/// A flow with queued packets.
 #[derive(Debug)]
-struct Share {
-    /// Where the last of them ends on a link shared fairly, in bytes.
-    end: u64,
-    waiting: usize,
+struct FlowQueue {
+    /// Finish tag of the flow's last packet, in bytes of virtual time.
+    finish_tag: u64,
+    queued: usize,
 }
 
-/// The queue in front of the link.
+/// Rate limiter and fair queue in front of the link.
 #[derive(Debug)]
 pub struct Egress {
     bytes_per_second: f64,
-    /// When the link will have carried all that went out.
-    free: Instant,
-    /// Progress of the link shared fairly, in bytes.
-    progress: u64,
+    /// When the link will have sent all datagrams charged so far.
+    link_free_at: Instant,
+    /// Virtual time of the fair queueing, in bytes.
+    virtual_time: u64,
     arrivals: u64,
-    waiting: BTreeMap<Place, Waiting>,
-    places: HashMap<Data, Place>,
-    shares: HashMap<Pair, Share>,
-    /// Bytes that wait, with their heads.
+    queue: BTreeMap<QueuePosition, QueuedDatagram>,
+    position_by_data: HashMap<DataKey, QueuePosition>,
+    flow_queues: HashMap<Pair, FlowQueue>,
+    /// Queued bytes, including headers.
     bytes: usize,
-    most_bytes: usize,
+    max_bytes: usize,
 }
 
 impl Egress {
-    /// An empty queue in front of a link of this rate.
+    /// Creates an empty queue for a link with this rate.
     pub fn new(bytes_per_second: f64, now: Instant) -> Self {
-        let bytes_per_second = bytes_per_second * SHARE;
-        let most = bytes_per_second * MOST_WAIT.as_secs_f64();
+        let bytes_per_second = bytes_per_second * CALLER_SHARE;
+        let max_bytes = bytes_per_second * MAX_QUEUE_TIME.as_secs_f64();
         Self {
             bytes_per_second,
-            free: now,
-            progress: 0,
+            link_free_at: now,
+            virtual_time: 0,
             arrivals: 0,
-            waiting: BTreeMap::new(),
-            places: HashMap::new(),
-            shares: HashMap::new(),
+            queue: BTreeMap::new(),
+            position_by_data: HashMap::new(),
+            flow_queues: HashMap::new(),
             bytes: 0,
-            most_bytes: most.min(MOST_BYTES) as usize,
+            max_bytes: max_bytes.min(MAX_QUEUE_BYTES) as usize,
         }
     }
 
-    /// Whether a datagram may go out at once; it is counted if so.
+    /// Whether a datagram may be sent at once; if so, it is charged to the link.
     pub fn passes(&mut self, now: Instant, bytes: usize) -> bool {
-        let passes = self.waiting.is_empty() && self.is_free(now);
+        let passes = self.queue.is_empty() && self.is_free(now);
         if passes {
             self.count(now, bytes);
         }
         passes
     }
 
-    /// Counts a datagram that goes out in any case.
+    /// Charges the link for a datagram that is sent in any case.
     pub fn count(&mut self, now: Instant, bytes: usize) {
-        let time = (bytes + OVERHEAD) as f64 / self.bytes_per_second;
-        self.free = self.free.max(now) + Duration::from_secs_f64(time);
+        let time = (bytes + HEADER_BYTES) as f64 / self.bytes_per_second;
+        self.link_free_at = self.link_free_at.max(now) + Duration::from_secs_f64(time);
     }
 
-    /// Lets a datagram wait for its turn.
+    /// Queues a datagram.
     ///
-    /// A repeat of data that waits is no second datagram: what it says beside its data is
-    /// newer, so that it takes the place of the first. Only data is refused
-    /// when too much waits, or uploads would shut new callers out.
+    /// A retransmission of queued data takes the place of the queued packet, because its
+    /// other header fields are newer. Only packets with data are refused when the queue is
+    /// full; otherwise uploads would keep out new callers.
     pub fn wait(&mut self, segment: &Segment, datagram: Datagram) -> Admission {
-        let size = datagram.bytes.len() + OVERHEAD;
+        let size = datagram.bytes.len() + HEADER_BYTES;
         let data = (segment.len > 0).then_some((segment.pair, segment.seq));
-        let known = data.and_then(|data| self.places.get(&data));
-        if let Some(waiting) = known.and_then(|place| self.waiting.get_mut(place)) {
-            // Whoever repeats may have changed the size.
-            let earlier = waiting.datagram.bytes.len() + OVERHEAD;
+        let queued_at = data.and_then(|data| self.position_by_data.get(&data));
+        if let Some(queued) = queued_at.and_then(|position| self.queue.get_mut(position)) {
+            // A retransmission may have another size.
+            let earlier = queued.datagram.bytes.len() + HEADER_BYTES;
             let bytes = self.bytes - earlier + size;
-            if size > earlier && bytes > self.most_bytes {
+            if size > earlier && bytes > self.max_bytes {
                 return Admission::Refused;
             }
             self.bytes = bytes;
-            waiting.datagram = datagram;
+            queued.datagram = datagram;
             return Admission::Replaces;
         }
-        if data.is_some() && self.bytes + size > self.most_bytes {
+        if data.is_some() && self.bytes + size > self.max_bytes {
             return Admission::Refused;
         }
-        let start = self.enter(segment.pair, size as u64);
-        let place = (start, self.arrivals);
+        let start = self.assign_start_tag(segment.pair, size as u64);
+        let position = (start, self.arrivals);
         self.arrivals += 1;
         self.bytes += size;
         if let Some(data) = data {
-            self.places.insert(data, place);
+            self.position_by_data.insert(data, position);
         }
-        let waiting = Waiting {
+        let queued = QueuedDatagram {
             datagram,
             pair: segment.pair,
             data,
         };
-        self.waiting.insert(place, waiting);
+        self.queue.insert(position, queued);
         Admission::Waits
     }
 
-    /// Where a flow's next packet starts on a link shared fairly.
-    fn enter(&mut self, pair: Pair, size: u64) -> u64 {
-        let progress = self.progress;
-        let share = self.shares.entry(pair).or_insert(Share {
-            end: progress,
-            waiting: 0,
+    /// Start tag of a flow's next packet, in bytes of virtual time.
+    fn assign_start_tag(&mut self, pair: Pair, size: u64) -> u64 {
+        let virtual_time = self.virtual_time;
+        let flow_queue = self.flow_queues.entry(pair).or_insert(FlowQueue {
+            finish_tag: virtual_time,
+            queued: 0,
         });
-        let start = share.end.max(progress);
-        share.end = start + size;
-        share.waiting += 1;
+        let start = flow_queue.finish_tag.max(virtual_time);
+        flow_queue.finish_tag = start + size;
+        flow_queue.queued += 1;
         start
     }
 
-    /// The next datagram that may go out; it is counted.
+    /// Dequeues the next datagram that may be sent now, and charges it to the link.
     pub fn next(&mut self, now: Instant) -> Option<Datagram> {
         if !self.is_free(now) {
             return None;
         }
-        let (place, waiting) = self.waiting.pop_first()?;
-        self.progress = place.0;
-        if let Some(data) = waiting.data {
-            self.places.remove(&data);
+        let (position, queued) = self.queue.pop_first()?;
+        self.virtual_time = position.0;
+        if let Some(data) = queued.data {
+            self.position_by_data.remove(&data);
         }
-        if let Some(share) = self.shares.get_mut(&waiting.pair) {
-            share.waiting -= 1;
-            if share.waiting == 0 {
-                self.shares.remove(&waiting.pair);
+        if let Some(flow_queue) = self.flow_queues.get_mut(&queued.pair) {
+            flow_queue.queued -= 1;
+            if flow_queue.queued == 0 {
+                self.flow_queues.remove(&queued.pair);
             }
         }
-        let length = waiting.datagram.bytes.len();
-        self.bytes -= length + OVERHEAD;
+        let length = queued.datagram.bytes.len();
+        self.bytes -= length + HEADER_BYTES;
         self.count(now, length);
-        Some(waiting.datagram)
+        Some(queued.datagram)
     }
 
-    /// When [`Egress::next`] has something again.
+    /// When [`Egress::next`] returns a datagram again; `None` if the queue is empty.
     pub fn next_due(&self) -> Option<Instant> {
-        let is_waiting = !self.waiting.is_empty();
-        is_waiting.then(|| self.free - AHEAD)
+        let is_queued = !self.queue.is_empty();
+        is_queued.then(|| self.link_free_at - SEND_AHEAD)
     }
 
-    /// Bytes that wait, with their heads.
+    /// Queued bytes, including headers.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
     fn is_free(&self, now: Instant) -> bool {
-        self.free <= now + AHEAD
+        self.link_free_at <= now + SEND_AHEAD
     }
 }
--- a/src/flow/evacuation.rs
+++ b/src/flow/evacuation.rs
@@ -1,7 +1,7 @@
-//! Availability zones whose servers are to get no new flows.
+//! Availability zones whose servers get no new flows.
 //!
-//! Load pattern: operators empty a zone at the peak, and its callers' new flows go
-//! to the servers of other zones at once. Open flows stay where they are.
+//! Load pattern: operators evacuate a zone at peak load, and the new flows of its callers
+//! go to servers of other zones at once. Open flows stay at their servers.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,24 +13,24 @@
 /// The zones that operators have evacuated.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evacuation {
-    /// Since when this is known here, by zone.
+    /// When this instance learned of each zone's evacuation.
     zones: BTreeMap<id::Zone, Instant>,
 }
 
 impl Evacuation {
-    /// Adds a zone; `false` when it is evacuated already.
+    /// Adds a zone. Returns `false` if it is evacuated already.
     pub(crate) fn begin(&mut self, now: Instant, zone: id::Zone) -> bool {
         let is_new = !self.contains(&zone);
         self.zones.entry(zone).or_insert(now);
         is_new
     }
 
-    /// Takes a zone out; `false` when it is not evacuated.
+    /// Removes a zone. Returns `false` if it is not evacuated.
     pub(crate) fn end(&mut self, zone: &id::Zone) -> bool {
         self.zones.remove(zone).is_some()
     }
 
-    /// Takes over which zones are evacuated; `false` when they were before.
+    /// Replaces the set of evacuated zones. Returns `false` if it is unchanged.
     pub(crate) fn replace(&mut self, now: Instant, zones: BTreeSet<id::Zone>) -> bool {
         let before = self.zones.len();
         self.zones.retain(|zone, _| zones.contains(zone));
@@ -42,13 +42,13 @@
         has_ended || has_begun
     }
 
-    /// Whether a zone's servers are to get no new flows.
+    /// Whether the servers of a zone get no new flows.
     pub fn contains(&self, zone: &id::Zone) -> bool {
         self.zones.contains_key(zone)
     }
 
-    /// The zones and since when their evacuation is known here, in the order of
-    /// their names.
+    /// The evacuated zones and when this instance learned of each evacuation, ordered by
+    /// name.
     pub fn zones(&self) -> impl Iterator<Item = (&id::Zone, Instant)> {
         self.zones.iter().map(|(zone, since)| (zone, *since))
     }
--- a/src/flow/evidence.rs
+++ b/src/flow/evidence.rs
@@ -1,68 +1,70 @@
-//! What callers' packets prove about servers: how fast they answer, and silence.
+//! Evidence from callers' packets about servers: response times and missing answers.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Shortest time that a handshake is given.
+/// Lower bound of the handshake timeout.
 ///
-/// The two ways between caller and instance take 2 to 6 ms on the deployments
-/// known; 25 ms leave room for a packet that waits for the processor.
-const LEAST_WAIT: Duration = Duration::from_millis(25);
+/// The round trip between caller and instance takes 2 to 6 ms in known deployments; 25 ms
+/// leave room for scheduling delays.
+const MIN_TIMEOUT: Duration = Duration::from_millis(25);
 
-/// Longest time that a handshake is given.
+/// Upper bound of the handshake timeout.
 ///
-/// Callers repeat the opening packet after 200 ms by themselves.
-const MOST_WAIT: Duration = Duration::from_millis(180);
+/// Callers retransmit the SYN after 200 ms themselves.
+const MAX_TIMEOUT: Duration = Duration::from_millis(180);
 
-/// What a handshake is given before anything was measured.
-const FIRST_WAIT: Duration = Duration::from_millis(60);
+/// Handshake timeout before the first sample.
+const INITIAL_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// Multiple of the smoothed round trip that a handshake is given.
-const PATIENCE: u32 = 4;
+/// Handshake timeout as a multiple of the smoothed round-trip time.
+const TIMEOUT_FACTOR: u32 = 4;
 
-/// Part of a new sample in the smoothed round trip: an eighth, as in TCP.
-const SMOOTHING: u32 = 8;
+/// Inverse weight of a new sample in the smoothed round-trip time: one eighth, as in TCP.
+const SMOOTHING_DIVISOR: u32 = 8;
 
-/// Smoothed time from an opening packet to the caller's next one.
+/// Smoothed time between a SYN and the caller's next packet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RoundTrip {
     smoothed: Option<Duration>,
 }
 
 impl RoundTrip {
-    /// Takes in a handshake that needed one opening packet.
-    pub fn sample(&mut self, taken: Duration) {
+    /// Adds a sample from a handshake that needed one SYN.
+    pub fn sample(&mut self, duration: Duration) {
         let smoothed = match self.smoothed {
-            None => taken,
-            Some(old) => (old * (SMOOTHING - 1) + taken) / SMOOTHING,
+            None => duration,
+            Some(old) => (old * (SMOOTHING_DIVISOR - 1) + duration) / SMOOTHING_DIVISOR,
         };
         self.smoothed = Some(smoothed);
     }
 
-    /// How long the caller's next packet takes when all is well.
-    pub fn usual(&self) -> Duration {
-        self.smoothed.unwrap_or(LEAST_WAIT)
+    /// Expected time until the caller's next packet.
+    pub fn expected(&self) -> Duration {
+        self.smoothed.unwrap_or(MIN_TIMEOUT)
     }
 
-    /// How long a handshake is given before its server counts as silent.
-    pub fn wait(&self) -> Duration {
-        let wait = self.smoothed.map_or(FIRST_WAIT, |s| s * PATIENCE);
-        wait.clamp(LEAST_WAIT, MOST_WAIT)
+    /// Handshake timeout, after which the server counts as unresponsive.
+    pub fn timeout(&self) -> Duration {
+        let timeout = self
+            .smoothed
+            .map_or(INITIAL_TIMEOUT, |s| s * TIMEOUT_FACTOR);
+        timeout.clamp(MIN_TIMEOUT, MAX_TIMEOUT)
     }
 }
 
-/// How long a silent server gets no new flows.
+/// How long an unresponsive server gets no new flows.
 ///
-/// A crashed server's entry lapses after about 3.6 s; until then one flow a
-/// second tries it, at the cost of one [`RoundTrip::wait`]. A server that lives
-/// is back after one second at most.
-const REST: Duration = Duration::from_secs(1);
+/// The entry of a crashed server lapses after about 3.6 s. Until then one flow per second
+/// probes the server at the cost of one [`RoundTrip::timeout`]. A live server gets new flows
+/// again after one second at most.
+const SUSPICION_TIME: Duration = Duration::from_secs(1);
 
-/// Doublings of [`REST`] at most.
-const MOST_DOUBLINGS: u32 = 2;
+/// Upper bound of the exponential backoff of [`SUSPICION_TIME`], in doublings.
+const MAX_DOUBLINGS: u32 = 2;
 
-/// Silences and answers of one server.
+/// Answers and missed answers of one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Evidence {
     misses: u32,
@@ -71,36 +73,36 @@
 }
 
 impl Evidence {
-    /// Notes that the server answered something sent at or before `now`; says
-    /// whether it was suspected.
+    /// Records that the server answered a packet sent at or before `now`. Returns whether the
+    /// server was suspected.
     pub(crate) fn answered(&mut self, now: Instant) -> bool {
         self.last_alive = Some(now);
         self.misses = 0;
         self.suspected_until.take().is_some()
     }
 
-    /// Notes that something sent at `since` got no answer; says whether this
-    /// makes the server suspected.
+    /// Records that a packet sent at `since` got no answer. Returns whether this makes the
+    /// server suspected.
     ///
-    /// An answer to anything later shows that the server lives and a packet was
+    /// An answer to a later packet shows that the server is alive and that a packet was
     /// lost, which happens on good links too.
     pub(crate) fn missed(&mut self, since: Instant, now: Instant) -> bool {
         if self.last_alive.is_some_and(|alive| alive >= since) {
             return false;
         }
         let was_suspected = self.is_suspected(now);
-        let doublings = self.misses.min(MOST_DOUBLINGS);
+        let doublings = self.misses.min(MAX_DOUBLINGS);
         self.misses = self.misses.saturating_add(1);
-        self.suspected_until = Some(now + REST * (1 << doublings));
+        self.suspected_until = Some(now + SUSPICION_TIME * (1 << doublings));
         !was_suspected
     }
 
-    /// Whether new flows should go elsewhere.
+    /// Whether new flows should avoid the server.
     pub(crate) fn is_suspected(&self, now: Instant) -> bool {
         self.suspected_until.is_some_and(|until| now < until)
     }
 
-    /// Silences in a row.
+    /// Consecutive missed answers.
     pub(crate) fn misses(&self) -> u32 {
         self.misses
     }
--- a/src/flow/experience.rs
+++ b/src/flow/experience.rs
@@ -1,12 +1,13 @@
-//! What callers went through at a server, as counts that fade.
+//! Outcomes of requests at each server, as decaying counts.
 //!
-//! A server that hangs takes a request and never answers it; one that fails
-//! answers at once, with little, and so looks like the least loaded of all. Health
-//! and handshakes show neither. What shows is that requests stay open for much
-//! longer than others do at the same service, or end much sooner with much less.
-//! The counts give a share of bad ends with its uncertainty, and the share makes a
-//! server look busier, so that there is no threshold at which a crowd of servers
-//! is left all at once, and a good end brings work back.
+//! A server that hangs accepts requests and never answers them. One that fails answers at
+//! once with a small response and therefore looks like the least loaded server. Neither
+//! shows in health checks or handshakes. Both show in the requests: these stay open for
+//! much longer than others of the same service, or end much sooner with a much smaller
+//! answer. The counts yield a share of failures that allows for the small number of
+//! samples, and that share adds to the server's load. There is thus no threshold at which
+//! all instances abandon a group of servers at once, and successful requests bring load
+//! back.
 
 use std::time::Duration;
 
@@ -15,32 +16,32 @@
 use crate::flow::Incarnation;
 use crate::flow::Serial;
 
-/// Time in which counts of answers fade to half: a server that hangs is known by
-/// what it does now, not by the forty answers that the zone got from it before.
+/// Half-life of the counts of answers. A server that hangs is recognized by its current
+/// behavior and not by the forty answers that the zone got from it before.
 const ANSWER_HALF_LIFE: Duration = Duration::from_secs(1);
 
-/// The same for requests that are not answered, which take long to be seen and cost
-/// their callers most; a server that is well again has its work back after about
-/// three times this.
+/// Half-life of the count of unanswered requests, which take long to detect and cost their
+/// callers most. A server that has recovered gets its full load back after about three
+/// times this.
 const STALL_HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// Weight of a request that is never answered against one that ends badly: its
-/// caller waits until its deadline and cannot try again.
+/// Weight of an unanswered request relative to one that fails at once: its caller waits
+/// until the deadline and cannot retry.
 const STALL_WEIGHT: f64 = 4.0;
 
-/// Ends that are taken for good before anything was seen, so that a single bad
-/// one is no verdict.
-const PRIOR: f64 = 2.0;
+/// Successful requests that are assumed before the first sample, so that a single failure
+/// is not conclusive.
+const PRIOR_SUCCESSES: f64 = 2.0;
 
-/// Counts below this are nothing.
-const LEAST: f64 = 0.05;
+/// Counts below this are treated as zero.
+const NEGLIGIBLE: f64 = 0.05;
 
-/// Ends of requests at a server.
+/// Outcomes of requests at a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
     /// Requests that were answered.
     pub answers: f64,
-    /// Those of them whose answers came much sooner and were much smaller than
+    /// Answered requests whose answers came much sooner and were much smaller than
     /// usual.
     pub hollow: f64,
     /// Requests that were open for much longer than usual.
@@ -48,64 +49,64 @@
 }
 
 impl Counts {
-    /// Share of requests that end badly, from 0 to 1.
+    /// Share of requests that fail, from 0 to 1.
     pub fn bad_share(&self) -> f64 {
         let stalls = self.stalls * STALL_WEIGHT;
-        (self.hollow + stalls) / (self.answers + stalls + PRIOR)
+        (self.hollow + stalls) / (self.answers + stalls + PRIOR_SUCCESSES)
     }
 
-    /// Requests that ended well.
-    fn good(&self) -> f64 {
+    /// Requests that succeeded.
+    fn successes(&self) -> f64 {
         (self.answers - self.hollow).max(0.0)
     }
 
-    /// What is left of the counts after a while.
-    fn faded(&self, age: Duration) -> Self {
-        let left = |half_life| (-age.div_duration_f64(half_life)).exp2();
-        let answers = left(ANSWER_HALF_LIFE);
+    /// The counts after a decay of `age`.
+    fn decayed(&self, age: Duration) -> Self {
+        let decay = |half_life| (-age.div_duration_f64(half_life)).exp2();
+        let answer_decay = decay(ANSWER_HALF_LIFE);
         Self {
-            answers: self.answers * answers,
-            hollow: self.hollow * answers,
-            stalls: self.stalls * left(STALL_HALF_LIFE),
+            answers: self.answers * answer_decay,
+            hollow: self.hollow * answer_decay,
+            stalls: self.stalls * decay(STALL_HALF_LIFE),
         }
     }
 
-    /// Whether nothing speaks against the server.
+    /// Whether no failures are counted.
     fn is_clean(&self) -> bool {
-        self.hollow < LEAST && self.stalls < LEAST
+        self.hollow < NEGLIGIBLE && self.stalls < NEGLIGIBLE
     }
 }
 
-/// What an instance, or several, counted at a server.
+/// Outcomes at one server as counted by one or several instances.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Testimony {
-    /// The server.
+    /// Identity of the server.
     pub serial: Serial,
-    /// The life of it that is meant.
+    /// Incarnation of the server that the counts refer to.
     pub incarnation: Option<Incarnation>,
     /// The counts.
     pub counts: Counts,
 }
 
-/// Counts at one moment.
+/// Counts as of a point in time.
 #[derive(Clone, Copy, Debug)]
-struct Faded {
+struct DecayingCounts {
     counts: Counts,
     at: Instant,
 }
 
-impl Faded {
+impl DecayingCounts {
     fn at(&self, now: Instant) -> Counts {
-        self.counts.faded(now.saturating_duration_since(self.at))
+        self.counts.decayed(now.saturating_duration_since(self.at))
     }
 }
 
-/// What is known of the ends of requests at one server.
+/// Outcomes of requests at one server, by source.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Experience {
-    own: Option<Faded>,
-    /// What all instances of the zone counted together.
-    zone: Option<Faded>,
+    own: Option<DecayingCounts>,
+    /// Counts of all instances of the zone together.
+    zone: Option<DecayingCounts>,
 }
 
 impl Experience {
@@ -121,44 +122,48 @@
 
     fn count(&mut self, now: Instant) -> &mut Counts {
         let counts = self.own(now);
-        let faded = self.own.insert(Faded { counts, at: now });
-        &mut faded.counts
+        let own = self.own.insert(DecayingCounts { counts, at: now });
+        &mut own.counts
     }
 
     /// This instance's own counts.
     pub(crate) fn own(&self, now: Instant) -> Counts {
-        self.own.map_or(Counts::default(), |faded| faded.at(now))
+        self.own
+            .map_or(Counts::default(), |decaying| decaying.at(now))
     }
 
-    /// Takes over what the zone counted.
-    pub(crate) fn hear(&mut self, now: Instant, counts: Counts) {
-        self.zone = Some(Faded { counts, at: now });
+    /// Replaces the zone's counts.
+    pub(crate) fn set_zone_counts(&mut self, now: Instant, counts: Counts) {
+        self.zone = Some(DecayingCounts { counts, at: now });
     }
 
-    /// Share of requests that end badly there, from 0 to 1.
+    /// Share of requests that fail at the server, from 0 to 1.
     ///
-    /// What others say counts less the more requests of this instance's own ended
-    /// well: another one may be cut off from a server that works for all others.
+    /// The zone's counts weigh less the more of this instance's own requests succeeded:
+    /// another instance may be unable to reach a server that works for all others.
     pub(crate) fn bad_share(&self, now: Instant) -> f64 {
-        // Most servers give no cause for any arithmetic.
-        let is_clean = |faded: Faded| faded.counts.is_clean();
+        // Most servers have no failures, which skips the computation.
+        let is_clean = |decaying: DecayingCounts| decaying.counts.is_clean();
         if self.own.is_none_or(is_clean) && self.zone.is_none_or(is_clean) {
             return 0.0;
         }
         let own = self.own(now);
-        let zone = self.zone.map_or(0.0, |faded| faded.at(now).bad_share());
-        let trust = PRIOR / (PRIOR + own.good());
-        own.bad_share().max(zone * trust)
+        let zone = self
+            .zone
+            .map_or(0.0, |decaying| decaying.at(now).bad_share());
+        let zone_weight = PRIOR_SUCCESSES / (PRIOR_SUCCESSES + own.successes());
+        own.bad_share().max(zone * zone_weight)
     }
 
-    /// What to tell the others; `None` when nobody has anything against the server.
+    /// Counts to report to the other instances; `None` if no instance counted a failure.
     ///
-    /// Where others have, this instance's good ends count too: one stall seen by one
-    /// instance is little beside forty answers that the others got.
+    /// If another instance counted failures, this instance's successful requests are
+    /// reported too: one stall seen by one instance weighs little beside forty answers that
+    /// the others got.
     pub(crate) fn testimony(&self, now: Instant) -> Option<Counts> {
         let own = self.own(now);
-        let is_suspect = |faded: Faded| !faded.at(now).is_clean();
-        let is_told = !own.is_clean() || self.zone.is_some_and(is_suspect);
-        is_told.then_some(own)
+        let has_failures = |decaying: DecayingCounts| !decaying.at(now).is_clean();
+        let is_reported = !own.is_clean() || self.zone.is_some_and(has_failures);
+        is_reported.then_some(own)
     }
 }
--- a/src/flow/note.rs
+++ b/src/flow/note.rs
@@ -1,4 +1,4 @@
-//! What the decisions have to tell the logs and the counters.
+//! Events that the forwarding decisions report to logs and metrics.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,28 +6,28 @@
 use crate::flow::Pair;
 use crate::id;
 
-/// Why a packet was not passed on.
+/// Why a packet was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Drop {
     /// No configuration or no list of servers has been read yet.
     NoView,
-    /// The packet belongs to no flow seen here and its tag to no known server.
+    /// The packet belongs to no flow seen here, and its tag to no known server.
     UnknownTag,
-    /// A caller sent what only servers send.
+    /// A caller sent a packet that only servers send.
     ServerSide,
-    /// The route's weights leave no service.
+    /// All services of the route have weight 0.
     NoWeight,
-    /// Too much waits for this instance's own link.
+    /// The queue for this instance's own link is full.
     FullLink,
-    /// The copy of an opening packet whose server's zone has been evacuated
-    /// meanwhile, while no other server takes new flows.
+    /// A retransmitted SYN whose server's zone has been evacuated meanwhile, while no other
+    /// server accepts new flows.
     Evacuated,
-    /// All servers are cold and have had this instance's share of new flows.
+    /// All servers are cold, and this instance has used up its quota for them.
     Cold,
 }
 
 impl Drop {
-    /// Every reason, in the order of the list.
+    /// All reasons, in order of declaration.
     pub const ALL: [Self; 7] = [
         Self::NoView,
         Self::UnknownTag,
@@ -38,7 +38,7 @@
         Self::Cold,
     ];
 
-    /// The reason as it stands in logs and metrics.
+    /// Name of the reason in logs and metrics.
     pub fn code(self) -> &'static str {
         match self {
             Self::NoView => "no_view",
@@ -61,16 +61,16 @@
 /// Why a new flow was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// No route exists.
+    /// No route exists for the address.
     NoRoute,
-    /// No server takes new flows.
+    /// No server accepts new flows.
     NoServer,
-    /// All servers that would take it are in evacuated zones.
+    /// All servers that accept new flows are in evacuated zones.
     Evacuated,
 }
 
 impl Refusal {
-    /// The reason as it stands in logs and metrics.
+    /// Name of the reason in logs and metrics.
     pub fn code(self) -> &'static str {
         match self {
             Self::NoRoute => "refused_no_route",
@@ -80,19 +80,19 @@
     }
 }
 
-/// How long something took, as seen from callers' packets.
+/// A duration measured from callers' packets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timing {
-    /// From an opening packet to the caller's next one.
+    /// Time between a SYN and the caller's next packet.
     Handshake(Duration),
-    /// From a request's first packet to the acknowledgement of its answer.
+    /// Time between a request's first packet and the acknowledgement of its answer.
     Answer(Duration),
 }
 
-/// One decision about a flow, or one change of what is believed.
+/// A decision about a flow, or a change in the state of a server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Note {
-    /// A new flow went to a server.
+    /// A new flow was forwarded to a server.
     Placed {
         /// The flow.
         pair: Pair,
@@ -100,37 +100,37 @@
         server: id::Server,
         /// Whether the server is in another availability zone.
         is_remote: bool,
-        /// Requests of this instance that the server was working on.
+        /// Requests of this instance that the server was processing.
         outstanding: u32,
-        /// Servers that could have been chosen.
+        /// Number of servers that were compared.
         candidates: usize,
         /// Version of the configuration.
         version: u64,
     },
-    /// The opening packet went to a further server, since the first is silent.
+    /// The SYN was sent to a further server because the first one did not answer.
     Reopened {
         /// The flow.
         pair: Pair,
-        /// The silent server.
+        /// The unresponsive server.
         silent: id::Server,
-        /// The further server; `None` when there is none.
+        /// The further server; `None` if there is none.
         server: Option<id::Server>,
-        /// How long the first was given, in milliseconds.
+        /// Time since the first server got the SYN, in milliseconds.
         waited_ms: u64,
     },
-    /// The opening packet went to a further server, since the first one's zone has
-    /// been evacuated meanwhile.
+    /// The SYN was sent to a further server because the first one's zone has been evacuated
+    /// meanwhile.
     Evacuated {
         /// The flow.
         pair: Pair,
-        /// The server that had the packet first.
+        /// The server that got the SYN first.
         left: id::Server,
     },
     /// A new flow was refused with a reset.
     Refused {
         /// The flow.
         pair: Pair,
-        /// Why.
+        /// Reason of the refusal.
         reason: Refusal,
         /// Version of the configuration.
         version: u64,
@@ -148,14 +148,14 @@
     Dropped {
         /// The flow.
         pair: Pair,
-        /// Why.
+        /// Reason of the drop.
         reason: Drop,
     },
-    /// A server is silent and gets no new flows for a while.
+    /// A server does not answer and gets no new flows for a while.
     Suspected {
         /// The server.
         server: id::Server,
-        /// Silences in a row.
+        /// Consecutive missed answers.
         misses: u32,
     },
     /// A request has been open for much longer than usual.
@@ -164,7 +164,7 @@
         pair: Pair,
         /// The server.
         server: id::Server,
-        /// Since when, in milliseconds.
+        /// Time since the request began, in milliseconds.
         waited_ms: u64,
     },
     /// A suspected server has answered.
--- a/src/flow/plane.rs
+++ b/src/flow/plane.rs
@@ -1,4 +1,4 @@
-//! One instance's decisions about packets.
+//! Forwarding decisions of one instance.
 
 mod account;
 mod carry;
@@ -31,64 +31,64 @@
 use crate::flow::Timing;
 use crate::flow::choice;
 use crate::flow::choice::Choice;
-use crate::flow::choice::Question;
-use crate::flow::directory::Slot;
-use crate::flow::plane::ending::Watch;
+use crate::flow::choice::Criteria;
+use crate::flow::directory::ServerHandle;
+use crate::flow::plane::ending::PendingRequest;
 use crate::flow::table::Flow;
 use crate::flow::table::Opening;
 use crate::flow::table::Table;
 use crate::id;
 
-/// Notes kept until they are taken; more are counted only.
-const MOST_NOTES: usize = 512;
+/// Events buffered until they are taken; further ones are only counted.
+const MAX_EVENTS: usize = 512;
 
-/// What the decisions depend on.
+/// Settings of the forwarding decisions.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// This instance.
+    /// Name of this instance.
     pub instance: id::Instance,
-    /// Its availability zone.
+    /// Availability zone of this instance.
     pub zone: id::Zone,
-    /// Requests a slot by which a server of another zone must be less loaded
-    /// than this zone's to get a new flow.
+    /// Load per slot by which a server of another zone must be less loaded than this zone's
+    /// servers to get a new flow.
     pub spill: f64,
-    /// Longest life of a flow.
+    /// Maximum lifetime of a flow.
     pub flow_ttl: Duration,
-    /// Silence after which a flow is forgotten while no configuration says.
+    /// Idle timeout of a flow until a configuration specifies one.
     pub idle_timeout: Duration,
-    /// Flows remembered at most.
+    /// Maximum number of tracked flows.
     pub max_flows: usize,
-    /// Seed of the choices.
+    /// Seed of the random server selection.
     pub seed: u64,
 }
 
-/// Something learned from the store.
+/// A change of the state on which the forwarding decisions depend.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Belief {
-    /// All servers there are.
+    /// The complete list of servers.
     Servers {
-        /// Their entries.
+        /// The readable entries.
         listed: Vec<Server>,
-        /// Servers whose entries could not be read; they stay as they are.
+        /// Servers whose entries cannot be parsed; their last known state is kept.
         unreadable: Vec<id::Server>,
     },
-    /// One server's entry was written.
+    /// A server's entry was written.
     Server(Server),
-    /// One server's entry cannot be read.
+    /// A server's entry cannot be parsed.
     Unreadable(id::Server),
-    /// One server's entry is gone.
+    /// A server's entry was removed.
     Gone(id::Server),
-    /// A configuration.
+    /// A new configuration.
     Routes(Routes),
     /// Operators have evacuated a zone.
     Evacuated(id::Zone),
-    /// Operators have taken a zone back.
+    /// Operators have ended the evacuation of a zone.
     Returned(id::Zone),
-    /// All zones that are evacuated.
+    /// The complete set of evacuated zones.
     Evacuation(BTreeSet<id::Zone>),
     /// The instances that share the callers.
     Peers(Vec<Peer>),
-    /// What the instances of this zone counted against servers.
+    /// Request outcomes that the instances of this zone counted at servers.
     Testimony(Vec<Testimony>),
     /// The store has answered.
     Contact(Contact),
@@ -96,57 +96,58 @@
     Silence,
 }
 
-/// What is to be done with a packet.
+/// Decision about a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Pass it on, with the target's tag.
+    /// Forward the packet with the target's tag.
     Forward(Target),
     /// Reset the flow.
     Reset,
-    /// Nothing.
+    /// Drop the packet.
     Drop(Drop),
 }
 
-/// An opening packet that goes to a further server.
+/// A SYN to be sent to a further server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Resend {
-    /// The packet as it came.
+    /// The packet as received.
     pub packet: Vec<u8>,
-    /// The server.
+    /// The further server.
     pub target: Target,
 }
 
-/// State of the decisions.
+/// Decides about packets, and keeps the state that this requires.
 #[derive(Debug)]
 pub struct Plane {
     options: Options,
     directory: Directory,
     routes: Option<Routes>,
     has_servers: bool,
-    /// Instances that share this zone's callers, this one included.
-    neighbours: usize,
+    /// Instances that share this zone's callers, including this one.
+    zone_instances: usize,
     table: Table,
-    /// When handshakes are due, earliest first; ones that are over stay until then.
-    due: BinaryHeap<Reverse<(Instant, Pair)>>,
-    /// New flows of the last moments, oldest first.
-    openings: VecDeque<(Instant, Pair)>,
-    /// Requests in progress, the first due first.
-    watches: VecDeque<Watch>,
+    /// Deadlines of handshakes, earliest first; those of completed handshakes stay until
+    /// they expire.
+    handshake_deadlines: BinaryHeap<Reverse<(Instant, Pair)>>,
+    /// Recent new flows, oldest first.
+    recent_openings: VecDeque<(Instant, Pair)>,
+    /// Requests in progress, ordered by deadline.
+    pending_requests: VecDeque<PendingRequest>,
     round_trip: RoundTrip,
-    /// When a packet of an open flow last came.
-    heard: Option<Instant>,
-    /// When a packet last came of a flow that had opened elsewhere.
-    turned: Option<Instant>,
-    swept: Option<Instant>,
+    /// When a packet of an open flow was last received.
+    last_packet: Option<Instant>,
+    /// When a packet was last received of a flow that was opened at another instance.
+    last_adoption: Option<Instant>,
+    last_sweep: Option<Instant>,
     random: SmallRng,
     notes: Vec<Note>,
     timings: Vec<Timing>,
-    /// Notes that found no room since they were last taken.
+    /// Events that exceeded the buffer since they were last taken.
     omitted: u64,
 }
 
 impl Plane {
-    /// A plane that knows nothing yet.
+    /// Creates a plane without servers and routes.
     pub fn new(options: Options) -> Self {
         Self {
             directory: Directory::new(
@@ -156,15 +157,15 @@
             ),
             routes: None,
             has_servers: false,
-            neighbours: 1,
+            zone_instances: 1,
             table: Table::new(options.max_flows),
-            due: BinaryHeap::new(),
-            openings: VecDeque::new(),
-            watches: VecDeque::new(),
+            handshake_deadlines: BinaryHeap::new(),
+            recent_openings: VecDeque::new(),
+            pending_requests: VecDeque::new(),
             round_trip: RoundTrip::default(),
-            heard: None,
-            turned: None,
-            swept: None,
+            last_packet: None,
+            last_adoption: None,
+            last_sweep: None,
             random: SmallRng::seed_from_u64(options.seed),
             notes: Vec::new(),
             timings: Vec::new(),
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Takes in what the store says. `false` when it is older than what is known.
+    /// Applies a state update. Returns `false` if it is older than the current state.
     pub fn learn(&mut self, now: Instant, belief: Belief) -> bool {
         match belief {
             Belief::Servers { listed, unreadable } => {
@@ -183,25 +184,33 @@
             Belief::Server(server) => return self.directory.put(now, server),
             Belief::Unreadable(server) => self.directory.mark_unreadable(&server),
             Belief::Gone(server) => self.directory.remove(now, &server),
-            Belief::Routes(routes) => return self.configure(routes),
-            Belief::Evacuated(zone) => return self.directory.evacuate(now, |e| e.begin(now, zone)),
-            Belief::Returned(zone) => return self.directory.evacuate(now, |e| e.end(&zone)),
+            Belief::Routes(routes) => return self.set_routes(routes),
+            Belief::Evacuated(zone) => {
+                return self
+                    .directory
+                    .change_evacuation(now, |e| e.begin(now, zone));
+            }
+            Belief::Returned(zone) => {
+                return self.directory.change_evacuation(now, |e| e.end(&zone));
+            }
             Belief::Evacuation(all) => {
-                return self.directory.evacuate(now, |e| e.replace(now, all));
+                return self
+                    .directory
+                    .change_evacuation(now, |e| e.replace(now, all));
             }
-            Belief::Testimony(told) => self.directory.hear(now, &told),
-            Belief::Peers(peers) => self.meet(peers),
+            Belief::Testimony(outcomes) => self.directory.apply_zone_outcomes(now, &outcomes),
+            Belief::Peers(peers) => self.set_peers(peers),
             Belief::Contact(contact) => self.directory.note_contact(contact),
-            Belief::Silence => self.directory.note_silence(),
+            Belief::Silence => self.directory.note_unreachable(),
         }
         true
     }
 
-    /// A configuration that is no newer is refused: going back, if only for a
-    /// moment, would send new flows by routes that the operators have withdrawn.
-    fn configure(&mut self, routes: Routes) -> bool {
-        let known = self.routes.as_ref().map(|routes| routes.version);
-        let is_newer = known.is_none_or(|known| routes.version > known);
+    /// Ignores a configuration that is not newer: even a short return to an older version
+    /// would use routes that the operators have withdrawn.
+    fn set_routes(&mut self, routes: Routes) -> bool {
+        let current = self.routes.as_ref().map(|routes| routes.version);
+        let is_newer = current.is_none_or(|current| routes.version > current);
         if is_newer {
             self.directory.set_warmups(routes.warmups.clone());
             self.routes = Some(routes);
@@ -209,9 +218,9 @@
         is_newer
     }
 
-    /// Takes over who shares the callers; this instance does even if its own entry
-    /// has lapsed.
-    fn meet(&mut self, mut peers: Vec<Peer>) {
+    /// Replaces the list of instances that share the callers. This instance is one of them
+    /// even if its own entry has lapsed.
+    fn set_peers(&mut self, mut peers: Vec<Peer>) {
         let me = Peer {
             instance: self.options.instance.clone(),
             zone: self.options.zone.clone(),
@@ -220,11 +229,11 @@
             peers.push(me);
         }
         let is_near = |peer: &&Peer| peer.zone == self.options.zone;
-        self.neighbours = peers.iter().filter(is_near).count();
+        self.zone_instances = peers.iter().filter(is_near).count();
         self.directory.set_peers(peers);
     }
 
-    /// Changes the margin of servers in other zones.
+    /// Sets the load margin for servers in other zones.
     pub fn set_spill(&mut self, spill: f64) {
         self.options.spill = spill;
     }
@@ -234,58 +243,58 @@
         self.has_servers && self.routes.is_some()
     }
 
-    /// Version of the configuration, 0 before the first.
+    /// Version of the configuration; 0 before the first one.
     pub fn version(&self) -> u64 {
         self.routes.as_ref().map_or(0, |routes| routes.version)
     }
 
-    /// The servers known.
+    /// The known servers.
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// What this instance counted against servers, the worst first.
+    /// Request outcomes that this instance counted at servers, the worst first.
     pub fn testimony(&self, now: Instant) -> Vec<Testimony> {
         self.directory.testimony(now)
     }
 
-    /// Flows remembered.
+    /// Number of tracked flows.
     pub fn flows(&self) -> usize {
         self.table.len()
     }
 
-    /// How handshakes go.
+    /// Smoothed round-trip time of handshakes.
     pub fn round_trip(&self) -> RoundTrip {
         self.round_trip
     }
 
-    /// Takes the notes since the last time, and how many found no room.
+    /// Takes the events since the last call, and the number of omitted ones.
     pub fn take_notes(&mut self) -> (Vec<Note>, u64) {
         let omitted = std::mem::take(&mut self.omitted);
         (std::mem::take(&mut self.notes), omitted)
     }
 
-    /// Takes the times measured since the last time.
+    /// Takes the durations measured since the last call.
     pub fn take_timings(&mut self) -> Vec<Timing> {
         std::mem::take(&mut self.timings)
     }
 
     fn note(&mut self, note: Note) {
-        if self.notes.len() < MOST_NOTES {
+        if self.notes.len() < MAX_EVENTS {
             self.notes.push(note);
         } else {
             self.omitted += 1;
         }
     }
 
-    /// Decides about a packet; `packet` is what to send again if it opens a flow.
+    /// Decides about a packet. `packet` is stored for a resend if it opens a flow.
     pub fn receive(&mut self, now: Instant, segment: &Segment, packet: &[u8]) -> Verdict {
         let verdict = if segment.opens() {
-            self.receive_opening(now, segment, packet)
+            self.receive_syn(now, segment, packet)
         } else if segment.flags.syn {
             Verdict::Drop(Drop::ServerSide)
         } else {
-            self.receive_later(now, segment)
+            self.receive_non_syn(now, segment)
         };
         if let Verdict::Drop(reason) = verdict {
             let pair = segment.pair;
@@ -294,13 +303,13 @@
         verdict
     }
 
-    fn receive_opening(&mut self, now: Instant, segment: &Segment, packet: &[u8]) -> Verdict {
-        if let Some(key) = self.table.find(&segment.pair) {
-            let known = self.table.get(key).and_then(|flow| flow.first_seq);
-            if known == Some(segment.seq) {
-                return self.receive_copy(now, key);
+    fn receive_syn(&mut self, now: Instant, segment: &Segment, packet: &[u8]) -> Verdict {
+        if let Some(flow_handle) = self.table.find(&segment.pair) {
+            let known_seq = self.table.get(flow_handle).and_then(|flow| flow.syn_seq);
+            if known_seq == Some(segment.seq) {
+                return self.receive_retransmission(now, flow_handle);
             }
-            self.close(key);
+            self.close(flow_handle);
         }
         let Some(routes) = &self.routes else {
             return Verdict::Drop(Drop::NoView);
@@ -312,14 +321,14 @@
         let Some(service) = route.service(&segment.pair).cloned() else {
             return Verdict::Drop(Drop::NoWeight);
         };
-        let refusing = self.abandoned(now, &segment.pair);
+        let given_up = self.servers_given_up(now, &segment.pair);
         let choice = self
-            .choose(now, &service, &refusing)
+            .choose(now, &service, &given_up)
             .or_else(|| self.choose(now, &service, &[]));
         match choice {
-            Some(choice) => self.place(now, segment, packet, choice),
-            None if choice::is_spent(&self.directory, &service, now) => {
-                // The caller's copy, in a moment, costs it none of its tries.
+            Some(choice) => self.open_flow(now, segment, packet, choice),
+            None if choice::is_quota_exhausted(&self.directory, &service, now) => {
+                // The caller retransmits the SYN shortly, which does not count as a retry.
                 Verdict::Drop(Drop::Cold)
             }
             None if self.has_servers => {
@@ -342,19 +351,30 @@
         Verdict::Reset
     }
 
-    fn choose(&mut self, now: Instant, service: &id::Service, tried: &[Slot]) -> Option<Choice> {
-        let question = Question {
+    fn choose(
+        &mut self,
+        now: Instant,
+        service: &id::Service,
+        tried: &[ServerHandle],
+    ) -> Option<Choice> {
+        let criteria = Criteria {
             service,
             tried,
             spill: self.options.spill,
-            neighbours: self.neighbours,
+            zone_instances: self.zone_instances,
             now,
         };
-        choice::choose(&self.directory, &question, &mut self.random)
+        choice::choose(&self.directory, &criteria, &mut self.random)
     }
 
-    fn place(&mut self, now: Instant, segment: &Segment, packet: &[u8], choice: Choice) -> Verdict {
-        let Some(record) = self.directory.get(choice.slot) else {
+    fn open_flow(
+        &mut self,
+        now: Instant,
+        segment: &Segment,
+        packet: &[u8],
+        choice: Choice,
+    ) -> Verdict {
+        let Some(record) = self.directory.get(choice.handle) else {
             return Verdict::Drop(Drop::NoView);
         };
         let target = record.target();
@@ -367,20 +387,20 @@
             version: self.version(),
         };
         self.note(note);
-        self.directory.take_share(choice.slot, now);
+        self.directory.use_cold_quota(choice.handle, now);
         if self.table.has_room() {
-            let due = now + self.round_trip.wait();
+            let due = now + self.round_trip.timeout();
             let opening = Opening {
-                tried: vec![choice.slot],
+                tried: vec![choice.handle],
                 sent: now,
                 due,
                 packet: packet.to_vec(),
             };
             let flow = Flow::opening(segment, opening, now);
             self.table.insert(flow);
-            self.count_flow(choice.slot);
-            self.due.push(Reverse((due, segment.pair)));
-            self.openings.push_back((now, segment.pair));
+            self.count_flow(choice.handle);
+            self.handshake_deadlines.push(Reverse((due, segment.pair)));
+            self.recent_openings.push_back((now, segment.pair));
         }
         Verdict::Forward(target)
     }
--- a/src/flow/plane/account.rs
+++ b/src/flow/plane/account.rs
@@ -1,4 +1,4 @@
-//! Accounts of flows and evidence at servers, and their end.
+//! Load and evidence per server, and the expiry of flows.
 
 use std::time::Duration;
 
@@ -6,23 +6,28 @@
 
 use crate::flow::Note;
 use crate::flow::Plane;
-use crate::flow::directory::Slot;
-use crate::flow::table::Expiry;
+use crate::flow::directory::ServerHandle;
+use crate::flow::table::ExpiryRules;
 use crate::flow::table::Flow;
-use crate::flow::table::Key;
+use crate::flow::table::FlowHandle;
 use crate::flow::table::Phase;
 
-/// Time in which all flows are looked at once, to forget those that are over;
-/// the shortest such time, a flow's that closes, is 2 s.
-const ROUND: Duration = Duration::from_secs(1);
+/// Time in which a sweep covers the whole flow table to remove expired flows. The shortest
+/// expiry time, that of a closing flow, is 2 s.
+const SWEEP_PERIOD: Duration = Duration::from_secs(1);
 
-/// Time between two parts of a round. A whole round at once holds packets up for
-/// some milliseconds where there are tens of thousands of flows.
-const PART: Duration = Duration::from_millis(50);
+/// Time between two parts of a sweep. Sweeping the whole table at once would delay packets
+/// by some milliseconds with tens of thousands of flows.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Plane {
-    pub(super) fn count_miss(&mut self, slot: Slot, since: Instant, now: Instant) {
-        let Some(record) = self.directory.get_mut(slot) else {
+    pub(super) fn record_miss(
+        &mut self,
+        server_handle: ServerHandle,
+        since: Instant,
+        now: Instant,
+    ) {
+        let Some(record) = self.directory.get_mut(server_handle) else {
             return;
         };
         if record.evidence.missed(since, now) {
@@ -34,8 +39,8 @@
         }
     }
 
-    pub(super) fn count_answer(&mut self, slot: Slot, now: Instant) {
-        let Some(record) = self.directory.get_mut(slot) else {
+    pub(super) fn record_answer(&mut self, server_handle: ServerHandle, now: Instant) {
+        let Some(record) = self.directory.get_mut(server_handle) else {
             return;
         };
         if record.evidence.answered(now) {
@@ -44,69 +49,71 @@
         }
     }
 
-    pub(super) fn count_flow(&mut self, slot: Slot) {
-        if let Some(record) = self.directory.get_mut(slot) {
+    pub(super) fn count_flow(&mut self, server_handle: ServerHandle) {
+        if let Some(record) = self.directory.get_mut(server_handle) {
             record.flows += 1;
         }
     }
 
-    /// Takes a flow's share of a server's load away.
-    pub(super) fn uncount_flow(&mut self, slot: Slot, is_asked: bool) {
-        if let Some(record) = self.directory.get_mut(slot) {
+    /// Subtracts a flow's load from a server.
+    pub(super) fn release_load(&mut self, server_handle: ServerHandle, has_request: bool) {
+        if let Some(record) = self.directory.get_mut(server_handle) {
             record.flows = record.flows.saturating_sub(1);
-            record.outstanding = record.outstanding.saturating_sub(u32::from(is_asked));
+            record.outstanding = record.outstanding.saturating_sub(u32::from(has_request));
         }
     }
 
-    /// Counts a flow at another server.
-    pub(super) fn move_flow(&mut self, key: Key, to: Slot) {
-        let Some(flow) = self.table.get_mut(key) else {
+    /// Moves a flow's load to another server.
+    pub(super) fn move_flow(&mut self, flow_handle: FlowHandle, to: ServerHandle) {
+        let Some(flow) = self.table.get_mut(flow_handle) else {
             return;
         };
         let from = std::mem::replace(&mut flow.server, to);
-        let is_asked = flow.asked.is_some();
+        let has_request = flow.request_started.is_some();
         if from == to {
             return;
         }
-        self.uncount_flow(from, is_asked);
+        self.release_load(from, has_request);
         if let Some(record) = self.directory.get_mut(to) {
             record.flows += 1;
-            record.outstanding += u32::from(is_asked);
+            record.outstanding += u32::from(has_request);
         }
     }
 
-    pub(super) fn close(&mut self, key: Key) {
-        if let Some(flow) = self.table.remove(key) {
-            self.release(&flow);
+    pub(super) fn close(&mut self, flow_handle: FlowHandle) {
+        if let Some(flow) = self.table.remove(flow_handle) {
+            self.release_flow(&flow);
         }
     }
 
-    /// A flow that is closing has given its share back already.
-    pub(super) fn release(&mut self, flow: &Flow) {
+    /// Subtracts a removed flow's load; that of a closing flow is subtracted already.
+    pub(super) fn release_flow(&mut self, flow: &Flow) {
         if !matches!(flow.phase, Phase::Closing) {
-            self.uncount_flow(flow.server, flow.asked.is_some());
+            self.release_load(flow.server, flow.request_started.is_some());
         }
     }
 
     pub(super) fn sweep(&mut self, now: Instant) {
-        let since = self.swept.map_or(ROUND, |swept| now - swept);
-        if since < PART {
+        let elapsed = self.last_sweep.map_or(SWEEP_PERIOD, |at| now - at);
+        if elapsed < SWEEP_INTERVAL {
             return;
         }
-        self.swept = Some(now);
-        let count = self.table.part(since.div_duration_f64(ROUND));
-        let idle = self.routes.as_ref().map(|routes| routes.idle_timeout);
-        let rules = Expiry {
-            idle: idle.unwrap_or(self.options.idle_timeout),
-            age: self.options.flow_ttl,
+        self.last_sweep = Some(now);
+        let count = self
+            .table
+            .sweep_size(elapsed.div_duration_f64(SWEEP_PERIOD));
+        let idle_timeout = self.routes.as_ref().map(|routes| routes.idle_timeout);
+        let rules = ExpiryRules {
+            idle_timeout: idle_timeout.unwrap_or(self.options.idle_timeout),
+            max_age: self.options.flow_ttl,
         };
-        let (over, is_round) = self.table.expire(now, &rules, count);
-        for flow in over {
-            self.release(&flow);
+        let (expired, is_complete) = self.table.expire(now, &rules, count);
+        for flow in expired {
+            self.release_flow(&flow);
         }
-        if is_round {
+        if is_complete {
             self.directory.forget(now);
-            self.directory.weigh(now);
+            self.directory.update_penalties(now);
         }
     }
 }
--- a/src/flow/plane/carry.rs
+++ b/src/flow/plane/carry.rs
@@ -1,4 +1,4 @@
-//! Packets of open flows: where they go, and what they tell of progress.
+//! Packets of open flows: their destination, and the request progress they show.
 
 use std::time::Duration;
 
@@ -10,151 +10,174 @@
 use crate::flow::Segment;
 use crate::flow::Timing;
 use crate::flow::Verdict;
-use crate::flow::directory::Slot;
+use crate::flow::directory::ServerHandle;
 use crate::flow::table::Flow;
-use crate::flow::table::Key;
+use crate::flow::table::FlowHandle;
 use crate::flow::table::Phase;
 use crate::flow::table::Progress;
 
-/// Least time between a packet and its repeat, by which silence is judged.
-const REPEAT_GAP: Duration = Duration::from_millis(150);
+/// Minimum time between a packet and its retransmission when a miss is counted.
+const MIN_RETRANSMISSION_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Repeats of the same bytes that count as the server's silence. One may be a
-/// lost packet, two in a row hardly.
-const SILENT_REPEATS: u32 = 2;
+/// Retransmissions of the same bytes that count as a missed answer. A single one may be due
+/// to a lost packet, which is unlikely for two in a row.
+const MISSED_RETRANSMISSIONS: u32 = 2;
 
 impl Plane {
-    pub(super) fn receive_later(&mut self, now: Instant, segment: &Segment) -> Verdict {
-        self.heard = Some(now);
-        let tagged = self.directory.by_tag(segment.tag);
+    pub(super) fn receive_non_syn(&mut self, now: Instant, segment: &Segment) -> Verdict {
+        self.last_packet = Some(now);
+        let by_tag = self.directory.by_tag(segment.tag);
         let known = self.table.find(&segment.pair);
-        let key = known.or_else(|| self.adopt(now, segment, tagged?));
-        let slot = key.and_then(|key| self.settle_server(now, key, segment, tagged));
-        let Some(slot) = slot.or(tagged) else {
+        let flow_handle = known.or_else(|| self.adopt(now, segment, by_tag?));
+        let server_handle = flow_handle
+            .and_then(|flow_handle| self.select_server(now, flow_handle, segment, by_tag));
+        let Some(server_handle) = server_handle.or(by_tag) else {
             return Verdict::Drop(Drop::UnknownTag);
         };
-        let progress = key.map(|key| self.advance(now, key, segment));
-        if segment.len > 0 && self.is_released(now, segment, slot) {
-            if let Some(key) = key {
-                self.close(key);
+        let progress = flow_handle.map(|flow_handle| self.advance(now, flow_handle, segment));
+        if segment.len > 0 && self.check_server_gone(now, segment, server_handle) {
+            if let Some(flow_handle) = flow_handle {
+                self.close(flow_handle);
             }
             return Verdict::Reset;
         }
-        if progress.is_some_and(|progress| progress.repeats >= SILENT_REPEATS) {
-            self.count_miss(slot, now - REPEAT_GAP, now);
+        if progress.is_some_and(|progress| progress.retransmissions >= MISSED_RETRANSMISSIONS) {
+            self.record_miss(server_handle, now - MIN_RETRANSMISSION_INTERVAL, now);
         }
-        match self.directory.get(slot) {
+        match self.directory.get(server_handle) {
             Some(record) => Verdict::Forward(record.target()),
             None => Verdict::Drop(Drop::UnknownTag),
         }
     }
 
-    /// Remembers a flow whose opening packet passed elsewhere, if there is room
-    /// and it is not over already.
-    pub(super) fn adopt(&mut self, now: Instant, segment: &Segment, slot: Slot) -> Option<Key> {
+    /// Tracks a flow that was opened at another instance, unless the table is full or the
+    /// flow is closing.
+    pub(super) fn adopt(
+        &mut self,
+        now: Instant,
+        segment: &Segment,
+        server_handle: ServerHandle,
+    ) -> Option<FlowHandle> {
         if !self.table.has_room() || segment.flags.fin || segment.flags.rst {
             return None;
         }
-        self.turned = Some(now);
-        let key = self.table.insert(Flow::adopted(segment, slot, now));
-        self.count_flow(slot);
-        Some(key)
+        self.last_adoption = Some(now);
+        let flow_handle = self
+            .table
+            .insert(Flow::adopted(segment, server_handle, now));
+        self.count_flow(server_handle);
+        Some(flow_handle)
     }
 
-    /// The server that a remembered flow's packet goes to.
+    /// The server that gets a packet of a tracked flow.
     ///
-    /// The tag leads there, as at every other instance. Only where several
-    /// servers got the opening packet, the one whose answer the caller took
-    /// first is kept: another one's later answer replaces the tag that the
-    /// caller repeats, and that server would reset a flow that it never had.
-    pub(super) fn settle_server(
+    /// The tag determines the server, as at every other instance. The exception is a SYN that
+    /// was sent to several servers: the server whose answer the caller accepted first is
+    /// kept. A later answer from another server replaces the tag that the caller echoes, and
+    /// that server would reset a flow that it does not know.
+    pub(super) fn select_server(
         &mut self,
         now: Instant,
-        key: Key,
+        flow_handle: FlowHandle,
         segment: &Segment,
-        tagged: Option<Slot>,
-    ) -> Option<Slot> {
-        let flow = self.table.get(key)?;
+        by_tag: Option<ServerHandle>,
+    ) -> Option<ServerHandle> {
+        let flow = self.table.get(flow_handle)?;
         let Phase::Opening(opening) = &flow.phase else {
-            // A flow of its server's former life stays counted there.
-            let is_former = tagged.is_some_and(|slot| slot.is_same_server(flow.server));
-            let keeps = flow.is_pinned || tagged.is_none() || is_former;
-            let slot = if keeps { flow.server } else { tagged? };
+            // A flow of a former incarnation stays counted there.
+            let is_former =
+                by_tag.is_some_and(|server_handle| server_handle.is_same_server(flow.server));
+            let keeps_server = flow.is_pinned || by_tag.is_none() || is_former;
+            let server_handle = if keeps_server { flow.server } else { by_tag? };
             if matches!(flow.phase, Phase::Open) {
-                self.move_flow(key, slot);
+                self.move_flow(flow_handle, server_handle);
             }
-            return Some(slot);
+            return Some(server_handle);
         };
         let is_first_try = opening.tried.len() == 1;
-        let taken = now - opening.sent;
-        let slot = tagged.unwrap_or(flow.server);
-        self.move_flow(key, slot);
-        let flow = self.table.get_mut(key)?;
-        flow.open(slot, segment);
+        let duration = now - opening.sent;
+        let server_handle = by_tag.unwrap_or(flow.server);
+        self.move_flow(flow_handle, server_handle);
+        let flow = self.table.get_mut(flow_handle)?;
+        flow.open(server_handle, segment);
         if is_first_try {
-            self.round_trip.sample(taken);
-            self.timings.push(Timing::Handshake(taken));
+            self.round_trip.sample(duration);
+            self.timings.push(Timing::Handshake(duration));
         }
         if !segment.flags.rst {
-            self.count_answer(slot, now);
+            self.record_answer(server_handle, now);
         }
-        Some(slot)
+        Some(server_handle)
     }
 
-    pub(super) fn advance(&mut self, now: Instant, key: Key, segment: &Segment) -> Progress {
-        let Some(flow) = self.table.get_mut(key) else {
+    pub(super) fn advance(
+        &mut self,
+        now: Instant,
+        flow_handle: FlowHandle,
+        segment: &Segment,
+    ) -> Progress {
+        let Some(flow) = self.table.get_mut(flow_handle) else {
             return Progress::default();
         };
         let was_closing = matches!(flow.phase, Phase::Closing);
         let progress = flow.advance(segment, now);
         let server = flow.server;
         if progress.has_answered {
-            self.count_answer(server, now);
+            self.record_answer(server, now);
         }
         if was_closing {
             return progress;
         }
-        self.timings.extend(progress.took.map(Timing::Answer));
+        self.timings
+            .extend(progress.response_time.map(Timing::Answer));
         if let Some(record) = self.directory.get_mut(server) {
-            let ended = u32::from(progress.took.is_some());
+            let ended = u32::from(progress.response_time.is_some());
             record.outstanding = record.outstanding.saturating_sub(ended);
             record.outstanding += u32::from(progress.has_begun);
         }
         if let Some(answer) = progress.ended {
-            self.count_end(server, answer, now);
+            self.record_outcome(server, answer, now);
         }
         if progress.has_begun {
-            self.watch(segment.pair, server, now);
+            self.watch_request(segment.pair, server, now);
         }
         if segment.flags.fin {
-            let ended = self.table.get_mut(key).and_then(|flow| flow.end_answer());
+            let ended = self
+                .table
+                .get_mut(flow_handle)
+                .and_then(|flow| flow.end_answer());
             if let Some(answer) = ended {
-                self.count_end(server, answer, now);
+                self.record_outcome(server, answer, now);
             }
         }
         if segment.flags.fin || segment.flags.rst {
-            self.begin_closing(key);
+            self.begin_closing(flow_handle);
         }
         progress
     }
 
-    pub(super) fn begin_closing(&mut self, key: Key) {
-        let Some(flow) = self.table.get_mut(key) else {
+    pub(super) fn begin_closing(&mut self, flow_handle: FlowHandle) {
+        let Some(flow) = self.table.get_mut(flow_handle) else {
             return;
         };
         flow.phase = Phase::Closing;
         let server = flow.server;
-        let is_asked = flow.asked.is_some();
-        self.uncount_flow(server, is_asked);
+        let has_request = flow.request_started.is_some();
+        self.release_load(server, has_request);
     }
 
-    /// Whether the flow's server is gone, so that a reset lets the caller try
-    /// again now and not at its deadline.
-    pub(super) fn is_released(&mut self, now: Instant, segment: &Segment, slot: Slot) -> bool {
-        let Some(missing) = self.directory.gone_since(slot, now) else {
+    /// Whether the flow's server is gone. A reset then lets the caller retry at once instead
+    /// of at its deadline.
+    pub(super) fn check_server_gone(
+        &mut self,
+        now: Instant,
+        segment: &Segment,
+        server_handle: ServerHandle,
+    ) -> bool {
+        let Some(missing) = self.directory.gone_since(server_handle, now) else {
             return false;
         };
-        let Some(record) = self.directory.get(slot) else {
+        let Some(record) = self.directory.get(server_handle) else {
             return false;
         };
         let note = Note::Released {
--- a/src/flow/plane/ending.rs
+++ b/src/flow/plane/ending.rs
@@ -1,69 +1,79 @@
-//! How requests end, or that they do not.
+//! Detection of requests that are answered, failed or stalled.
 
 use tokio::time::Instant;
 
 use crate::flow::Note;
 use crate::flow::Pair;
 use crate::flow::Plane;
-use crate::flow::directory::Slot;
+use crate::flow::directory::ServerHandle;
 use crate::flow::table::Answer;
 
-/// A request that has to be answered in time.
+/// A request in progress and its deadline.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Watch {
+pub(crate) struct PendingRequest {
     pub(crate) due: Instant,
     pair: Pair,
-    asked: Instant,
+    started: Instant,
 }
 
-/// Requests watched at once. Without a bound a service whose answers take seconds
-/// would fill the memory; those beyond are not watched.
-const MOST_WATCHES: usize = 65_536;
+/// Maximum number of watched requests, which bounds the memory for services whose answers
+/// take seconds. Further requests are not watched.
+const MAX_PENDING_REQUESTS: usize = 65_536;
 
 impl Plane {
-    /// Notes when a request that begins now has to be answered.
-    pub(super) fn watch(&mut self, pair: Pair, slot: Slot, now: Instant) {
-        let Some(usual) = self.directory.usual_mut(slot) else {
+    /// Starts watching a request that begins now.
+    pub(super) fn watch_request(&mut self, pair: Pair, server_handle: ServerHandle, now: Instant) {
+        let Some(baseline) = self.directory.baseline_mut(server_handle) else {
             return;
         };
-        let due = now + usual.patience();
-        // Services differ in patience; the order of due times is kept, at the price
-        // that a short one waits for a longer one before it.
-        let due = self.watches.back().map_or(due, |last| last.due.max(due));
-        if self.watches.len() < MOST_WATCHES {
-            let asked = now;
-            self.watches.push_back(Watch { due, pair, asked });
+        let due = now + baseline.stall_timeout();
+        // Stall timeouts differ between services. Deadlines are kept in order, so that a short
+        // one may be extended to that of the request before it.
+        let due = self
+            .pending_requests
+            .back()
+            .map_or(due, |last| last.due.max(due));
+        if self.pending_requests.len() < MAX_PENDING_REQUESTS {
+            let started = now;
+            self.pending_requests
+                .push_back(PendingRequest { due, pair, started });
         }
     }
 
-    /// Counts an answer that has ended.
-    pub(super) fn count_end(&mut self, slot: Slot, answer: Answer, now: Instant) {
-        let Some(usual) = self.directory.usual_mut(slot) else {
+    /// Counts a completed answer.
+    pub(super) fn record_outcome(
+        &mut self,
+        server_handle: ServerHandle,
+        answer: Answer,
+        now: Instant,
+    ) {
+        let Some(baseline) = self.directory.baseline_mut(server_handle) else {
             return;
         };
-        let is_hollow = usual.sample(answer.took, answer.bytes);
-        if let Some(record) = self.directory.get_mut(slot) {
-            record.experience.answered(now, is_hollow);
-            record.weigh(now);
+        let is_premature = baseline.sample(answer.response_time, answer.bytes);
+        if let Some(record) = self.directory.get_mut(server_handle) {
+            record.experience.answered(now, is_premature);
+            record.update_penalty(now);
         }
     }
 
-    /// Counts requests that should have been answered by now.
-    pub(super) fn find_stalls(&mut self, now: Instant) {
-        while let Some(watch) = self.watches.front().copied()
-            && watch.due <= now
+    /// Counts the requests whose deadline has passed.
+    pub(super) fn record_stalls(&mut self, now: Instant) {
+        while let Some(request) = self.pending_requests.front().copied()
+            && request.due <= now
         {
-            self.watches.pop_front();
-            // When routers turn, the answer's acknowledgement goes to another instance,
-            // and others' flows come here. Each planned stop of an instance would make
-            // the servers of all flows in progress look as if they hung.
-            let has_heard = self.heard.is_some_and(|heard| heard > watch.asked);
-            let has_turned = self.turned.is_some_and(|turned| turned >= watch.asked);
-            let flow = self.table.find(&watch.pair);
+            self.pending_requests.pop_front();
+            // When routers redistribute flows, the acknowledgement of an answer goes to another
+            // instance, and flows of other instances arrive here. Without this check, every
+            // planned stop of an instance would make the servers of all requests in progress
+            // look as if they hung.
+            let has_received = self.last_packet.is_some_and(|at| at > request.started);
+            let has_adopted = self.last_adoption.is_some_and(|at| at >= request.started);
+            let flow = self.table.find(&request.pair);
             let flow = flow.and_then(|key| self.table.get(key));
-            let flow = flow.filter(|flow| flow.asked == Some(watch.asked));
+            let flow = flow.filter(|flow| flow.request_started == Some(request.started));
             let Some(server) = flow
-                .filter(|_| has_heard && !has_turned)
+                .filter(|_| has_received && !has_adopted)
                 .map(|flow| flow.server)
             else {
                 continue;
@@ -72,11 +82,11 @@
                 continue;
             };
             record.experience.stalled(now);
-            record.weigh(now);
+            record.update_penalty(now);
             let note = Note::Stalled {
-                pair: watch.pair,
+                pair: request.pair,
                 server: record.server.id.clone(),
-                waited_ms: (now - watch.asked).as_millis() as u64,
+                waited_ms: (now - request.started).as_millis() as u64,
             };
             self.note(note);
         }
--- a/src/flow/plane/opening.rs
+++ b/src/flow/plane/opening.rs
@@ -1,4 +1,4 @@
-//! Handshakes: copies, silent servers, and callers that have left.
+//! Handshakes: retransmitted SYNs, unresponsive servers, and callers that have given up.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -12,50 +12,54 @@
 use crate::flow::Resend;
 use crate::flow::Target;
 use crate::flow::Verdict;
-use crate::flow::directory::Slot;
+use crate::flow::directory::ServerHandle;
 use crate::flow::table::Flow;
-use crate::flow::table::Key;
+use crate::flow::table::FlowHandle;
 use crate::flow::table::Phase;
 
-/// Servers that get one opening packet at most, the first included.
+/// Maximum number of servers that get one SYN, including the first.
 ///
-/// Each further one costs a connection; three dead servers in a row in one
-/// zone are more than a zone's loss leaves.
-const MOST_TRIES: usize = 3;
+/// Each further one costs a connection. Three failed servers in a row are more than the
+/// loss of a zone leaves.
+const MAX_ATTEMPTS: usize = 3;
 
-/// Least time between an opening packet and its copy that shows silence.
+/// Minimum time between a SYN and a retransmission that counts as a missed answer.
 ///
-/// Callers send copies 200 ms apart. Two that are closer stood in the socket's
-/// buffer while this process did not run, and prove nothing about the server.
-const COPY_GAP: Duration = Duration::from_millis(150);
+/// Callers retransmit after 200 ms. Two copies that are closer together were queued in the
+/// socket buffer while this process did not run, and prove nothing about the server.
+const MIN_RETRANSMISSION_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Lateness of a deadline that shows that this process stood still, and not the
-/// server: an answer may wait in the socket's buffer.
-const STALL: Duration = Duration::from_millis(20);
+/// Delay of a deadline that indicates that this process was stalled instead of the server:
+/// an answer may be queued in the socket buffer.
+const MAX_TIMER_DELAY: Duration = Duration::from_millis(20);
 
 impl Plane {
-    /// A copy shows that the caller has heard nothing: a server that had time
-    /// to answer is passed over.
-    pub(super) fn receive_copy(&mut self, now: Instant, key: Key) -> Verdict {
-        let Some(flow) = self.table.get_mut(key) else {
+    /// Handles a retransmitted SYN. It shows that the caller got no answer, so that a server
+    /// that had enough time to answer is replaced by another.
+    pub(super) fn receive_retransmission(
+        &mut self,
+        now: Instant,
+        flow_handle: FlowHandle,
+    ) -> Verdict {
+        let Some(flow) = self.table.get_mut(flow_handle) else {
             return Verdict::Drop(Drop::UnknownTag);
         };
-        flow.seen = now;
+        flow.last_seen = now;
         let server = flow.server;
-        let (is_opening, is_silent) = match &flow.phase {
-            Phase::Opening(opening) => (true, now >= opening.sent + COPY_GAP),
+        let (is_opening, is_unanswered) = match &flow.phase {
+            Phase::Opening(opening) => (true, now >= opening.sent + MIN_RETRANSMISSION_INTERVAL),
             Phase::Open | Phase::Closing => (false, false),
         };
         let record = self.directory.get(server);
         if is_opening && record.is_some_and(|record| record.is_evacuated) {
-            return match self.leave_evacuated(now, key) {
+            return match self.leave_evacuated(now, flow_handle) {
                 Some(target) => Verdict::Forward(target),
-                // The server may have answered the first packet, so that a reset could
-                // break a flow that is open.
+                // The server may have answered the first SYN, so that a reset could break an open
+                // flow.
                 None => Verdict::Drop(Drop::Evacuated),
             };
         }
-        if is_silent && let Some(resend) = self.reopen(now, key) {
+        if is_unanswered && let Some(resend) = self.reopen(now, flow_handle) {
             return Verdict::Forward(resend.target);
         }
         match self.directory.get(server) {
@@ -64,83 +68,86 @@
         }
     }
 
-    /// When [`Plane::expire`] has something to do next.
+    /// When [`Plane::expire`] has to be called next.
     pub fn next_due(&self) -> Option<Instant> {
-        let opening = self.due.peek().map(|Reverse((due, _))| *due);
-        let request = self.watches.front().map(|watch| watch.due);
+        let opening = self
+            .handshake_deadlines
+            .peek()
+            .map(|Reverse((due, _))| *due);
+        let request = self.pending_requests.front().map(|request| request.due);
         opening.into_iter().chain(request).min()
     }
 
-    /// Sends opening packets whose servers are silent to further servers, and
-    /// forgets what is over. Packets that wait in the socket must be handed to
-    /// [`Plane::receive`] first: the answers may be among them.
+    /// Sends SYNs of unresponsive servers to further servers, and removes expired flows.
+    /// Packets in the socket buffer must be passed to [`Plane::receive`] first, because they
+    /// may contain the answers.
     pub fn expire(&mut self, now: Instant) -> Vec<Resend> {
         let mut resends = Vec::new();
-        while let Some(Reverse((due, pair))) = self.due.peek().copied()
+        while let Some(Reverse((due, pair))) = self.handshake_deadlines.peek().copied()
             && due <= now
         {
-            self.due.pop();
-            let Some(key) = self.still_opening(&pair, due) else {
+            self.handshake_deadlines.pop();
+            let Some(flow_handle) = self.find_opening(&pair, due) else {
                 continue;
             };
-            if now > due + STALL || !self.is_silence_told(key) {
-                self.postpone(now, key);
+            if now > due + MAX_TIMER_DELAY || !self.proves_miss(flow_handle) {
+                self.extend_deadline(now, flow_handle);
                 continue;
             }
-            resends.extend(self.reopen(now, key));
+            resends.extend(self.reopen(now, flow_handle));
         }
-        self.find_stalls(now);
+        self.record_stalls(now);
         self.sweep(now);
         resends
     }
 
-    /// The flow, if its handshake still waits for this deadline.
-    fn still_opening(&self, pair: &Pair, due: Instant) -> Option<Key> {
-        let key = self.table.find(pair)?;
-        let is_due = match &self.table.get(key)?.phase {
+    /// The flow, if its handshake is still waiting for this deadline.
+    fn find_opening(&self, pair: &Pair, due: Instant) -> Option<FlowHandle> {
+        let flow_handle = self.table.find(pair)?;
+        let is_due = match &self.table.get(flow_handle)?.phase {
             Phase::Opening(opening) => opening.due == due,
             Phase::Open | Phase::Closing => false,
         };
-        is_due.then_some(key)
+        is_due.then_some(flow_handle)
     }
 
-    /// Whether the caller's next packet, had its server answered, would have come here.
+    /// Whether a missing packet of the caller proves that its server did not answer.
     ///
-    /// When routers turn to other instances, no caller's next packet comes here, and
-    /// where instances join one after the other, others' flows do. Without this, an
-    /// instance that starts suspects all servers in its first second and opens flows
-    /// at several of them. Where a server is silent all the same, the caller's own
-    /// copy shows it, here or at the instance to which routers have turned, which
-    /// places the flow anew.
-    pub(super) fn is_silence_told(&self, key: Key) -> bool {
+    /// When routers redistribute flows to other instances, the callers' next packets do not
+    /// arrive here. While instances join one by one, packets of other instances' flows
+    /// arrive instead. Without this check, an instance that starts would suspect all servers
+    /// in its first second and open flows at several of them. An unresponsive server is
+    /// still detected by the caller's retransmission, either here or at the instance to
+    /// which the routers now send it, which selects a server again.
+    pub(super) fn proves_miss(&self, flow_handle: FlowHandle) -> bool {
         let Some(Flow {
             phase: Phase::Opening(opening),
             ..
-        }) = self.table.get(key)
+        }) = self.table.get(flow_handle)
         else {
             return false;
         };
-        let has_heard = self.heard.is_some_and(|heard| heard >= opening.sent);
-        let has_turned = self.turned.is_some_and(|turned| turned >= opening.sent);
-        has_heard && !has_turned
+        let has_received = self.last_packet.is_some_and(|at| at >= opening.sent);
+        let has_adopted = self.last_adoption.is_some_and(|at| at >= opening.sent);
+        has_received && !has_adopted
     }
 
-    /// Gives the server the same time again: its silence proves nothing yet.
-    pub(super) fn postpone(&mut self, now: Instant, key: Key) {
-        let wait = self.round_trip.wait();
-        let Some(flow) = self.table.get_mut(key) else {
+    /// Extends the handshake deadline: the missing answer proves nothing yet.
+    pub(super) fn extend_deadline(&mut self, now: Instant, flow_handle: FlowHandle) {
+        let timeout = self.round_trip.timeout();
+        let Some(flow) = self.table.get_mut(flow_handle) else {
             return;
         };
         let pair = flow.pair;
         if let Phase::Opening(opening) = &mut flow.phase {
-            opening.due = now + wait;
-            self.due.push(Reverse((opening.due, pair)));
+            opening.due = now + timeout;
+            self.handshake_deadlines.push(Reverse((opening.due, pair)));
         }
     }
 
-    /// Takes the last server of an opening flow for silent and picks another.
-    pub(super) fn reopen(&mut self, now: Instant, key: Key) -> Option<Resend> {
-        let flow = self.table.get(key)?;
+    /// Marks the last server of an opening flow as unresponsive and selects another.
+    pub(super) fn reopen(&mut self, now: Instant, flow_handle: FlowHandle) -> Option<Resend> {
+        let flow = self.table.get(flow_handle)?;
         let pair = flow.pair;
         let Phase::Opening(opening) = &flow.phase else {
             return None;
@@ -149,13 +156,13 @@
         let tried = opening.tried.clone();
         let packet = opening.packet.clone();
         let silent = flow.server;
-        self.count_miss(silent, sent, now);
+        self.record_miss(silent, sent, now);
         let service = self.directory.get(silent)?.server.service.clone();
-        let choice = match tried.len() < MOST_TRIES {
+        let choice = match tried.len() < MAX_ATTEMPTS {
             true => self.choose(now, &service, &tried),
             false => None,
         };
-        let chosen = choice.and_then(|choice| self.directory.get(choice.slot));
+        let chosen = choice.and_then(|choice| self.directory.get(choice.handle));
         let note = Note::Reopened {
             pair,
             silent: self.directory.get(silent)?.server.id.clone(),
@@ -163,14 +170,14 @@
             waited_ms: (now - sent).as_millis() as u64,
         };
         self.note(note);
-        let target = self.open_at(now, key, choice?.slot)?;
+        let target = self.move_to(now, flow_handle, choice?.handle)?;
         Some(Resend { packet, target })
     }
 
-    /// Picks another server for an opening flow whose server's zone has been
-    /// evacuated since its first packet came. Nothing speaks against the server.
-    fn leave_evacuated(&mut self, now: Instant, key: Key) -> Option<Target> {
-        let flow = self.table.get(key)?;
+    /// Selects another server for an opening flow whose server's zone has been evacuated
+    /// since the first SYN. The server is not suspected for it.
+    fn leave_evacuated(&mut self, now: Instant, flow_handle: FlowHandle) -> Option<Target> {
+        let flow = self.table.get(flow_handle)?;
         let Phase::Opening(opening) = &flow.phase else {
             return None;
         };
@@ -184,69 +191,74 @@
         let service = left.service.clone();
         let choice = self.choose(now, &service, &tried)?;
         self.note(note);
-        self.open_at(now, key, choice.slot)
+        self.move_to(now, flow_handle, choice.handle)
     }
 
-    /// Counts an opening flow at a further server, which has some time to answer.
-    fn open_at(&mut self, now: Instant, key: Key, slot: Slot) -> Option<Target> {
-        let target = self.directory.get(slot)?.target();
-        self.directory.take_share(slot, now);
-        self.move_flow(key, slot);
-        let due = now + self.round_trip.wait();
-        let flow = self.table.get_mut(key)?;
+    /// Moves an opening flow to a further server and starts a new handshake deadline.
+    fn move_to(
+        &mut self,
+        now: Instant,
+        flow_handle: FlowHandle,
+        server_handle: ServerHandle,
+    ) -> Option<Target> {
+        let target = self.directory.get(server_handle)?.target();
+        self.directory.use_cold_quota(server_handle, now);
+        self.move_flow(flow_handle, server_handle);
+        let due = now + self.round_trip.timeout();
+        let flow = self.table.get_mut(flow_handle)?;
         let pair = flow.pair;
         if let Phase::Opening(opening) = &mut flow.phase {
-            opening.tried.push(slot);
+            opening.tried.push(server_handle);
             opening.sent = now;
             opening.due = due;
-            self.due.push(Reverse((due, pair)));
+            self.handshake_deadlines.push(Reverse((due, pair)));
         }
         Some(target)
     }
 
-    /// Servers that a caller's earlier flows were opened at and that it has left.
+    /// Servers of the caller's earlier handshakes that the caller has given up.
     ///
-    /// A server whose process is gone resets a flow at once. The caller tries
-    /// again from another port a round trip later, and the server, which is never
-    /// busy, would be chosen again: all tries of a request can end there within
-    /// 30 ms. An opening of the same caller that is still unanswered after a round
-    /// trip shows this; where it only comes from another of the caller's users,
-    /// the new flow merely goes to another server.
-    pub(super) fn abandoned(&mut self, now: Instant, pair: &Pair) -> Vec<Slot> {
-        let usual = self.round_trip.usual();
-        let is_old = |(at, _): &(Instant, Pair)| now >= *at + COPY_GAP;
-        while self.openings.front().is_some_and(is_old) {
-            self.openings.pop_front();
+    /// The host of a crashed server process resets a flow at once. The caller retries from
+    /// another port one round trip later. The server, which is never busy, would be selected
+    /// again, so that all attempts of a request can fail there within 30 ms. An earlier
+    /// handshake of the same caller that is unanswered after a round trip indicates this. If
+    /// it belongs to another process of the caller, the only effect is that the new flow
+    /// goes to another server.
+    pub(super) fn servers_given_up(&mut self, now: Instant, pair: &Pair) -> Vec<ServerHandle> {
+        let expected = self.round_trip.expected();
+        let is_old = |(at, _): &(Instant, Pair)| now >= *at + MIN_RETRANSMISSION_INTERVAL;
+        while self.recent_openings.front().is_some_and(is_old) {
+            self.recent_openings.pop_front();
         }
         let is_earlier = |other: &Pair| {
             other.caller.ip() == pair.caller.ip() && other.service == pair.service && other != pair
         };
         let earlier: Vec<Pair> = self
-            .openings
+            .recent_openings
             .iter()
             .filter(|(_, other)| is_earlier(other))
             .map(|(_, other)| *other)
             .collect();
-        let mut refusing = Vec::new();
+        let mut given_up = Vec::new();
         for pair in earlier {
-            let Some(key) = self.table.find(&pair) else {
+            let Some(flow_handle) = self.table.find(&pair) else {
                 continue;
             };
-            let Some(flow) = self.table.get(key) else {
+            let Some(flow) = self.table.get(flow_handle) else {
                 continue;
             };
             let Phase::Opening(opening) = &flow.phase else {
                 continue;
             };
             let sent = opening.sent;
-            if now < sent + usual {
+            if now < sent + expected {
                 continue;
             }
             let server = flow.server;
-            refusing.extend(opening.tried.iter().copied());
-            self.begin_closing(key);
-            self.count_miss(server, sent, now);
+            given_up.extend(opening.tried.iter().copied());
+            self.begin_closing(flow_handle);
+            self.record_miss(server, sent, now);
         }
-        refusing
+        given_up
     }
 }
--- a/src/flow/route.rs
+++ b/src/flow/route.rs
@@ -1,4 +1,4 @@
-//! Which service a public address belongs to, as of one configuration.
+//! Mapping from public addresses to services in one configuration.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -12,29 +12,29 @@
 use crate::flow::Warmup;
 use crate::id;
 
-/// A share of a route's new flows.
+/// A service that gets a share of a route's new flows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Backend {
-    /// Where the share goes.
+    /// Name of the service.
     pub service: id::Service,
-    /// Its weight against the route's other shares.
+    /// Weight relative to the other services of the route.
     pub weight: u32,
 }
 
-/// Where the new flows of one public address go.
+/// Destination of the new flows of one public address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Its name in the configuration.
+    /// Name of the route in the configuration.
     pub name: String,
-    /// Its shares.
+    /// Weighted services of the route.
     pub backends: Vec<Backend>,
 }
 
 impl Route {
-    /// The service of a new flow.
+    /// The service of a new flow; `None` if all services have weight 0.
     ///
-    /// It depends on the flow alone, so that copies of an opening packet get
-    /// the same service at every instance. `None` when no share has weight.
+    /// The result depends on the flow alone, so that every instance selects the same service
+    /// for retransmissions of a SYN.
     pub fn service(&self, pair: &Pair) -> Option<&id::Service> {
         if let [only] = self.backends.as_slice() {
             return Some(&only.service);
@@ -65,8 +65,8 @@
     pub version: u64,
     /// Routes by public address.
     pub by_address: HashMap<SocketAddrV4, Route>,
-    /// Silence after which a flow may be forgotten.
+    /// Idle timeout of a flow.
     pub idle_timeout: Duration,
-    /// What servers bear after their start, by service.
+    /// Load limits of cold servers, by service.
     pub warmups: HashMap<id::Service, Warmup>,
 }
--- a/src/flow/segment.rs
+++ b/src/flow/segment.rs
@@ -1,4 +1,4 @@
-//! One packet of a flow, as far as the decisions look at it.
+//! The parts of a packet that the forwarding decisions use.
 
 use std::fmt;
 use std::hash::Hash;
@@ -7,7 +7,7 @@
 
 use crate::flow::Tag;
 
-/// The two ends that name a flow.
+/// The two endpoints that identify a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Pair {
     /// The caller's address and port.
@@ -16,8 +16,8 @@
     pub service: SocketAddrV4,
 }
 
-/// Hashes two words. What the compiler derives hashes each address as a slice
-/// with its length, which takes twice as long.
+/// Hashes two words. The derived implementation hashes each address as a slice with its
+/// length, which takes twice as long.
 impl Hash for Pair {
     fn hash<H: Hasher>(&self, state: &mut H) {
         let word = |end: &SocketAddrV4| u64::from(end.ip().to_bits()) << 16 | u64::from(end.port());
@@ -37,11 +37,11 @@
 pub struct Flags {
     /// Opens a flow.
     pub syn: bool,
-    /// The acknowledgement number counts.
+    /// The acknowledgement number is valid.
     pub ack: bool,
-    /// The sender has sent everything.
+    /// The sender has sent all of its data.
     pub fin: bool,
-    /// The flow is abandoned.
+    /// The flow is aborted.
     pub rst: bool,
 }
 
@@ -54,27 +54,28 @@
     pub flags: Flags,
     /// Sequence number of the first byte.
     pub seq: u32,
-    /// Next byte that the caller expects; for an opening packet, which copy it is.
+    /// Next sequence number that the caller expects; in a SYN, the number of the
+    /// retransmission.
     pub ack: u32,
-    /// Bytes of data.
+    /// Length of the data in bytes.
     pub len: u16,
-    /// Routing tag that the caller saw last; [`Tag::NONE`] when it saw none.
+    /// Routing tag that the caller received last; [`Tag::NONE`] before the first one.
     pub tag: Tag,
 }
 
 impl Segment {
-    /// Whether it asks for a new flow.
+    /// Whether the packet is a SYN that opens a flow.
     pub fn opens(&self) -> bool {
         self.flags.syn && !self.flags.ack
     }
 
-    /// Sequence number after its last byte.
+    /// Sequence number after the last byte.
     pub fn end(&self) -> u32 {
         self.seq.wrapping_add(u32::from(self.len))
     }
 }
 
-/// Whether a sequence number lies after another, across the wrap.
+/// Whether sequence number `a` is after `b`, modulo 2^32.
 pub(crate) fn is_after(a: u32, b: u32) -> bool {
     a != b && a.wrapping_sub(b) < 1 << 31
 }
--- a/src/flow/table.rs
+++ b/src/flow/table.rs
@@ -1,4 +1,4 @@
-//! What an instance remembers of the flows that pass it.
+//! Table of the flows whose packets an instance has forwarded.
 
 use std::hash::BuildHasher;
 use std::hash::RandomState;
@@ -10,72 +10,73 @@
 
 use crate::flow::Pair;
 use crate::flow::Segment;
-use crate::flow::directory::Slot;
+use crate::flow::directory::ServerHandle;
 use crate::flow::segment::is_after;
 
-/// A flow whose caller has not yet answered a server.
+/// A handshake in progress.
 #[derive(Debug)]
 pub(crate) struct Opening {
-    /// Servers that got the opening packet, in order; never empty.
-    pub(crate) tried: Vec<Slot>,
-    /// When the last of them got it.
+    /// Servers that got the SYN, in order; never empty.
+    pub(crate) tried: Vec<ServerHandle>,
+    /// When the last of them got the SYN.
     pub(crate) sent: Instant,
-    /// When the last of them counts as silent.
+    /// When the last of them counts as unresponsive.
     pub(crate) due: Instant,
-    /// The packet, to be sent to a further server.
+    /// The SYN, to be sent to a further server.
     pub(crate) packet: Vec<u8>,
 }
 
-/// How far a flow has come.
+/// Phase of a flow.
 #[derive(Debug)]
 pub(crate) enum Phase {
     Opening(Box<Opening>),
     Open,
-    /// The caller has sent its last byte, or has given up.
+    /// The caller has sent a FIN or a RST.
     Closing,
 }
 
-/// What a packet told about its flow's progress.
+/// Progress of a flow that one packet shows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Progress {
-    /// The server has sent something new.
+    /// The server has sent new data.
     pub(crate) has_answered: bool,
     /// A request began.
     pub(crate) has_begun: bool,
-    /// How long the request in progress took, if its answer's first bytes came.
-    pub(crate) took: Option<Duration>,
-    /// The answer to the request before that has ended.
+    /// Duration of the request in progress, if the packet acknowledges the first bytes of
+    /// its answer.
+    pub(crate) response_time: Option<Duration>,
+    /// The completed answer to the previous request.
     pub(crate) ended: Option<Answer>,
-    /// How often the caller has repeated the same bytes.
-    pub(crate) repeats: u32,
+    /// How often the caller has retransmitted the same bytes.
+    pub(crate) retransmissions: u32,
 }
 
-/// One flow, in two lines of a core's cache.
+/// One flow, in two CPU cache lines.
 #[derive(Debug)]
 #[repr(align(64))]
 pub(crate) struct Flow {
     pub(crate) pair: Pair,
-    pub(crate) server: Slot,
+    pub(crate) server: ServerHandle,
     pub(crate) phase: Phase,
-    /// Several servers got its opening packet, so that a later answer of the
-    /// wrong one may have left its tag with the caller.
+    /// Whether several servers got the SYN, so that a late answer may have replaced the
+    /// caller's tag by that of the wrong server.
     pub(crate) is_pinned: bool,
-    /// Sequence number of the opening packet; `None` when it passed elsewhere.
-    pub(crate) first_seq: Option<u32>,
-    pub(crate) born: Instant,
-    pub(crate) seen: Instant,
+    /// Sequence number of the SYN; `None` if another instance received it.
+    pub(crate) syn_seq: Option<u32>,
+    pub(crate) created_at: Instant,
+    pub(crate) last_seen: Instant,
     /// When the request in progress began.
-    pub(crate) asked: Option<Instant>,
-    /// How long the answer to the last request took, until it has ended.
-    took: Option<NonZeroU32>,
-    /// The acknowledgement when that request began.
-    ack_asked: u32,
-    /// After the last byte sent.
+    pub(crate) request_started: Option<Instant>,
+    /// Response time of the last request in microseconds, until its answer is complete.
+    response_time: Option<NonZeroU32>,
+    /// Acknowledgement number when the last request began.
+    request_ack: u32,
+    /// Sequence number after the last byte sent.
     end: u32,
-    /// The caller's greatest acknowledgement.
+    /// Greatest acknowledgement number of the caller.
     ack: u32,
-    repeats: u32,
-    repeated_end: Option<u32>,
+    retransmissions: u32,
+    retransmitted_end: Option<u32>,
 }
 
 impl Flow {
@@ -85,41 +86,41 @@
             server: opening.tried[0],
             phase: Phase::Opening(Box::new(opening)),
             is_pinned: false,
-            first_seq: Some(segment.seq),
-            born: now,
-            seen: now,
-            asked: None,
-            took: None,
-            ack_asked: 0,
+            syn_seq: Some(segment.seq),
+            created_at: now,
+            last_seen: now,
+            request_started: None,
+            response_time: None,
+            request_ack: 0,
             end: segment.seq.wrapping_add(1),
             ack: 0,
-            repeats: 0,
-            repeated_end: None,
+            retransmissions: 0,
+            retransmitted_end: None,
         }
     }
 
-    /// A flow whose opening packet another instance has passed on.
-    pub(crate) fn adopted(segment: &Segment, server: Slot, now: Instant) -> Self {
+    /// Creates a flow whose SYN another instance has forwarded.
+    pub(crate) fn adopted(segment: &Segment, server: ServerHandle, now: Instant) -> Self {
         Self {
             pair: segment.pair,
             server,
             phase: Phase::Open,
             is_pinned: false,
-            first_seq: None,
-            born: now,
-            seen: now,
-            asked: None,
-            took: None,
-            ack_asked: segment.ack,
+            syn_seq: None,
+            created_at: now,
+            last_seen: now,
+            request_started: None,
+            response_time: None,
+            request_ack: segment.ack,
             end: segment.seq,
             ack: segment.ack,
-            repeats: 0,
-            repeated_end: None,
+            retransmissions: 0,
+            retransmitted_end: None,
         }
     }
 
-    /// Ends the opening: the caller has answered this server.
-    pub(crate) fn open(&mut self, server: Slot, segment: &Segment) {
+    /// Completes the handshake: the caller has accepted the answer of this server.
+    pub(crate) fn open(&mut self, server: ServerHandle, segment: &Segment) {
         let tries = match &self.phase {
             Phase::Opening(opening) => opening.tried.len(),
             Phase::Open | Phase::Closing => 1,
@@ -131,83 +132,85 @@
         self.end = segment.seq;
     }
 
-    /// Ends the answer to the last request, if it has one.
+    /// Completes the answer to the last request, if there is one.
     pub(crate) fn end_answer(&mut self) -> Option<Answer> {
-        let micros = self.took.take()?;
+        let micros = self.response_time.take()?;
         Some(Answer {
-            took: Duration::from_micros(micros.get().into()),
-            bytes: self.ack.wrapping_sub(self.ack_asked),
+            response_time: Duration::from_micros(micros.get().into()),
+            bytes: self.ack.wrapping_sub(self.request_ack),
         })
     }
 
-    /// Reads the progress of an open flow from one of its packets.
+    /// Updates an open flow from one of its packets, and returns the progress.
     pub(crate) fn advance(&mut self, segment: &Segment, now: Instant) -> Progress {
-        self.seen = now;
+        self.last_seen = now;
         let mut progress = Progress::default();
         if segment.flags.ack && is_after(segment.ack, self.ack) {
             self.ack = segment.ack;
             progress.has_answered = true;
-            progress.took = self.asked.take().map(|asked| now - asked);
-            let micros = progress.took.map(|took| took.as_micros() as u32);
-            self.took = micros.map_or(self.took, |micros| NonZeroU32::new(micros.max(1)));
+            progress.response_time = self.request_started.take().map(|at| now - at);
+            let micros = progress.response_time.map(|time| time.as_micros() as u32);
+            self.response_time =
+                micros.map_or(self.response_time, |micros| NonZeroU32::new(micros.max(1)));
         }
         if segment.len == 0 {
             return progress;
         }
         if is_after(segment.end(), self.end) {
             self.end = segment.end();
-            self.repeats = 0;
-            self.repeated_end = None;
-            if self.asked.is_none() {
+            self.retransmissions = 0;
+            self.retransmitted_end = None;
+            if self.request_started.is_none() {
                 progress.ended = self.end_answer();
-                self.asked = Some(now);
-                self.ack_asked = self.ack;
+                self.request_started = Some(now);
+                self.request_ack = self.ack;
                 progress.has_begun = true;
             }
             return progress;
         }
-        self.repeats = match self.repeated_end {
-            Some(end) if end == segment.end() => self.repeats + 1,
+        self.retransmissions = match self.retransmitted_end {
+            Some(end) if end == segment.end() => self.retransmissions + 1,
             _ => 1,
         };
-        self.repeated_end = Some(segment.end());
-        progress.repeats = self.repeats;
+        self.retransmitted_end = Some(segment.end());
+        progress.retransmissions = self.retransmissions;
         progress
     }
 }
 
-/// An answer that has ended.
+/// A completed answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Answer {
-    /// From the request's first packet to the acknowledgement of its first bytes.
-    pub(crate) took: Duration,
+    /// Time between the request's first packet and the acknowledgement of the answer's first
+    /// bytes.
+    pub(crate) response_time: Duration,
     pub(crate) bytes: u32,
 }
 
-/// Where a flow lies in the table; stays valid until the flow is taken out.
+/// Index of a flow in the table; stays valid until the flow is removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Key(u32);
+pub(crate) struct FlowHandle(u32);
 
-impl Key {
+impl FlowHandle {
     fn index(self) -> usize {
         self.0 as usize
     }
 }
 
-/// The flows seen, up to a limit.
+/// The tracked flows, up to a limit.
 ///
-/// What a packet costs is waiting for memory. So it is looked up by its ends once,
-/// all other steps go by key, and the index holds keys alone, which the cache of
-/// one core keeps for 64,000 flows.
+/// The cost per packet is dominated by memory latency. The endpoints are therefore looked
+/// up once per packet, and all other steps use the flow's index. The hash table contains
+/// these indexes only, so that it fits into the cache of one core for 64,000 flows.
 #[derive(Debug)]
 pub(crate) struct Table {
-    /// Keys by the ends of their flows.
-    index: HashTable<Key>,
+    /// Indexes of the flows, hashed by their endpoints.
+    index: HashTable<FlowHandle>,
     hasher: RandomState,
     flows: Vec<Option<Flow>>,
-    free: Vec<Key>,
+    free_handles: Vec<FlowHandle>,
     limit: usize,
-    /// Where the next search for flows that are over goes on.
+    /// Where the next part of the sweep begins.
     cursor: usize,
 }
 
@@ -217,7 +220,7 @@
             index: HashTable::new(),
             hasher: RandomState::new(),
             flows: Vec::new(),
-            free: Vec::new(),
+            free_handles: Vec::new(),
             limit,
             cursor: 0,
         }
@@ -227,109 +230,109 @@
         self.index.len()
     }
 
-    /// Whether another flow fits. A flow that is not remembered is passed on all
-    /// the same, by its tag.
+    /// Whether another flow fits. Packets of flows that are not tracked are still forwarded
+    /// by their tag.
     pub(crate) fn has_room(&self) -> bool {
         self.len() < self.limit
     }
 
-    pub(crate) fn find(&self, pair: &Pair) -> Option<Key> {
+    pub(crate) fn find(&self, pair: &Pair) -> Option<FlowHandle> {
         let hash = self.hasher.hash_one(pair);
         self.index
-            .find(hash, |key| self.has_ends(*key, pair))
+            .find(hash, |handle| self.has_endpoints(*handle, pair))
             .copied()
     }
 
-    fn has_ends(&self, key: Key, pair: &Pair) -> bool {
-        self.get(key).is_some_and(|flow| flow.pair == *pair)
+    fn has_endpoints(&self, handle: FlowHandle, pair: &Pair) -> bool {
+        self.get(handle).is_some_and(|flow| flow.pair == *pair)
     }
 
-    pub(crate) fn get(&self, key: Key) -> Option<&Flow> {
-        self.flows.get(key.index())?.as_ref()
+    pub(crate) fn get(&self, handle: FlowHandle) -> Option<&Flow> {
+        self.flows.get(handle.index())?.as_ref()
     }
 
-    pub(crate) fn get_mut(&mut self, key: Key) -> Option<&mut Flow> {
-        self.flows.get_mut(key.index())?.as_mut()
+    pub(crate) fn get_mut(&mut self, handle: FlowHandle) -> Option<&mut Flow> {
+        self.flows.get_mut(handle.index())?.as_mut()
     }
 
-    /// Adds a flow whose ends are not in the table.
-    pub(crate) fn insert(&mut self, flow: Flow) -> Key {
-        let key = self.free.pop().unwrap_or_else(|| {
+    /// Adds a flow whose endpoints are not in the table.
+    pub(crate) fn insert(&mut self, flow: Flow) -> FlowHandle {
+        let handle = self.free_handles.pop().unwrap_or_else(|| {
             self.flows.push(None);
-            Key(self.flows.len() as u32 - 1)
+            FlowHandle(self.flows.len() as u32 - 1)
         });
         let hash = self.hasher.hash_one(flow.pair);
-        self.flows[key.index()] = Some(flow);
+        self.flows[handle.index()] = Some(flow);
         let (flows, hasher) = (&self.flows, &self.hasher);
-        let rehash = |key: &Key| {
-            flows[key.index()]
+        let rehash = |handle: &FlowHandle| {
+            flows[handle.index()]
                 .as_ref()
                 .map_or(0, |f| hasher.hash_one(f.pair))
         };
-        self.index.insert_unique(hash, key, rehash);
-        key
+        self.index.insert_unique(hash, handle, rehash);
+        handle
     }
 
-    pub(crate) fn remove(&mut self, key: Key) -> Option<Flow> {
-        let flow = self.flows.get_mut(key.index())?.take()?;
+    pub(crate) fn remove(&mut self, handle: FlowHandle) -> Option<Flow> {
+        let flow = self.flows.get_mut(handle.index())?.take()?;
         let hash = self.hasher.hash_one(flow.pair);
-        if let Ok(entry) = self.index.find_entry(hash, |other| *other == key) {
+        if let Ok(entry) = self.index.find_entry(hash, |other| *other == handle) {
             entry.remove();
         }
-        self.free.push(key);
+        self.free_handles.push(handle);
         Some(flow)
     }
 
-    /// Looks at the next `count` places and takes out flows that are over; says
-    /// also whether that ended a round through the whole table.
+    /// Sweeps the next `count` entries and removes expired flows. Also returns whether the
+    /// sweep has reached the end of the table.
     pub(crate) fn expire(
         &mut self,
         now: Instant,
-        rules: &Expiry,
+        rules: &ExpiryRules,
         count: usize,
     ) -> (Vec<Flow>, bool) {
         let end = self.flows.len().min(self.cursor + count);
-        let is_over = |flow: &Flow| rules.is_over(flow, now);
-        let over: Vec<Key> = (self.cursor..end)
-            .filter(|index| self.flows[*index].as_ref().is_some_and(is_over))
-            .map(|index| Key(index as u32))
+        let is_expired = |flow: &Flow| rules.is_expired(flow, now);
+        let expired: Vec<FlowHandle> = (self.cursor..end)
+            .filter(|index| self.flows[*index].as_ref().is_some_and(is_expired))
+            .map(|index| FlowHandle(index as u32))
             .collect();
-        let taken = over
+        let removed = expired
             .into_iter()
-            .filter_map(|key| self.remove(key))
+            .filter_map(|handle| self.remove(handle))
             .collect();
-        let is_round = end == self.flows.len();
-        self.cursor = if is_round { 0 } else { end };
-        (taken, is_round)
+        let is_complete = end == self.flows.len();
+        self.cursor = if is_complete { 0 } else { end };
+        (removed, is_complete)
     }
 
-    /// Places to look at for this part of a round through the whole table.
-    pub(crate) fn part(&self, share: f64) -> usize {
+    /// Number of entries in this share of the table.
+    pub(crate) fn sweep_size(&self, share: f64) -> usize {
         (self.flows.len() as f64 * share).ceil() as usize
     }
 }
 
-/// When flows are forgotten.
+/// Rules for the expiry of flows.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Expiry {
-    pub(crate) idle: Duration,
-    pub(crate) age: Duration,
+pub(crate) struct ExpiryRules {
+    pub(crate) idle_timeout: Duration,
+    pub(crate) max_age: Duration,
 }
 
-/// How long a flow that ends is remembered, for its last repeats: longer than
-/// the longest pause between a sender's repeats, 1.6 s.
-const CLOSING: Duration = Duration::from_secs(2);
+/// How long a closing flow is tracked for its last retransmissions: longer than the longest
+/// retransmission interval of 1.6 s.
+const CLOSING_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long an opening packet is remembered; its caller gives up after 1.4 s.
-const OPENING: Duration = Duration::from_secs(2);
+/// How long an unanswered SYN is tracked; its caller gives up after 1.4 s.
+const SYN_TIMEOUT: Duration = Duration::from_secs(2);
 
-impl Expiry {
-    fn is_over(&self, flow: &Flow, now: Instant) -> bool {
-        let idle = match flow.phase {
-            Phase::Opening(_) => OPENING,
-            Phase::Open => self.idle,
-            Phase::Closing => CLOSING,
+impl ExpiryRules {
+    fn is_expired(&self, flow: &Flow, now: Instant) -> bool {
+        let idle_timeout = match flow.phase {
+            Phase::Opening(_) => SYN_TIMEOUT,
+            Phase::Open => self.idle_timeout,
+            Phase::Closing => CLOSING_TIMEOUT,
         };
-        now >= flow.seen + idle || now >= flow.born + self.age
+        now >= flow.last_seen + idle_timeout || now >= flow.created_at + self.max_age
     }
 }
--- a/src/flow/tag.rs
+++ b/src/flow/tag.rs
@@ -1,4 +1,4 @@
-//! Names of backend servers as packets carry them.
+//! Identities of backend servers in packets.
 
 use std::fmt;
 use std::hash::Hasher;
@@ -7,10 +7,10 @@
 
 use siphasher::sip::SipHasher13;
 
-/// Identity of a backend server, as its datagrams name it.
+/// Identity of a backend server in the datagrams that it receives.
 ///
-/// A server ignores what names another one, so that a packet sent to an address
-/// that changed hands harms nobody.
+/// A server ignores datagrams for other identities, so that a packet to a reassigned
+/// address has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Serial(pub u64);
 
@@ -28,11 +28,11 @@
     }
 }
 
-/// One life of a backend server: when it started, in Unix milliseconds.
+/// One incarnation of a backend server: the time of its start in Unix milliseconds.
 ///
-/// A server that starts again under its serial knows nothing of before. Lives of
-/// one server are only compared with each other, so that clocks that differ
-/// between machines do no harm.
+/// A server that restarts with the same serial has no state of the incarnation before.
+/// Incarnations are compared only with others of the same server, so that clock
+/// differences between machines have no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(pub u64);
 
@@ -50,19 +50,19 @@
     }
 }
 
-/// Routing tag: 32 bits of a packet that both ends repeat.
+/// Routing tag: 32 bits of a packet that both endpoints echo.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Tag(pub u32);
 
 impl Tag {
-    /// What a packet carries before any server has answered.
+    /// The tag of packets before any server has answered.
     pub const NONE: Self = Self(0);
 
     /// The tag of a server.
     ///
-    /// It depends on the serial alone, so that all instances agree on it
-    /// without a word; serials are longer than a tag, which is why they are
-    /// hashed and why two may collide.
+    /// It is a hash of the serial, so that all instances compute the same tag without
+    /// communication. A serial is longer than a tag, so that the tags of two servers may
+    /// collide.
     pub fn of(serial: Serial) -> Self {
         let mut hasher = SipHasher13::new();
         hasher.write_u64(serial.0);
--- a/src/flow/warmup.rs
+++ b/src/flow/warmup.rs
@@ -1,12 +1,12 @@
-//! How many new flows a server that is still cold gets from each instance.
+//! Quotas of new flows for servers that are still cold.
 //!
-//! Load pattern: operators take back a zone at the peak. Its servers are empty and
-//! therefore look best to every instance, but while they are cold each of them
-//! bears only a few requests a second, all instances together.
+//! Load pattern: operators end the evacuation of a zone at peak load. Its servers are idle
+//! and therefore the best candidates for every instance, but while they are cold, each of
+//! them can process only a few requests per second from all instances together.
 //!
-//! The instances share that without a word to each other: all know the members, and
-//! each ranks them alike for each server. Where two lists of members differ for a
-//! moment, so do a few shares.
+//! The instances divide that rate without communication: all of them know the list of
+//! instances, and each computes the same ranking for each server. While two instances have
+//! different lists for a moment, a few quotas differ as well.
 
 use std::collections::VecDeque;
 use std::hash::Hash;
@@ -19,78 +19,81 @@
 use crate::flow::Server;
 use crate::id;
 
-/// Span in which a share holds: a second, and what two packets may differ in on
-/// their way.
-const SPAN: Duration = Duration::from_millis(1_100);
+/// Window of the quota: one second, and the difference in delay that two packets may have.
+const QUOTA_WINDOW: Duration = Duration::from_millis(1_100);
 
 /// An instance that shares the callers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// The instance.
+    /// Name of the instance.
     pub instance: id::Instance,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: id::Zone,
 }
 
-/// What a service's servers bear after their start.
+/// Load limits of a service's servers after their start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Warmup {
     /// How long a server stays cold.
     pub lasts: Duration,
-    /// Requests a second that a cold server bears, from all instances together;
-    /// 0 when that is not limited.
+    /// Requests per second that a cold server can process from all instances together; 0 for
+    /// no limit.
     pub rate: f64,
 }
 
-/// This instance's part of a cold server's new flows.
+/// This instance's quota of new flows for a cold server.
 #[derive(Debug, Default)]
-pub(crate) struct Share {
-    /// New flows in each span; `None` when they are not limited.
-    most: Option<usize>,
-    /// When the last ones went there.
-    given: VecDeque<Instant>,
+pub(crate) struct ColdQuota {
+    /// New flows per window; `None` for no limit.
+    limit: Option<usize>,
+    /// When recent flows were opened.
+    recent: VecDeque<Instant>,
 }
 
-impl Share {
-    pub(crate) fn set(&mut self, most: Option<usize>) {
-        self.most = most;
+impl ColdQuota {
+    pub(crate) fn set(&mut self, limit: Option<usize>) {
+        self.limit = limit;
     }
 
-    /// Whether the span up to now has room for one more.
+    /// Whether the window that ends now has room for another flow.
     pub(crate) fn has_room(&self, now: Instant) -> bool {
-        let Some(most) = self.most else {
+        let Some(limit) = self.limit else {
             return true;
         };
-        let recent = self.given.iter().filter(|at| now < **at + SPAN);
-        recent.count() < most
+        let in_window = self.recent.iter().filter(|at| now < **at + QUOTA_WINDOW);
+        in_window.count() < limit
     }
 
     pub(crate) fn take(&mut self, now: Instant) {
-        if self.most.is_none() {
+        if self.limit.is_none() {
             return;
         }
-        while self.given.front().is_some_and(|at| now >= *at + SPAN) {
-            self.given.pop_front();
+        while self
+            .recent
+            .front()
+            .is_some_and(|at| now >= *at + QUOTA_WINDOW)
+        {
+            self.recent.pop_front();
         }
-        self.given.push_back(now);
+        self.recent.push_back(now);
     }
 }
 
-/// New flows that one of the peers may send a cold server in a second.
+/// New flows per second that one instance may open at a cold server.
 ///
-/// The shares of all add up to the rate, rounded down, or to one. All zones share
-/// alike, since a service may have servers in one zone only.
+/// The quotas of all instances add up to the rate, rounded down, or to one. All zones have
+/// equal quotas, because a service may have servers in one zone only.
 pub fn share(me: &id::Instance, peers: &[Peer], server: &Server, rate: f64) -> usize {
     let total = (rate as usize).max(1);
-    let mine = place(me, server);
-    let places = peers.iter().map(|peer| place(&peer.instance, server));
-    let rank = places.filter(|other| *other < mine).count();
+    let own_hash = rank_hash(me, server);
+    let hashes = peers.iter().map(|peer| rank_hash(&peer.instance, server));
+    let rank = hashes.filter(|other| *other < own_hash).count();
     let count = peers.len().max(1);
     total / count + usize::from(rank < total % count)
 }
 
-/// Order of the instances for one life of a server.
-fn place(instance: &id::Instance, server: &Server) -> u64 {
+/// Hash by which the instances are ranked for one incarnation of a server.
+fn rank_hash(instance: &id::Instance, server: &Server) -> u64 {
     let mut hasher = SipHasher13::new();
     (instance, server.serial, server.incarnation).hash(&mut hasher);
     hasher.finish()
