--- a/benches/plane.rs
+++ b/benches/plane.rs
@@ -1,4 +1,4 @@
-//! Processor time of a packet's decision, with 64,000 flows and 150 servers.
+//! CPU time of one forwarding decision, with 64,000 flows and 150 servers.
 
 use std::hint::black_box;
 use std::net::Ipv4Addr;
@@ -30,9 +30,9 @@
 
 fn server(number: u32) -> Server {
     Server {
-        id: format!("s-{number}").parse().expect("a name"),
+        id: format!("s-{number}").parse().expect("a valid name"),
         serial: Serial(u64::from(number) << 20),
-        service: "dispatch".parse().expect("a name"),
+        service: "dispatch".parse().expect("a valid name"),
         address: SocketAddrV4::new(Ipv4Addr::from(0x0a00_0000 + number), 80),
         zone: if number.is_multiple_of(4) {
             "bole"
@@ -40,7 +40,7 @@
             "ayat"
         }
         .parse()
-        .expect("a name"),
+        .expect("a valid name"),
         slots: 2,
         presence: Presence::Ready,
         incarnation: None,
@@ -50,8 +50,8 @@
 
 fn plane(now: Instant) -> Plane {
     let mut plane = Plane::new(Options {
-        instance: "entry-1".parse().expect("a name"),
-        zone: "bole".parse().expect("a name"),
+        instance: "entry-1".parse().expect("a valid name"),
+        zone: "bole".parse().expect("a valid name"),
         spill: 2.5,
         flow_ttl: Duration::from_secs(3_600),
         idle_timeout: Duration::from_secs(3_600),
@@ -59,7 +59,7 @@
         seed: 1,
     });
     let backend = Backend {
-        service: "dispatch".parse().expect("a name"),
+        service: "dispatch".parse().expect("a valid name"),
         weight: 1,
     };
     let route = Route {
@@ -115,17 +115,17 @@
     segment(caller, flags, tag)
 }
 
-/// Opens a flow and gives back its tag.
+/// Opens a flow and returns its tag.
 fn open(plane: &mut Plane, now: Instant, caller: u32) -> Tag {
     let Verdict::Forward(target) = plane.receive(now, &opening(caller), &[0; 34]) else {
-        panic!("refused");
+        panic!("SYN not forwarded");
     };
     plane.receive(now, &later(caller, target.tag), &[]);
     target.tag
 }
 
-/// A plane with all flows open, their tags, and the time of the last.
-fn filled() -> (Plane, Vec<Tag>, Instant) {
+/// A plane with all flows open, their tags, and the time of the last SYN.
+fn plane_with_flows() -> (Plane, Vec<Tag>, Instant) {
     let mut at = Instant::now();
     let mut plane = plane(at);
     let mut tags = Vec::new();
@@ -140,7 +140,7 @@
 }
 
 fn known(criterion: &mut Criterion) {
-    let (mut plane, tags, now) = filled();
+    let (mut plane, tags, now) = plane_with_flows();
     let mut next = 0;
     criterion.bench_function("plane/known", |bencher| {
         bencher.iter(|| {
@@ -151,9 +151,9 @@
     });
 }
 
-/// The opening packet alone; what ends its flow is not timed.
+/// Measures the SYN alone, without the remaining packets of the flow.
 fn new(criterion: &mut Criterion) {
-    let (mut plane, _, mut at) = filled();
+    let (mut plane, _, mut at) = plane_with_flows();
     let mut next = FLOWS;
     criterion.bench_function("plane/new", |bencher| {
         bencher.iter_custom(|count| {
@@ -172,10 +172,10 @@
     });
 }
 
-/// The caller's answer to the server and its last packet.
+/// Sends the caller's next packet and its last one.
 fn finish(plane: &mut Plane, at: Instant, caller: u32, verdict: Verdict) {
     let Verdict::Forward(target) = verdict else {
-        panic!("refused");
+        panic!("SYN not forwarded");
     };
     plane.receive(at, &later(caller, target.tag), &[]);
     let mut last = later(caller, target.tag);
@@ -189,9 +189,9 @@
 }
 
 fn whole(criterion: &mut Criterion) {
-    let (mut plane, _, mut at) = filled();
+    let (mut plane, _, mut at) = plane_with_flows();
     let mut next = FLOWS;
-    // Opening packet, the next one and the last: a whole flow.
+    // Measures a whole flow: the SYN, the next packet and the last one.
     criterion.bench_function("plane/whole_flow", |bencher| {
         bencher.iter(|| {
             next += 1;
--- a/tests/flow/backlog.rs
+++ b/tests/flow/backlog.rs
@@ -1,4 +1,4 @@
-//! Packets that come before the first copy of the store.
+//! Packets that arrive before the instance has read the store.
 
 use std::time::Duration;
 
@@ -29,44 +29,44 @@
     Caller::new(port, BOOKINGS).data(0, Tag::NONE)
 }
 
-fn taken(backlog: &mut Backlog, now: Instant) -> Vec<Segment> {
+fn drain(backlog: &mut Backlog, now: Instant) -> Vec<Segment> {
     backlog.take(now).map(|early| early.segment).collect()
 }
 
-// Guards against packets that are lost, or change places, while the copy comes.
+// Guards against packets that are lost or reordered before the store has been read.
 #[test]
-fn what_comes_early_is_taken_once_and_in_order() {
+fn early_packets_are_drained_once_and_in_order() {
     let now = Instant::now();
     let mut backlog = Backlog::default();
     backlog.keep(early(now, data(1)));
     backlog.keep(early(now + ms(1), opening(2)));
     let both = vec![data(1), opening(2)];
-    assert_eq!(taken(&mut backlog, now + ms(100)), both);
-    assert_eq!(taken(&mut backlog, now + ms(100)), Vec::new());
+    assert_eq!(drain(&mut backlog, now + ms(100)), both);
+    assert_eq!(drain(&mut backlog, now + ms(100)), Vec::new());
 }
 
-// Guards against an opening packet that opens its flow a second time, at another server,
-// after its caller's copy has opened it.
+// Guards against a SYN that opens its flow a second time, at another server, after the
+// caller's retransmission has opened it.
 #[test]
 fn no_opening_packet_outlives_its_callers_copy() {
     let now = Instant::now();
     let mut backlog = Backlog::default();
     backlog.keep(early(now, opening(1)));
     backlog.keep(early(now, data(2)));
-    assert_eq!(taken(&mut backlog, now + ms(200)), vec![data(2)]);
+    assert_eq!(drain(&mut backlog, now + ms(200)), vec![data(2)]);
 }
 
-// Guards against packets of open flows that come after their senders' repeats.
+// Guards against forwarding packets of open flows after their retransmissions.
 #[test]
 fn no_packet_outlives_the_longest_pause_between_repeats() {
     let now = Instant::now();
     let mut backlog = Backlog::default();
     backlog.keep(early(now, data(1)));
-    assert_eq!(taken(&mut backlog, now + ms(1_600)), Vec::new());
+    assert_eq!(drain(&mut backlog, now + ms(1_600)), Vec::new());
 }
 
-// Guards against memory that fills while no copy comes at all, and against old packets
-// that keep new ones out.
+// Guards against unbounded memory use while the store stays unreachable, and against old
+// packets that displace new ones.
 #[test]
 fn a_full_backlog_drops_the_oldest() {
     let now = Instant::now();
@@ -74,25 +74,25 @@
     for port in 0..10_000 {
         backlog.keep(early(now, data(port)));
     }
-    let kept = taken(&mut backlog, now);
+    let kept = drain(&mut backlog, now);
     assert!(kept.len() <= 1_024, "{}", kept.len());
     assert_eq!(kept.last(), Some(&data(9_999)));
 }
 
-// Guards against delivery after a stop.
+// Guards against delivery after a shutdown.
 #[test]
 fn a_cleared_backlog_holds_nothing() {
     let now = Instant::now();
     let mut backlog = Backlog::default();
     backlog.keep(early(now, opening(1)));
     backlog.clear();
-    assert_eq!(taken(&mut backlog, now), Vec::new());
+    assert_eq!(drain(&mut backlog, now), Vec::new());
 }
 
 proptest! {
-    // Guards against any order of arrivals in which something old is delivered.
+    // Guards against an order of arrivals in which an expired packet is delivered.
     #[test]
-    fn what_is_taken_is_young(gaps in proptest::collection::vec((0..400u64, any::<bool>()), 1..80)) {
+    fn drained_packets_have_not_expired(gaps in proptest::collection::vec((0..400u64, any::<bool>()), 1..80)) {
         let mut now = Instant::now();
         let mut backlog = Backlog::default();
         for (gap, opens) in gaps {
--- a/tests/flow/choice.rs
+++ b/tests/flow/choice.rs
@@ -1,4 +1,4 @@
-//! Where new flows go when all is well.
+//! Server selection for new flows in normal operation.
 
 use std::collections::HashMap;
 
@@ -20,8 +20,8 @@
     }
 }
 
-// All requests of a burst wait at the zone's only server. Beyond the margin the
-// other zone's idle server answers sooner, in spite of the way.
+// All requests of a burst are queued at the zone's only server. Beyond the spill margin,
+// the idle server of the other zone answers sooner in spite of the longer round trip.
 #[test]
 fn a_full_zone_spills_over() {
     let now = Instant::now();
@@ -76,11 +76,11 @@
     assert!(counts[&2] < counts[&1], "{counts:?}");
 }
 
-/// Requests that a server works on and lets wait.
-const ROOM: usize = 2 + 8;
+/// Requests that a server processes and queues.
+const SERVER_CAPACITY: usize = 2 + 8;
 
-// Guards against a server that has just come and that all instances of a zone choose in
-// the same moment: the queue of one that is empty overflows.
+// Guards against a new server that all instances of a zone select at the same moment, so
+// that its empty queue overflows.
 #[test]
 fn a_new_server_is_not_chosen_by_all_instances_at_once() {
     const INSTANCES: u64 = 22;
@@ -108,6 +108,6 @@
         let target = forwarded(plane.receive(now + ms(30), &packet, b"packet"));
         arrivals += usize::from(target.serial.0 == u64::from(SERVERS) + 1);
     }
-    assert!(arrivals <= ROOM, "{arrivals} of {INSTANCES}");
-    assert!(arrivals > 0, "a new server is found");
+    assert!(arrivals <= SERVER_CAPACITY, "{arrivals} of {INSTANCES}");
+    assert!(arrivals > 0, "at least one instance selects the new server");
 }
--- a/tests/flow/config.rs
+++ b/tests/flow/config.rs
@@ -1,4 +1,4 @@
-//! Configurations: routes come, go, and never go back.
+//! Configuration updates: added and withdrawn routes, and outdated versions.
 
 use std::time::Duration;
 
@@ -23,8 +23,8 @@
     assert_eq!(plane.version(), 5);
 }
 
-// A route is withdrawn while a flow is open: the flow goes on, new ones are told
-// at once.
+// A route is withdrawn while a flow is open: the flow continues, and new flows are
+// refused at once.
 #[test]
 fn an_open_flow_outlives_its_route() {
     let now = Instant::now();
@@ -53,8 +53,8 @@
     assert_eq!(verdict, Verdict::Reset);
 }
 
-// A route shares its flows between two services. Copies of an opening packet may
-// reach another instance; both must pick the same service.
+// A route splits its flows between two services. Retransmissions of a SYN may reach
+// another instance, which must select the same service.
 #[test]
 fn shares_are_kept_and_agree_between_instances() {
     let now = Instant::now();
--- a/tests/flow/evacuation.rs
+++ b/tests/flow/evacuation.rs
@@ -1,4 +1,4 @@
-//! Zones that operators evacuate.
+//! Evacuated zones.
 
 use std::collections::BTreeSet;
 
@@ -44,13 +44,13 @@
     ports.map(open).collect()
 }
 
-// Guards against new flows to an evacuated zone while another one has servers.
+// Guards against new flows to an evacuated zone while another zone has servers.
 #[test]
 fn an_evacuated_zone_gets_no_new_flows() {
     let now = Instant::now();
     let mut plane = plane(now, two_zones());
     assert!(evacuate(&mut plane, now, LOCAL));
-    assert!(!evacuate(&mut plane, now, LOCAL), "known already");
+    assert!(!evacuate(&mut plane, now, LOCAL), "already evacuated");
     assert_eq!(serials(&mut plane, now, 1..200), BTreeSet::from([3]));
     assert!(plane.learn(now, Belief::Returned(zone(LOCAL))));
     assert!(serials(&mut plane, now, 200..230).contains(&1));
@@ -68,7 +68,7 @@
     assert_eq!(forwarded(plane.receive(now + ms(50), &data, b"")), target);
 }
 
-// Guards against the copy of an opening packet that reaches the zone after the order.
+// Guards against a retransmitted SYN that is sent to a zone after its evacuation.
 #[test]
 fn a_copy_leaves_an_evacuated_zone() {
     let now = Instant::now();
@@ -93,9 +93,9 @@
     assert_eq!(copy, Verdict::Drop(Drop::Evacuated));
 }
 
-// Guards against further openings, after a silence, into an evacuated zone.
+// Guards against a resend to an evacuated zone when a server does not answer.
 #[test]
-fn a_silent_server_hands_nothing_to_an_evacuated_zone() {
+fn no_resend_goes_to_an_evacuated_zone() {
     let now = Instant::now();
     let mut plane = plane(now, two_zones());
     let other = Caller::new(9, BOOKINGS);
@@ -111,12 +111,15 @@
 
 // Guards against callers that wait for a service whose zones are all evacuated.
 #[test]
-fn with_all_zones_evacuated_callers_are_told_at_once() {
+fn with_all_zones_evacuated_callers_are_refused_at_once() {
     let now = Instant::now();
     let mut plane = plane(now, two_zones());
     let all = BTreeSet::from([zone(LOCAL), zone(REMOTE)]);
     assert!(plane.learn(now, Belief::Evacuation(all.clone())));
-    assert!(!plane.learn(now, Belief::Evacuation(all)), "known already");
+    assert!(
+        !plane.learn(now, Belief::Evacuation(all)),
+        "already evacuated"
+    );
     let caller = Caller::new(1, BOOKINGS);
     let verdict = plane.receive(now, &caller.opening(0), b"packet");
     assert_eq!(verdict, Verdict::Reset);
@@ -133,10 +136,10 @@
     assert!(notes.iter().any(is_told), "{notes:?}");
 }
 
-// Guards against the last resorts: entries that have just lapsed, servers that are
-// silent, and entries that somebody has overwritten.
+// Guards against the fallbacks: servers whose entry has just lapsed, suspected servers,
+// and servers with an unreadable entry.
 #[test]
-fn no_last_resort_lies_in_an_evacuated_zone() {
+fn no_fallback_uses_an_evacuated_zone() {
     let now = Instant::now();
     let mut plane = plane(
         now,
@@ -151,7 +154,7 @@
     assert_eq!(verdict, Verdict::Reset);
 }
 
-// Guards against servers that come, start anew or move while their zone is evacuated.
+// Guards against servers that start, restart or move while their zone is evacuated.
 #[test]
 fn servers_that_come_into_an_evacuated_zone_get_nothing() {
     let now = Instant::now();
@@ -190,7 +193,7 @@
 
 const ZONES: [&str; 3] = [LOCAL, REMOTE, "ayat"];
 
-/// The zone of a server, as it was written last.
+/// The zone in the last entry of a server.
 fn zone_of(plane: &Plane, address: std::net::SocketAddrV4) -> String {
     let mut servers = plane.directory().servers();
     let server = servers.find(|server| server.address == address);
--- a/tests/flow/experience.rs
+++ b/tests/flow/experience.rs
@@ -1,4 +1,4 @@
-//! Servers that hang, or fail at once, while health and handshakes are good.
+//! Servers that hang, or fail at once, while health checks and handshakes succeed.
 
 use godwitreel::flow::Belief;
 use godwitreel::flow::Counts;
@@ -12,27 +12,27 @@
 
 use crate::support::*;
 
-/// How a server answers: after so many milliseconds, with so many bytes.
+/// How a server answers: the delay in milliseconds and the size of the answer.
 #[derive(Clone, Copy)]
-pub(crate) struct Manner {
+pub(crate) struct Behavior {
     after_ms: u64,
     bytes: u32,
 }
 
-pub(crate) const GOOD: Manner = Manner {
+pub(crate) const GOOD: Behavior = Behavior {
     after_ms: 40,
     bytes: 1_000,
 };
-const FAILING: Manner = Manner {
+const FAILING: Behavior = Behavior {
     after_ms: 1,
     bytes: 150,
 };
-pub(crate) const HANGING: Manner = Manner {
+pub(crate) const HANGING: Behavior = Behavior {
     after_ms: u64::MAX,
     bytes: 0,
 };
 
-/// What is still to come: an answer, or the caller's end.
+/// The pending end of a request: its answer, or the caller's timeout.
 struct Pending {
     at: Instant,
     caller: Caller,
@@ -40,15 +40,15 @@
     bytes: u32,
 }
 
-/// Callers' load on a plane: a new request every 10 ms.
-pub(crate) struct Load {
+/// Load generator: callers that send a new request every 10 ms.
+pub(crate) struct LoadGenerator {
     pub(crate) plane: Plane,
     pub(crate) now: Instant,
     port: u16,
     pending: Vec<Pending>,
 }
 
-impl Load {
+impl LoadGenerator {
     pub(crate) fn new(servers: Vec<Server>) -> Self {
         let now = Instant::now();
         Self {
@@ -59,12 +59,12 @@
         }
     }
 
-    /// So many requests; how many went to each server.
-    pub(crate) fn run(&mut self, count: usize, manner: impl Fn(u64) -> Manner) -> Vec<usize> {
+    /// Sends `count` requests. Returns the number of requests per server.
+    pub(crate) fn run(&mut self, count: usize, behavior: impl Fn(u64) -> Behavior) -> Vec<usize> {
         let mut counts = vec![0; 10];
         for _ in 0..count {
             self.now += ms(10);
-            self.settle();
+            self.finish_due();
             self.plane.expire(self.now);
             self.port += 1;
             let caller = Caller::new(self.port, BOOKINGS);
@@ -74,26 +74,26 @@
                 .receive(self.now + ms(2), &caller.data(0, target.tag), b"");
             let number = target.serial.0;
             counts[number as usize] += 1;
-            let manner = manner(number);
-            // A caller that gets nothing gives up after two seconds.
-            let after = manner.after_ms.min(2_000);
+            let behavior = behavior(number);
+            // A caller without an answer gives up after two seconds.
+            let after = behavior.after_ms.min(2_000);
             self.pending.push(Pending {
                 at: self.now + ms(2 + after),
                 caller,
                 target,
-                bytes: manner.bytes,
+                bytes: behavior.bytes,
             });
         }
         counts
     }
 
-    fn settle(&mut self) {
+    fn finish_due(&mut self) {
         let now = self.now;
-        let (due, left) = self
+        let (due, remaining) = self
             .pending
             .drain(..)
             .partition(|pending| pending.at <= now);
-        self.pending = left;
+        self.pending = remaining;
         let due: Vec<Pending> = due;
         for Pending {
             at,
@@ -113,13 +113,13 @@
     }
 }
 
-pub(crate) fn four() -> Vec<Server> {
+pub(crate) fn four_servers() -> Vec<Server> {
     (1..5)
         .map(|number| server(number, "dispatch", LOCAL))
         .collect()
 }
 
-fn told(number: u64, counts: Counts) -> Belief {
+fn zone_counts(number: u64, counts: Counts) -> Belief {
     Belief::Testimony(vec![Testimony {
         serial: godwitreel::flow::Serial(number),
         incarnation: None,
@@ -133,11 +133,11 @@
     stalls: 3.0,
 };
 
-// A server takes requests and never answers. Each caller waits until its deadline;
-// without the count of open requests a further one goes there for each that left.
+// A server accepts requests and never answers. Each caller waits until its deadline.
+// Without the stall count, another request goes there for each caller that gives up.
 #[test]
 fn a_server_that_hangs_gets_little_work() {
-    let mut load = Load::new(four());
+    let mut load = LoadGenerator::new(four_servers());
     load.run(100, |_| GOOD);
     let hanging = |number| if number == 1 { HANGING } else { GOOD };
     load.run(60, hanging);
@@ -145,14 +145,17 @@
     assert!(counts[1] <= 8, "{counts:?}");
     load.run(1_000, |_| GOOD);
     let counts = load.run(200, |_| GOOD);
-    assert!(counts[1] > 25, "it is well again: {counts:?}");
+    assert!(
+        counts[1] > 25,
+        "a recovered server gets load again: {counts:?}"
+    );
 }
 
-// A server answers errors at once. It is never busy, so that it looked like the
-// best choice; a quarter of all requests and more failed.
+// A server answers with errors at once. It is never busy and looks like the best choice,
+// so that more than a quarter of all requests failed.
 #[test]
 fn a_server_that_fails_at_once_gets_little_work() {
-    let mut load = Load::new(four());
+    let mut load = LoadGenerator::new(four_servers());
     load.run(100, |_| GOOD);
     let failing = |number| if number == 1 { FAILING } else { GOOD };
     load.run(60, failing);
@@ -160,15 +163,18 @@
     assert!(counts[1] <= 20, "{counts:?}");
     load.run(1_000, |_| GOOD);
     let counts = load.run(200, |_| GOOD);
-    assert!(counts[1] > 25, "it is well again: {counts:?}");
+    assert!(
+        counts[1] > 25,
+        "a recovered server gets load again: {counts:?}"
+    );
 }
 
-// A server is just faster than the others. Its answers are whole, and it is used.
+// A server is faster than the others. Its answers have full size, so it gets load.
 #[test]
 fn a_fast_server_is_no_failing_one() {
-    let mut load = Load::new(four());
+    let mut load = LoadGenerator::new(four_servers());
     load.run(100, |_| GOOD);
-    let fast = Manner {
+    let fast = Behavior {
         after_ms: 2,
         bytes: 1_000,
     };
@@ -176,49 +182,49 @@
     assert!(counts[1] >= 100, "{counts:?}");
 }
 
-// Most servers fail. Leaving them all to the one that works would only overload
-// it: what all share is no reason to prefer any.
+// All servers fail. Sending everything to a few of them would only overload these:
+// failures that all servers share must not affect the selection.
 #[test]
 fn servers_that_all_fail_share_the_work() {
-    let mut load = Load::new(four());
+    let mut load = LoadGenerator::new(four_servers());
     load.run(100, |_| GOOD);
     let counts = load.run(400, |_| HANGING);
     let served = counts.iter().filter(|count| **count > 50).count();
     assert_eq!(served, 4, "{counts:?}");
 }
 
-// Other instances have seen a server hang, this one has sent it nothing yet.
+// Other instances have seen a server hang, while this instance has sent it no request.
 #[test]
-fn what_the_zone_saw_counts_before_anything_is_seen_here() {
-    let mut load = Load::new(four());
+fn the_zones_counts_apply_before_any_own_request() {
+    let mut load = LoadGenerator::new(four_servers());
     load.run(100, |_| GOOD);
     load.now += ms(5_000);
-    load.settle();
-    load.plane.learn(load.now, told(1, HANGS));
+    load.finish_due();
+    load.plane.learn(load.now, zone_counts(1, HANGS));
     let counts = load.run(100, |_| GOOD);
     assert!(counts[1] < 10, "{counts:?}");
 }
 
-// Another instance is cut off from a server and says that it hangs. It answers
-// everything that comes from here, and goes on to get work.
+// Another instance cannot reach a server and reports that it hangs. The server answers all
+// requests of this instance and must keep its load.
 #[test]
-fn what_is_seen_here_counts_more_than_what_the_zone_says() {
-    let mut load = Load::new(four());
+fn own_successes_outweigh_the_zones_counts() {
+    let mut load = LoadGenerator::new(four_servers());
     load.run(100, |_| GOOD);
     let mut total = 0;
     for _ in 0..20 {
-        load.plane.learn(load.now, told(1, HANGS));
+        load.plane.learn(load.now, zone_counts(1, HANGS));
         total += load.run(20, |_| GOOD)[1];
     }
     assert!(total > 60, "{total} of 400");
 }
 
-// Nothing of it survives a new life, nor does what is told of another one.
+// Neither own counts nor the zone's counts of a former incarnation apply to a new one.
 #[test]
-fn a_new_life_is_not_blamed_for_the_former() {
-    let mut servers = four();
+fn a_new_incarnation_is_not_penalized_for_the_former() {
+    let mut servers = four_servers();
     servers[0].incarnation = Some(Incarnation(10));
-    let mut load = Load::new(servers.clone());
+    let mut load = LoadGenerator::new(servers.clone());
     for server in &mut servers[1..] {
         server.incarnation = Some(Incarnation(1));
         load.plane.learn(load.now, Belief::Server(server.clone()));
@@ -229,22 +235,22 @@
     servers[0].incarnation = Some(Incarnation(20));
     load.plane
         .learn(load.now, Belief::Server(servers[0].clone()));
-    load.plane.learn(load.now, told(1, HANGS));
+    load.plane.learn(load.now, zone_counts(1, HANGS));
     let counts = load.run(100, |_| GOOD);
     assert!(counts[1] >= 15, "{counts:?}");
 }
 
-// Routers turn: callers' packets go to other instances from now on, and the flows
-// of others come here. No server hangs.
+// Routers send the callers' packets to other instances from now on, and the flows of other
+// instances arrive here. No server hangs.
 #[test]
-fn routers_that_turn_make_no_server_look_hung() {
-    let mut load = Load::new(four());
+fn rerouted_flows_make_no_server_look_hung() {
+    let mut load = LoadGenerator::new(four_servers());
     load.run(100, |_| GOOD);
     load.pending.clear();
-    let stranger = Caller::new(60_000, BOOKINGS);
+    let rerouted = Caller::new(60_000, BOOKINGS);
     let tag = Tag::of(godwitreel::flow::Serial(2));
     load.plane
-        .receive(load.now + ms(1), &stranger.data(0, tag), b"");
+        .receive(load.now + ms(1), &rerouted.data(0, tag), b"");
     for _ in 0..40 {
         load.now += ms(50);
         load.plane.expire(load.now);
--- a/tests/flow/forget.rs
+++ b/tests/flow/forget.rs
@@ -1,4 +1,4 @@
-//! Flows that are over are forgotten, a part of the table at a time.
+//! Incremental removal of expired flows.
 
 use std::time::Duration;
 
@@ -6,14 +6,13 @@
 
 use crate::support::*;
 
-/// Time between two looks, as often as an instance has something to do.
-const LOOK: Duration = Duration::from_millis(50);
+/// Time between two steps of the sweep while the instance has work.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 
-// An instance looks through tens of thousands of flows for those that are over.
-// Callers would see all packets that come meanwhile held up, so that one look
-// goes through a part of them only.
+// An instance sweeps tens of thousands of flows for expired ones. A single pass would delay
+// all packets received in the meantime, so that one step covers a part of the table only.
 #[test]
-fn one_look_goes_through_a_part_of_the_flows() {
+fn one_sweep_step_covers_a_part_of_the_flows() {
     let now = Instant::now();
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
     for port in 0..400 {
@@ -22,16 +21,19 @@
     plane.expire(now);
     let idle = Duration::from_secs(15);
     plane.expire(now + idle);
-    assert_eq!(plane.flows(), 400, "none is over yet");
-    plane.expire(now + idle + LOOK);
-    let left = plane.flows();
-    assert!((360..400).contains(&left), "{left} left of 400");
+    assert_eq!(plane.flows(), 400, "no flow has expired yet");
+    plane.expire(now + idle + SWEEP_INTERVAL);
+    let remaining = plane.flows();
+    assert!(
+        (360..400).contains(&remaining),
+        "{remaining} remaining of 400"
+    );
 }
 
-// Flows that nobody uses any more must not fill the table: a new flow that finds
-// no room is not watched, and its silent server not noticed.
+// Expired flows must not fill the table: a new flow that does not fit is not tracked, and
+// its unresponsive server is not detected.
 #[test]
-fn a_round_of_looks_forgets_all_flows_that_are_over() {
+fn a_full_sweep_removes_all_expired_flows() {
     let now = Instant::now();
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
     for port in 0..400 {
@@ -40,16 +42,16 @@
     let mut at = now;
     while at < now + Duration::from_millis(16_100) {
         plane.expire(at);
-        at += LOOK;
+        at += SWEEP_INTERVAL;
     }
     assert_eq!(plane.flows(), 0);
-    assert_eq!(plane.directory().load(), 0, "their load is given back");
+    assert_eq!(plane.directory().load(), 0, "expired flows add no load");
 }
 
-// A place in the table is used again after its flow is over: the later flow must
-// not get the earlier one's server, nor the earlier one's packets its load.
+// A table entry is reused after its flow has expired: the later flow must not get the
+// earlier one's server, nor its packets count as the earlier one's load.
 #[test]
-fn a_place_that_is_used_again_keeps_flows_apart() {
+fn a_reused_table_entry_keeps_flows_apart() {
     let now = Instant::now();
     let servers = vec![server(1, "dispatch", LOCAL), server(2, "ledger", LOCAL)];
     let mut plane = plane(now, servers);
--- a/tests/flow/gone.rs
+++ b/tests/flow/gone.rs
@@ -1,4 +1,4 @@
-//! Servers that leave, crash, or only seem to be gone.
+//! Servers that stop, crash, or only seem to be gone.
 
 use godwitreel::flow::Belief;
 use godwitreel::flow::Contact;
@@ -17,8 +17,8 @@
     }
 }
 
-// A server has crashed and its entry has lapsed. The caller's requests on its
-// open flow go unanswered until the deadline; a reset lets it try elsewhere now.
+// A server has crashed and its entry has lapsed. The caller's requests on its open flow
+// would go unanswered until the deadline; a reset lets the caller retry at once.
 #[test]
 fn a_flow_of_a_gone_server_is_reset() {
     let now = Instant::now();
@@ -31,14 +31,14 @@
 
     stay_in_contact(&mut plane, now, now + ms(2_000));
     let early = plane.receive(now + ms(2_000), &caller.data(0, target.tag), b"");
-    assert_eq!(forwarded(early), target, "it may still come back");
+    assert_eq!(forwarded(early), target, "the entry may still return");
     stay_in_contact(&mut plane, now + ms(2_000), now + ms(2_700));
     let late = plane.receive(now + ms(2_700), &caller.data(0, target.tag), b"");
     assert_eq!(late, Verdict::Reset);
 }
 
-// The store was away and has dropped the entries of servers that live. They are
-// back within 2 s of its return; a reset before would break living flows.
+// The store lost the entries of live servers in an outage. They return within 2 s after
+// it; a reset before that would break working flows.
 #[test]
 fn an_entry_that_lapsed_during_an_outage_may_come_back() {
     let now = Instant::now();
@@ -56,7 +56,7 @@
 
     let fresh = Caller::new(2, BOOKINGS);
     let verdict = plane.receive(returned + ms(500), &fresh.opening(0), b"");
-    assert_eq!(forwarded(verdict), target, "better than no server");
+    assert_eq!(forwarded(verdict), target, "the only server of the service");
     stay_in_contact(&mut plane, returned, returned + ms(1_900));
     let verdict = plane.receive(returned + ms(1_900), &caller.data(0, target.tag), b"");
     assert_eq!(forwarded(verdict), target);
@@ -69,7 +69,7 @@
     assert_eq!(forwarded(verdict), target);
 }
 
-// An entry stays away after the outage: new flows must stop going there.
+// An entry does not return after the outage: new flows must no longer go there.
 #[test]
 fn an_entry_that_stays_away_after_an_outage_is_gone() {
     let now = Instant::now();
@@ -80,14 +80,15 @@
     assert_eq!(verdict, Verdict::Reset);
 }
 
-// The store answers again only now, so the time before proves nothing.
+// The store has only just become reachable, so that the time before proves nothing.
 #[test]
-fn silence_of_the_store_proves_no_server_gone() {
+fn an_unreachable_store_proves_no_server_gone() {
     let now = Instant::now();
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
     let caller = Caller::new(1, BOOKINGS);
     let target = open(&mut plane, now, &caller);
-    // After the last answer, which alone would show that it lives.
+    // The entry is removed after the last answer, which would otherwise prove that the server
+    // is alive.
     plane.learn(now + ms(100), Belief::Gone("s-1".parse().unwrap()));
     plane.learn(now + ms(110), Belief::Silence);
     let verdict = plane.receive(now + ms(9_000), &caller.data(0, target.tag), b"");
@@ -99,8 +100,8 @@
     assert_eq!(forwarded(verdict), target);
 }
 
-// A server cannot reach the store, so that its entry lapses, but it answers its
-// callers. Resetting its flows would break what works.
+// A server cannot reach the store, so that its entry lapses, but it answers its callers.
+// A reset would break working flows.
 #[test]
 fn a_server_that_answers_is_not_gone() {
     let now = Instant::now();
@@ -114,7 +115,7 @@
     assert_eq!(forwarded(verdict), target);
 }
 
-// An entry that cannot be read must not make a living server gone.
+// An entry that cannot be parsed must not make a live server count as gone.
 #[test]
 fn an_unreadable_entry_leaves_its_server() {
     let now = Instant::now();
@@ -129,7 +130,7 @@
     forwarded(verdict);
 }
 
-// A server drains: it keeps its flows, new ones go elsewhere.
+// A draining server keeps its open flows, and new ones go to other servers.
 #[test]
 fn a_draining_server_keeps_its_flows_and_gets_no_new_ones() {
     let now = Instant::now();
@@ -147,9 +148,9 @@
     assert_eq!(forwarded(verdict), target);
 }
 
-// An entry lapses just as the store falls silent, and nobody has noticed the silence yet:
-// the copy only grows old. Its age proves nothing, however long it lasts, so that the
-// caller's open flow goes on.
+// An entry lapses just as the store becomes unreachable, which has not been detected yet:
+// the replica only becomes stale. Its age alone proves nothing, so that the open flow
+// continues.
 #[test]
 fn time_without_contact_proves_no_server_gone() {
     let now = Instant::now();
@@ -163,9 +164,9 @@
     }
 }
 
-// The store drops the entries of all servers and goes away. All live, so that new callers
-// go to them for as long as the store cannot say otherwise; a refusal would leave them
-// without service until it is back.
+// The store drops the entries of all servers and becomes unreachable. The servers are
+// alive, so that they get new flows until the store is back; otherwise callers would be
+// without service until then.
 #[test]
 fn new_flows_go_to_lapsed_servers_until_the_store_is_back() {
     let now = Instant::now();
@@ -178,11 +179,11 @@
     }
 }
 
-// An outage of two seconds that nobody has noticed: entries lapse in it, the copy's
-// contact jumps, and the servers need their time to come back after it. Counted from the
-// entry on, the proof would be complete half a second after the store's return.
+// An undetected outage of two seconds, in which entries lapse. The servers need the full
+// time after the gap to restore their entries. If it were counted from the removal of the
+// entry, a flow would be reset half a second after the store is back.
 #[test]
-fn a_gap_in_the_contact_begins_the_proof_anew() {
+fn a_gap_in_the_contact_restarts_the_return_timeout() {
     let now = Instant::now();
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
     let caller = Caller::new(1, BOOKINGS);
@@ -198,9 +199,9 @@
     assert_eq!(verdict, Verdict::Reset);
 }
 
-// Nobody follows this instance, so that its polls wait for 2.2 s. A server crashes and
-// its entry lapses; the polls that waited in vain are contact, not gaps between moments,
-// and the flow is reset.
+// An instance without subscribers polls the store with a timeout of 2.2 s. A server
+// crashes and its entry lapses. Polls that time out count as contact for their whole
+// duration, and the flow is reset.
 #[test]
 fn polls_that_wait_are_unbroken_contact() {
     let now = Instant::now();
@@ -217,9 +218,10 @@
     assert_eq!(verdict, Verdict::Reset);
 }
 
-// A machine vanishes and its address is given to a server of another service. The caller's
-// flow cannot go on; without the new start as proof it waits until the former entry has
-// lapsed and stayed away, 6 s, and most requests end at their deadline.
+// A machine vanishes and its address is reassigned to a server of another service. The
+// open flow cannot continue. If the new start did not count as proof, the reset would
+// come only after the former entry has lapsed and stayed missing, 6 s later, and most
+// requests would miss their deadline.
 #[test]
 fn a_flow_is_reset_when_another_server_starts_at_the_address() {
     let now = Instant::now();
@@ -228,18 +230,18 @@
     let target = open(&mut plane, now, &caller);
     plane.learn(now + ms(2_000), Belief::Server(successor(2)));
     let early = plane.receive(now + ms(2_400), &caller.data(0, target.tag), b"");
-    assert_eq!(forwarded(early), target, "it may still be heard");
+    assert_eq!(forwarded(early), target, "the server may still answer");
     let late = plane.receive(now + ms(2_600), &caller.data(0, target.tag), b"");
     assert_eq!(late, Verdict::Reset);
     let fresh = Caller::new(2, BOOKINGS);
     let verdict = plane.receive(now + ms(2_600), &fresh.opening(0), b"");
-    assert_eq!(verdict, Verdict::Reset, "no new flows either");
+    assert_eq!(verdict, Verdict::Reset, "new flows are refused too");
 }
 
-// The entry of the other server was written late, or its address is wrong: the server that
-// it seems to follow goes on answering its callers, or writes its own entry again.
+// The other server's entry was written late or has a wrong address: the server at that
+// address still answers its callers, or writes its own entry again.
 #[test]
-fn a_server_that_shows_that_it_lives_is_replaced_by_nobody() {
+fn a_server_that_proves_to_be_alive_is_not_replaced() {
     let now = Instant::now();
     for writes in [false, true] {
         let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
@@ -257,8 +259,8 @@
     }
 }
 
-// An instance starts and reads both entries in one list, which does not tell whose start
-// is the later one: the living server may be either.
+// An instance starts and reads both entries in one list, which does not show which server
+// started later: either one may be alive.
 #[test]
 fn a_list_with_two_servers_at_an_address_proves_nothing() {
     let now = Instant::now();
@@ -269,9 +271,9 @@
     assert_eq!(forwarded(verdict), target);
 }
 
-// A write of an earlier server at the address reaches the store after it has ended.
+// A write of an earlier server at the address reaches the store after that server's end.
 #[test]
-fn an_earlier_start_replaces_nobody() {
+fn an_earlier_incarnation_replaces_no_other_server() {
     let now = Instant::now();
     let at = |born: u64, server: Server| Server {
         incarnation: Some(Incarnation(born)),
--- a/tests/flow/main.rs
+++ b/tests/flow/main.rs
@@ -1,4 +1,4 @@
-//! Decisions about packets: events and times in, verdicts out.
+//! Forwarding decisions: events and times in, verdicts out.
 
 mod backlog;
 mod choice;
--- a/tests/flow/neighbours.rs
+++ b/tests/flow/neighbours.rs
@@ -1,4 +1,4 @@
-//! What one instance says of a server, and what it costs that server in its zone.
+//! Effect of one instance's reports about a server on the server's load in the zone.
 
 use std::time::Duration;
 
@@ -10,26 +10,26 @@
 use godwitreel::replica::Remark;
 use godwitreel::replica::Remarks;
 
+use crate::experience::Behavior;
 use crate::experience::GOOD;
 use crate::experience::HANGING;
-use crate::experience::Load;
-use crate::experience::Manner;
-use crate::experience::four;
+use crate::experience::LoadGenerator;
+use crate::experience::four_servers;
 
 /// Requests of an instance between two messages to its neighbours, 0.2 s.
 const REQUESTS: usize = 20;
 
-/// Messages: a minute and a half.
+/// Number of messages, for a minute and a half.
 const MESSAGES: usize = 450;
 
-/// The zone's instances: who tells what, and how servers answer each.
+/// The instances of a zone and the board on which they exchange their counts.
 struct Zone {
-    loads: Vec<Load>,
+    generators: Vec<LoadGenerator>,
     board: Board,
     subscribers: Vec<u64>,
-    /// Requests of an instance between two messages, and the rest of the time.
+    /// Requests of an instance between two messages, and its idle time per message.
     requests: usize,
-    rest: Duration,
+    idle_time: Duration,
 }
 
 impl Zone {
@@ -37,71 +37,76 @@
         Self::new(instances, REQUESTS, Duration::ZERO)
     }
 
-    /// Each instance sends each server one request a second.
+    /// Each instance sends one request per second to each server.
     fn calm(instances: usize) -> Self {
         Self::new(instances, 1, Duration::from_millis(240))
     }
 
-    fn new(instances: usize, requests: usize, rest: Duration) -> Self {
+    fn new(instances: usize, requests: usize, idle_time: Duration) -> Self {
         let board = Board::default();
         Self {
-            loads: (0..instances).map(|_| Load::new(four())).collect(),
+            generators: (0..instances)
+                .map(|_| LoadGenerator::new(four_servers()))
+                .collect(),
             subscribers: (0..instances).map(|_| board.enter()).collect(),
             board,
             requests,
-            rest,
+            idle_time,
         }
     }
 
-    /// Requests of all instances but the first to each server, over the whole time.
+    /// Requests of all instances but the first to each server during the whole run.
     fn run(
         &mut self,
-        first_says: Option<Remark>,
-        manner: impl Fn(usize, u64) -> Manner,
+        false_report: Option<Remark>,
+        behavior: impl Fn(usize, u64) -> Behavior,
     ) -> Vec<usize> {
         let mut counts = vec![0; 10];
         for _ in 0..MESSAGES {
-            for (number, load) in self.loads.iter_mut().enumerate() {
-                load.now += self.rest;
-                let sent = load.run(self.requests, |server| manner(number, server));
+            for (number, generator) in self.generators.iter_mut().enumerate() {
+                generator.now += self.idle_time;
+                let sent = generator.run(self.requests, |server| behavior(number, server));
                 if number > 0 {
                     for (count, sent) in counts.iter_mut().zip(sent) {
                         *count += sent;
                     }
                 }
-                let own = load.plane.testimony(load.now);
+                let own = generator.plane.testimony(generator.now);
                 let mut remarks: Vec<Remark> = own.iter().map(remark).collect();
-                if let Some(said) = first_says.filter(|_| number == 0) {
-                    remarks = vec![said];
+                if let Some(report) = false_report.filter(|_| number == 0) {
+                    remarks = vec![report];
                 }
-                let told = Remarks {
+                let remarks = Remarks {
                     remarks,
                     instances: 1,
                 };
                 self.board
-                    .hear_below(load.now, self.subscribers[number], told);
+                    .hear_below(generator.now, self.subscribers[number], remarks);
             }
-            let now = self.loads[0].now;
-            let sum: Vec<Testimony> = self.board.confirmed(now).iter().map(testimony).collect();
-            for load in &mut self.loads {
-                load.plane.learn(load.now, Belief::Testimony(sum.clone()));
+            let now = self.generators[0].now;
+            let zone_counts: Vec<Testimony> =
+                self.board.confirmed(now).iter().map(testimony).collect();
+            for generator in &mut self.generators {
+                generator
+                    .plane
+                    .learn(generator.now, Belief::Testimony(zone_counts.clone()));
             }
         }
         counts
     }
 }
 
-/// Whether the first server has at least four fifths of what the others have each.
+/// Asserts that the first server gets at least four fifths of the others' mean load.
 fn assert_used(counts: &[usize]) {
     let others = counts[2..5].iter().sum::<usize>() / 3;
     assert!(counts[1] * 5 >= others * 4, "{counts:?}");
 }
 
-// One instance lies: it says all the time, as loudly as one is heard, that a good server
-// hangs and fails. The others get its answers, and it keeps its work.
+// One instance reports falsely that a good server hangs and fails, with the highest counts
+// that are accepted. The server answers the other instances and must keep its load.
 #[test]
-fn one_that_lies_takes_little_work_from_a_good_server() {
-    let lie = Remark {
+fn an_instance_with_false_reports_takes_little_load_from_a_good_server() {
+    let false_report = Remark {
         serial: 1,
         incarnation: None,
         answers: 0.0,
@@ -110,15 +115,15 @@
         ..Remark::default()
     };
     for mut zone in [Zone::busy(3), Zone::busy(8), Zone::calm(8), Zone::calm(23)] {
-        let counts = zone.run(Some(lie), |_, _| GOOD);
+        let counts = zone.run(Some(false_report), |_, _| GOOD);
         assert_used(&counts);
     }
 }
 
-// One instance alone is cut off from a server, so that all that it sends there hangs. It
-// says so, and is right for itself; the server serves all others and keeps their work.
+// One instance cannot reach a server, so that all of its requests there hang. Its report is
+// right for itself, but the server answers all other instances and must keep their load.
 #[test]
-fn one_that_is_cut_off_takes_little_work_from_a_good_server() {
+fn an_instance_that_is_cut_off_takes_little_load_from_a_good_server() {
     let cut_off = |number, server| match (number, server) {
         (0, 1) => HANGING,
         _ => GOOD,
@@ -129,10 +134,10 @@
     }
 }
 
-// A server hangs for all. It takes two of them to say so, and those that have sent it
-// nothing yet leave it, too.
+// A server hangs for all instances. Once two of them report it, the instances that have
+// not sent it any request avoid it too.
 #[test]
-fn what_two_have_seen_counts_for_all() {
+fn reports_of_two_instances_apply_to_all() {
     let hanging = |_, server| if server == 1 { HANGING } else { GOOD };
     for mut zone in [Zone::busy(3), Zone::calm(8), Zone::calm(23)] {
         let counts = zone.run(None, hanging);
--- a/tests/flow/opening.rs
+++ b/tests/flow/opening.rs
@@ -1,4 +1,4 @@
-//! Handshakes: silent servers, copies, and a process that stood still.
+//! Handshakes: unresponsive servers, retransmissions, and a stalled process.
 
 use godwitreel::flow::Note;
 use godwitreel::flow::Resend;
@@ -6,10 +6,10 @@
 
 use crate::support::*;
 
-// A caller opens a flow and hears nothing: the chosen server has crashed, and
-// its entry lapses seconds later. The caller's copy would come after 200 ms,
-// too late for its goal. The instance sees other handshakes succeed, and sends
-// the packet to another server after a few round trips.
+// A caller opens a flow at a server that has crashed, whose entry lapses seconds later.
+// The caller's retransmission after 200 ms would miss the latency objective. The instance
+// sees other handshakes succeed and resends the SYN to another server after a few round
+// trips.
 #[test]
 fn a_silent_server_is_passed_over_before_the_caller_asks_again() {
     let now = Instant::now();
@@ -19,7 +19,7 @@
     let silent = forwarded(plane.receive(now, &first.opening(0), b"first"));
     let other = Caller::new(2, BOOKINGS);
     let alive = forwarded(plane.receive(now + ms(1), &other.opening(0), b"other"));
-    assert_ne!(alive, silent, "least loaded");
+    assert_ne!(alive, silent, "the least loaded server");
     plane.receive(now + ms(7), &other.data(0, alive.tag), b"");
 
     let due = plane.next_due().unwrap();
@@ -36,11 +36,10 @@
     }
 }
 
-// All callers' next packets stop coming, since the routers have turned to other
-// instances. Taking every server for dead on that would spread opening packets
-// over servers that are well.
+// The callers' packets stop arriving because the routers use other instances now. If
+// every server counted as crashed, SYNs would be resent to working servers.
 #[test]
-fn silence_of_everything_blames_no_server() {
+fn missing_answers_of_all_servers_suspect_none() {
     let now = Instant::now();
     let servers = vec![server(1, "dispatch", LOCAL), server(2, "dispatch", LOCAL)];
     let mut plane = plane(now, servers);
@@ -52,24 +51,23 @@
         assert_eq!(plane.expire(due), Vec::new());
     }
     let notes = plane.take_notes().0;
-    let is_blame = |note: &Note| matches!(note, Note::Suspected { .. });
-    assert!(!notes.iter().any(is_blame), "{notes:?}");
+    let is_suspicion = |note: &Note| matches!(note, Note::Suspected { .. });
+    assert!(!notes.iter().any(is_suspicion), "{notes:?}");
 }
 
-// Instances come back one after the other, and each that joins turns the routers:
-// a caller's opening packet came here, its next one goes to another instance, which
-// carries it on. Other callers' flows, opened elsewhere, come here meanwhile. A
-// further server would get a flow that nobody uses, and the first one, which
-// answered, would get no new flows for a second.
+// Instances restart one by one, and each of them makes the routers redistribute flows. A
+// SYN arrives here, and the caller's next packet goes to another instance. Flows of other
+// callers arrive here meanwhile. A resend would open an unused flow at a further server,
+// and the first server, which answered, would get no new flows for a second.
 #[test]
-fn routers_that_turn_blame_no_server() {
+fn rerouted_flows_suspect_no_server() {
     let now = Instant::now();
     let servers = vec![server(1, "dispatch", LOCAL), server(2, "dispatch", LOCAL)];
     let mut plane = plane(now, servers);
-    let gone = Caller::new(1, BOOKINGS);
-    let target = forwarded(plane.receive(now, &gone.opening(0), b"gone"));
-    let come = Caller::new(2, BOOKINGS);
-    let adopted = plane.receive(now + ms(10), &come.data(300, target.tag), b"");
+    let first = Caller::new(1, BOOKINGS);
+    let target = forwarded(plane.receive(now, &first.opening(0), b"first"));
+    let rerouted = Caller::new(2, BOOKINGS);
+    let adopted = plane.receive(now + ms(10), &rerouted.data(300, target.tag), b"");
     assert_eq!(forwarded(adopted), target);
     let mut resends = Vec::new();
     while let Some(due) = plane.next_due().filter(|due| *due < now + ms(200)) {
@@ -77,43 +75,43 @@
     }
     assert_eq!(resends, Vec::new());
     let notes = plane.take_notes().0;
-    let is_blame = |note: &Note| matches!(note, Note::Suspected { .. });
-    assert!(!notes.iter().any(is_blame), "{notes:?}");
+    let is_suspicion = |note: &Note| matches!(note, Note::Suspected { .. });
+    assert!(!notes.iter().any(is_suspicion), "{notes:?}");
 }
 
-// The same, but the server is silent: the caller's own copy comes here, where its
-// first packet came, and shows it.
+// As above, but the server does not answer: the caller's retransmission arrives here, like
+// the first SYN, and shows it.
 #[test]
-fn a_copy_shows_silence_while_routers_turn() {
+fn a_retransmission_shows_a_miss_while_flows_are_rerouted() {
     let now = Instant::now();
     let servers = vec![server(1, "dispatch", LOCAL), server(2, "dispatch", LOCAL)];
     let mut plane = plane(now, servers);
     let caller = Caller::new(1, BOOKINGS);
     let silent = forwarded(plane.receive(now, &caller.opening(0), b""));
-    let come = Caller::new(2, BOOKINGS);
-    plane.receive(now + ms(10), &come.data(300, silent.tag), b"");
+    let rerouted = Caller::new(2, BOOKINGS);
+    plane.receive(now + ms(10), &rerouted.data(300, silent.tag), b"");
     let copy = plane.receive(now + ms(200), &caller.opening(1), b"");
     assert_ne!(forwarded(copy), silent);
 }
 
-// Routers have come to rest: a handshake that began after they last turned is
-// judged as before.
+// The routers are stable again: a handshake that began after the last redistribution is
+// judged as usual.
 #[test]
-fn silence_after_routers_have_turned_is_seen() {
+fn a_miss_after_flows_were_rerouted_is_detected() {
     let now = Instant::now();
     let servers = vec![server(1, "dispatch", LOCAL), server(2, "dispatch", LOCAL)];
     let mut plane = plane(now, servers);
     let first = Caller::new(1, BOOKINGS);
     let silent = forwarded(plane.receive(now, &first.opening(0), b"first"));
-    let come = Caller::new(2, BOOKINGS);
-    plane.receive(now + ms(10), &come.data(300, silent.tag), b"");
-    plane.receive(now + ms(15), &come.data(400, silent.tag), b"");
+    let rerouted = Caller::new(2, BOOKINGS);
+    plane.receive(now + ms(10), &rerouted.data(300, silent.tag), b"");
+    plane.receive(now + ms(15), &rerouted.data(400, silent.tag), b"");
     let late = Caller::new(3, BOOKINGS);
     let opened = now + ms(20);
     let target = forwarded(plane.receive(opened, &late.opening(0), b"late"));
     let other = Caller::new(4, BOOKINGS);
     plane.receive(opened + ms(1), &other.opening(0), b"");
-    plane.receive(opened + ms(2), &come.data(500, silent.tag), b"");
+    plane.receive(opened + ms(2), &rerouted.data(500, silent.tag), b"");
     let mut resends = Vec::new();
     while let Some(due) = plane.next_due().filter(|due| *due <= opened + ms(60)) {
         resends.extend(plane.expire(due));
@@ -123,24 +121,24 @@
     assert_ne!(resend.expect("a further server").target, target);
 }
 
-// The process is frozen for a second right after an opening packet. When it
-// thaws, the deadline is long past, but the answer may wait in the socket.
+// The process is stopped for a second right after a SYN. When it resumes, the deadline has
+// passed long ago, but the answer may be queued in the socket buffer.
 #[test]
-fn a_process_that_stood_still_blames_no_server() {
+fn a_stalled_process_suspects_no_server() {
     let now = Instant::now();
     let servers = vec![server(1, "dispatch", LOCAL), server(2, "dispatch", LOCAL)];
     let mut plane = plane(now, servers);
     let caller = Caller::new(1, BOOKINGS);
     let target = forwarded(plane.receive(now, &caller.opening(0), b""));
-    let thawed = now + ms(1_000);
-    open(&mut plane, thawed, &Caller::new(2, BOOKINGS));
-    assert_eq!(plane.expire(thawed), Vec::new());
-    let verdict = plane.receive(thawed + ms(1), &caller.data(0, target.tag), b"");
+    let resumed = now + ms(1_000);
+    open(&mut plane, resumed, &Caller::new(2, BOOKINGS));
+    assert_eq!(plane.expire(resumed), Vec::new());
+    let verdict = plane.receive(resumed + ms(1), &caller.data(0, target.tag), b"");
     assert_eq!(forwarded(verdict), target);
 }
 
-// Opening packet and copy were both in the socket's buffer. Two servers would
-// answer, and the caller's tag could name the one it did not choose.
+// SYN and retransmission were both queued in the socket buffer. If they went to two servers,
+// both would answer, and the caller's tag could be that of the server it did not accept.
 #[test]
 fn a_copy_that_comes_at_once_goes_to_the_same_server() {
     let now = Instant::now();
@@ -163,8 +161,8 @@
     assert_ne!(forwarded(copy), target);
 }
 
-// A server answers late, after the packet went to a second one, too. The caller
-// takes the first answer; the second one only replaces the tag that it repeats.
+// The first server answers late, after the SYN was resent to a second one. The caller
+// accepts the first answer, and the second answer only replaces the tag that it echoes.
 // Following that tag would lead to a server without the flow, which resets it.
 #[test]
 fn a_late_answer_of_a_second_server_moves_no_flow() {
@@ -191,10 +189,10 @@
     assert_eq!(forwarded(copy), target);
 }
 
-// Every server is silent, which a cut on this side also looks like. Refusing
-// new flows on that evidence would leave callers without a service that lives.
+// No server answers, which may also be due to a network failure on this side. Refusing new
+// flows for that would leave callers without a service whose servers are alive.
 #[test]
-fn evidence_never_empties_a_service() {
+fn suspicion_never_leaves_a_service_without_servers() {
     let now = Instant::now();
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
     let caller = Caller::new(1, BOOKINGS);
@@ -205,10 +203,9 @@
     assert_eq!(forwarded(verdict), target);
 }
 
-// A server's process is gone and its host resets every opening packet. The
-// caller tries again at once from another port; the server, which has nothing to
-// do, looks like the best choice each time, and the caller's tries are used up
-// within 30 ms.
+// A server process has crashed, and its host resets every SYN. The caller retries at once
+// from another port. The server has no load and would be selected each time, so that all
+// attempts fail within 30 ms.
 #[test]
 fn a_server_that_refuses_is_passed_over_when_the_caller_comes_again() {
     let now = Instant::now();
@@ -222,8 +219,8 @@
     assert!(last != first && last != again);
 }
 
-// The caller has left, so that a further server would only open a flow that
-// nobody answers, and be suspected for it.
+// The caller has given up, so that a further server would only get a flow without a caller
+// and be suspected for it.
 #[test]
 fn a_flow_that_its_caller_left_is_opened_nowhere_else() {
     let now = Instant::now();
--- a/tests/flow/sequence.rs
+++ b/tests/flow/sequence.rs
@@ -1,4 +1,4 @@
-//! Random histories of packets, beliefs and pauses.
+//! Random sequences of packets, state updates and pauses.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -42,18 +42,18 @@
     ]
 }
 
-struct World {
+struct Simulation {
     plane: Plane,
     now: Instant,
     listed: HashSet<u8>,
     draining: HashSet<u8>,
     /// Whether the store answers.
     is_answering: bool,
-    /// Tag that each caller repeats.
+    /// Tag that each caller echoes.
     tags: HashMap<u16, Tag>,
 }
 
-impl World {
+impl Simulation {
     fn segment_verdict(&mut self, step: &Step) -> Option<(u16, Verdict)> {
         let (port, segment) = match step {
             Step::Open { port, copy } => (*port, Caller::new(*port, BOOKINGS).opening(*copy)),
@@ -136,7 +136,7 @@
             }
             Verdict::Reset => {
                 let open = self.listed.difference(&self.draining).count();
-                assert_eq!(open, 0, "refused with servers free");
+                assert_eq!(open, 0, "refused a new flow although a server accepts it");
             }
             Verdict::Drop(_) => {}
         }
@@ -144,12 +144,12 @@
 }
 
 proptest! {
-    // No flow of a listed server is reset, no new flow refused while a server
-    // takes some, and no load is left over when all flows are forgotten.
+    // No flow of a listed server is reset, no new flow is refused while a server accepts it,
+    // and no load is left when all flows have expired.
     #[test]
-    fn histories_keep_the_promises(steps in prop::collection::vec(step(), 1..200)) {
+    fn random_sequences_keep_the_invariants(steps in prop::collection::vec(step(), 1..200)) {
         let now = Instant::now();
-        let mut world = World {
+        let mut simulation = Simulation {
             plane: plane(now, Vec::new()),
             now,
             listed: HashSet::new(),
@@ -158,16 +158,16 @@
             tags: HashMap::new(),
         };
         for step in &steps {
-            if let Some((port, verdict)) = world.segment_verdict(step) {
-                world.check(step, port, verdict);
+            if let Some((port, verdict)) = simulation.segment_verdict(step) {
+                simulation.check(step, port, verdict);
             }
-            world.learn(step);
-            world.plane.expire(world.now);
+            simulation.learn(step);
+            simulation.plane.expire(simulation.now);
         }
         for second in 1..100 {
-            world.plane.expire(world.now + ms(1_000 * second));
+            simulation.plane.expire(simulation.now + ms(1_000 * second));
         }
-        prop_assert_eq!(world.plane.flows(), 0);
-        prop_assert_eq!(world.plane.directory().load(), 0);
+        prop_assert_eq!(simulation.plane.flows(), 0);
+        prop_assert_eq!(simulation.plane.directory().load(), 0);
     }
 }
--- a/tests/flow/support.rs
+++ b/tests/flow/support.rs
@@ -1,4 +1,4 @@
-//! A plane with servers and routes, and the packets of one caller.
+//! A plane with servers and routes, and packets of one caller.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -96,10 +96,10 @@
     plane
 }
 
-/// Time between two words of a copy that it is in contact with the store.
+/// Time between two confirmations that the replica is in contact with the store.
 const HEARTBEAT: Duration = Duration::from_millis(250);
 
-/// Lets time pass in which the copy stays in contact with the store.
+/// Advances the time while the replica stays in contact with the store.
 pub(crate) fn stay_in_contact(plane: &mut Plane, from: Instant, until: Instant) {
     let mut now = from;
     while now < until {
@@ -139,7 +139,7 @@
         }
     }
 
-    /// The opening packet, or its copy.
+    /// The SYN, or its retransmission with this number.
     pub(crate) fn opening(&self, copy: u32) -> Segment {
         let flags = Flags {
             syn: true,
@@ -152,7 +152,7 @@
         }
     }
 
-    /// A packet with data of an open flow; `offset` bytes came before it.
+    /// A data packet of an open flow at this byte offset.
     pub(crate) fn data(&self, offset: u32, tag: Tag) -> Segment {
         let flags = Flags {
             ack: true,
@@ -163,7 +163,7 @@
         segment
     }
 
-    /// Acknowledges so many bytes of the answer.
+    /// Acknowledges this number of bytes of the answer.
     pub(crate) fn acknowledge(&self, bytes: u32, tag: Tag) -> Segment {
         let mut segment = self.data(100, tag);
         segment.len = 0;
@@ -179,7 +179,7 @@
     }
 }
 
-/// Opens a flow in 5 ms and returns its server.
+/// Opens a flow within 5 ms and returns its server.
 pub(crate) fn open(plane: &mut Plane, now: Instant, caller: &Caller) -> Target {
     let target = forwarded(plane.receive(now, &caller.opening(0), b"packet"));
     let data = caller.data(0, target.tag);
--- a/tests/flow/tag.rs
+++ b/tests/flow/tag.rs
@@ -1,4 +1,4 @@
-//! Routing tags: any instance can pass on any packet.
+//! Routing tags: any instance can forward any packet.
 
 use std::collections::HashMap;
 
@@ -11,10 +11,10 @@
 
 use crate::support::*;
 
-// Routers change their choice of instances in the middle of a flow. The next
-// instance has never seen the flow; the tag leads to its server.
+// Routers send a flow's packets to another instance. That instance has never seen the
+// flow; the tag determines its server.
 #[test]
-fn another_instance_passes_on_to_the_same_server() {
+fn another_instance_forwards_to_the_same_server() {
     let now = Instant::now();
     let servers: Vec<_> = (1..=4).map(|n| server(n, "dispatch", LOCAL)).collect();
     let mut one = plane(now, servers.clone());
@@ -28,7 +28,7 @@
 }
 
 /// Two serials with the same tag.
-fn doubled() -> (Serial, Serial) {
+fn serials_with_equal_tags() -> (Serial, Serial) {
     let mut seen = HashMap::new();
     for number in 0..10_000_000 {
         let serial = Serial(number);
@@ -36,15 +36,15 @@
             return (other, serial);
         }
     }
-    panic!("no two tags are the same");
+    panic!("no two serials have the same tag");
 }
 
-// Serials are longer than tags, so that two servers may share one. A flow of the
-// later server would be led to the earlier one, which resets it.
+// Serials are longer than tags, so that two servers may have the same tag. A flow of the
+// newer server would be forwarded to the older one, which resets it.
 #[test]
-fn a_server_with_a_doubled_tag_gets_no_flows() {
+fn a_server_with_a_duplicate_tag_gets_no_flows() {
     let now = Instant::now();
-    let (first, second) = doubled();
+    let (first, second) = serials_with_equal_tags();
     let mut one = server(1, "dispatch", LOCAL);
     one.serial = first;
     let mut two = server(2, "dispatch", LOCAL);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn packets_that_lead_nowhere_are_dropped() {
+fn packets_without_a_known_server_are_dropped() {
     let now = Instant::now();
     let mut plane = plane(now, vec![server(1, "dispatch", LOCAL)]);
     let caller = Caller::new(1, BOOKINGS);
--- a/tests/flow/warmup.rs
+++ b/tests/flow/warmup.rs
@@ -1,4 +1,4 @@
-//! Servers that are cold, and what all instances together send them.
+//! Cold servers, and the load that all instances together send them.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -27,7 +27,7 @@
 use crate::support::server;
 
 const ZONES: [&str; 4] = [LOCAL, "kality", "merkato", "ayat"];
-const COLD: Duration = Duration::from_secs(2);
+const COLD_PERIOD: Duration = Duration::from_secs(2);
 
 fn peer(number: usize) -> Peer {
     Peer {
@@ -42,20 +42,23 @@
 
 fn cold(number: u8, zone: &str) -> Server {
     Server {
-        cold_for: COLD,
+        cold_for: COLD_PERIOD,
         ..server(number, "dispatch", zone)
     }
 }
 
 fn with_warmup(rate: f64) -> Routes {
-    let warmup = Warmup { lasts: COLD, rate };
+    let warmup = Warmup {
+        lasts: COLD_PERIOD,
+        rate,
+    };
     Routes {
         warmups: HashMap::from([("dispatch".parse().unwrap(), warmup)]),
         ..routes(1, &[(BOOKINGS, "dispatch")])
     }
 }
 
-/// An instance that knows these peers and servers.
+/// The state of an instance with these peers and servers.
 fn instance(now: Instant, me: &Peer, peers: &[Peer], rate: f64, listed: Vec<Server>) -> Plane {
     let mut plane = Plane::new(Options {
         instance: me.instance.clone(),
@@ -70,8 +73,8 @@
     plane
 }
 
-/// The most that any server got in any second, when each instance opens a flow each
-/// `pause` for the whole time that the servers are cold.
+/// The most new flows that any server got in any second, if each instance opens a flow
+/// every `pause` until the servers are warm.
 fn most_in_a_second(count: usize, rate: f64, servers: &[Server], pause: Duration) -> usize {
     let now = Instant::now();
     let peers = peers(count);
@@ -82,7 +85,7 @@
     let mut arrivals: BTreeMap<u64, Vec<Duration>> = BTreeMap::new();
     let mut passed = Duration::ZERO;
     let mut port = 1;
-    while passed < COLD {
+    while passed < COLD_PERIOD {
         for plane in &mut planes {
             let packet = Caller::new(port, BOOKINGS).opening(0);
             if let Verdict::Forward(target) = plane.receive(now + passed, &packet, b"packet") {
@@ -101,13 +104,13 @@
     arrivals.values().filter_map(most).max().unwrap_or_default()
 }
 
-// Guards against a zone that is taken back at the peak: its servers are empty, and all
-// instances turn to them before they bear it.
+// Guards against a zone whose evacuation ends at peak load: its servers are idle, and all
+// instances send them more than they can process while cold.
 #[test]
-fn a_zone_that_comes_back_cold_gets_what_it_bears() {
+fn a_restored_cold_zone_gets_no_more_than_its_rate() {
     for count in [88, 295] {
-        let zone_back: Vec<Server> = (1..9).map(|n| cold(n, LOCAL)).collect();
-        let most = most_in_a_second(count, 10.0, &zone_back, ms(50));
+        let restored: Vec<Server> = (1..9).map(|n| cold(n, LOCAL)).collect();
+        let most = most_in_a_second(count, 10.0, &restored, ms(50));
         assert!(
             (5..=10).contains(&most),
             "{most} of 10 with {count} instances"
@@ -115,9 +118,9 @@
     }
 }
 
-// Guards against a bound that few instances, or one, exceed or leave unused.
+// Guards against a limit that a small number of instances exceed or do not use up.
 #[test]
-fn few_instances_use_what_a_cold_server_bears() {
+fn few_instances_use_the_full_rate_of_a_cold_server() {
     for count in [1, 3, 7] {
         let most = most_in_a_second(count, 10.0, &[cold(1, LOCAL)], ms(20));
         assert!(
@@ -127,9 +130,10 @@
     }
 }
 
-// Guards against callers that are refused, and use up their tries, for a moment's wait.
+// Guards against callers that are refused, and use up their retries, although a server
+// accepts them shortly afterwards.
 #[test]
-fn a_caller_that_finds_only_spent_servers_is_served_by_its_copy() {
+fn a_caller_without_quota_is_served_at_its_retransmission() {
     let now = Instant::now();
     let me = peer(0);
     let listed = vec![cold(1, LOCAL)];
@@ -146,7 +150,7 @@
     assert!(matches!(verdict, Verdict::Forward(_)));
 }
 
-// Guards against a server that is warm, or whose service has no limit, and is held back.
+// Guards against limits for warm servers or for services without a limit.
 #[test]
 fn warm_servers_and_services_without_a_limit_are_not_held_back() {
     let all = most_in_a_second(7, 0.0, &[cold(1, LOCAL)], ms(50));
@@ -155,10 +159,10 @@
     assert_eq!(all, 140);
 }
 
-// Guards against an order taken back before the entries of the zone's servers tell that
-// these have become cold.
+// Guards against an evacuation that ends before the entries of the zone's servers report
+// that these have become cold.
 #[test]
-fn servers_of_a_zone_that_is_taken_back_count_as_cold() {
+fn servers_of_a_restored_zone_count_as_cold() {
     let now = Instant::now();
     let me = peer(0);
     let mut plane = instance(now, &me, &peers(1), 2.0, vec![server(1, "dispatch", LOCAL)]);
@@ -174,7 +178,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(32))]
 
-    // Guards against shares that add up to more than a server bears, at any size.
+    // Guards against quotas whose sum exceeds the rate of a server, for any number of instances.
     #[test]
     fn shares_add_up_to_the_rate(count in 1..1_200usize, rate in 0.1..500.0f64, number in 1..250u8) {
         let peers = peers(count);
@@ -183,9 +187,8 @@
         prop_assert_eq!(shares.sum::<usize>(), (rate as usize).max(1));
     }
 
-    // Guards against instances that join or are cut off: who has not heard of some of
-    // the others must not take so much more that a server gets half as much again and
-    // five.
+    // Guards against instances that join or are partitioned: those that do not know some of
+    // the others must not exceed the rate of a server by more than half of it and five.
     #[test]
     fn lists_that_differ_by_a_tenth_stay_within_the_bound(
         count in 20..300usize,
