--- a/src/flow/directory.rs
+++ b/src/flow/directory.rs
@@ -29,8 +29,8 @@
 use crate::id;
 
 /// How long after another server's start at the same address the former server may still
-/// prove that it is alive. A live server is noticed within this time: callers retransmit
-/// after 0.2 s, and the server's own entry is delivered within milliseconds.
+/// prove that it is alive. This is enough for a live server: callers retransmit after 0.2 s,
+/// and the server's own entry is delivered within milliseconds.
 const REPLACEMENT_GRACE: Duration = Duration::from_millis(500);
 
 /// Maximum number of servers that an instance reports to others. If more servers fail at
--- a/src/flow/egress.rs
+++ b/src/flow/egress.rs
@@ -22,16 +22,16 @@
 /// Bytes per datagram on the link beside its payload: the UDP, IP and Ethernet headers.
 const HEADER_BYTES: usize = 42;
 
-/// Link time of the packets that may be sent ahead. Links buffer more than this, and it is
-/// long enough for a timer to fire before the link becomes idle.
+/// Link time of the packets that may be sent ahead. Links buffer more packets than this, and
+/// a timer fires before the link has sent them and becomes idle.
 const SEND_AHEAD: Duration = Duration::from_millis(5);
 
 /// FlowQueue of the link for callers' packets. The remainder is for updates from the store,
 /// which uploads must not delay.
 const CALLER_SHARE: f64 = 0.9;
 
-/// Link time of the queued packets at most: within it a sender retransmits several times,
-/// and after it most requests have missed their deadline.
+/// Maximum link time of the queued packets. Within this time a sender retransmits several
+/// times, and after it most requests have missed their deadline.
 const MAX_QUEUE_TIME: Duration = Duration::from_secs(1);
 
 /// Upper bound of the queued bytes on fast links.
--- a/src/flow/plane/opening.rs
+++ b/src/flow/plane/opening.rs
@@ -34,8 +34,8 @@
 const MAX_TIMER_DELAY: Duration = Duration::from_millis(20);
 
 impl Plane {
-    /// Handles a retransmitted SYN. It shows that the caller got no answer, so that a server
-    /// that had enough time to answer is replaced by another.
+    /// Handles a retransmitted SYN, which shows that the caller got no answer. If the server
+    /// had enough time to answer, another server is selected.
     pub(super) fn receive_retransmission(
         &mut self,
         now: Instant,
@@ -118,7 +118,7 @@
     /// arrive instead. Without this check, an instance that starts would suspect all servers
     /// in its first second and open flows at several of them. An unresponsive server is
     /// still detected by the caller's retransmission, either here or at the instance to
-    /// which the routers now send it, which selects a server again.
+    /// which the routers now send the packet, and that instance selects a server again.
     pub(super) fn proves_miss(&self, flow_handle: FlowHandle) -> bool {
         let Some(Flow {
             phase: Phase::Opening(opening),
@@ -175,7 +175,7 @@
     }
 
     /// Selects another server for an opening flow whose server's zone has been evacuated
-    /// since the first SYN. The server is not suspected for it.
+    /// since the first SYN. The former server does not become suspected.
     fn leave_evacuated(&mut self, now: Instant, flow_handle: FlowHandle) -> Option<Target> {
         let flow = self.table.get(flow_handle)?;
         let Phase::Opening(opening) = &flow.phase else {
@@ -221,9 +221,9 @@
     /// The host of a crashed server process resets a flow at once. The caller retries from
     /// another port one round trip later. The server, which is never busy, would be selected
     /// again, so that all attempts of a request can fail there within 30 ms. An earlier
-    /// handshake of the same caller that is unanswered after a round trip indicates this. If
-    /// it belongs to another process of the caller, the only effect is that the new flow
-    /// goes to another server.
+    /// handshake of the same caller that is unanswered after a round trip indicates such a
+    /// retry. If the handshake belongs to another process of the caller, the only effect is
+    /// that the new flow goes to another server.
     pub(super) fn servers_given_up(&mut self, now: Instant, pair: &Pair) -> Vec<ServerHandle> {
         let expected = self.round_trip.expected();
         let is_old = |(at, _): &(Instant, Pair)| now >= *at + MIN_RETRANSMISSION_INTERVAL;
--- a/tests/flow/opening.rs
+++ b/tests/flow/opening.rs
@@ -80,7 +80,7 @@
 }
 
 // As above, but the server does not answer: the caller's retransmission arrives here, like
-// the first SYN, and shows it.
+// the first SYN, and shows that the server did not answer.
 #[test]
 fn a_retransmission_shows_a_miss_while_flows_are_rerouted() {
     let now = Instant::now();
@@ -220,7 +220,7 @@
 }
 
 // The caller has given up, so that a further server would only get a flow without a caller
-// and be suspected for it.
+// and become suspected.
 #[test]
 fn a_flow_that_its_caller_left_is_opened_nowhere_else() {
     let now = Instant::now();
