--- a/src/entry/beliefs.rs
+++ b/src/entry/beliefs.rs
@@ -12,10 +12,10 @@
 use slog::info;
 use tokio::time::Instant;
 
-use crate::flow::Belief;
-use crate::flow::Presence;
-use crate::platform::allowance::Bucket;
-use crate::platform::allowance::Rate;
+use crate::flow::ServerState;
+use crate::flow::StateUpdate;
+use crate::platform::rate_limit::Rate;
+use crate::platform::rate_limit::TokenBucket;
 
 /// Lines a second. On an ordinary day servers come and go one by one.
 const RATE: Rate = Rate(20);
@@ -26,7 +26,7 @@
 /// Writes beliefs as log lines.
 pub(crate) struct Beliefs {
     log: Logger,
-    bucket: Bucket,
+    bucket: TokenBucket,
     /// Beliefs without a line of their own, by what they say.
     counts: BTreeMap<&'static str, u64>,
     /// When the first of them came.
@@ -37,7 +37,7 @@
     pub(crate) fn new(log: Logger, now: Instant) -> Self {
         Self {
             log,
-            bucket: Bucket::new(RATE, now),
+            bucket: TokenBucket::new(RATE, now),
             counts: BTreeMap::new(),
             since: None,
         }
@@ -88,32 +88,34 @@
     }
 
     /// What a belief says; `None` for what has lines elsewhere.
-    pub(crate) fn of(belief: &Belief) -> Option<Self> {
+    pub(crate) fn of(belief: &StateUpdate) -> Option<Self> {
         let told = match belief {
-            Belief::Servers { listed, .. } => Self::rare("servers listed", listed.len()),
-            Belief::Server(server) => match server.presence {
-                Presence::Ready => Self {
+            StateUpdate::Servers { listed, .. } => Self::rare("servers listed", listed.len()),
+            StateUpdate::Server(server) => match server.state {
+                ServerState::Ready => Self {
                     what: "server ready",
                     subject: server.id.to_string(),
                     is_rare: false,
                 },
-                Presence::Draining => Self::rare("server draining", &server.id),
+                ServerState::Draining => Self::rare("server draining", &server.id),
             },
-            Belief::Gone(server) => Self::rare("server gone", server),
-            Belief::Unreadable(server) => Self::rare("server unreadable", server),
-            Belief::Routes(routes) => Self::rare("configuration", routes.version),
-            Belief::Evacuated(zone) => Self::rare("zone evacuated", zone),
-            Belief::Returned(zone) => Self::rare("zone taken back", zone),
-            Belief::Evacuation(zones) => {
+            StateUpdate::ServerRemoved(server) => Self::rare("server gone", server),
+            StateUpdate::ServerUnreadable(server) => Self::rare("server unreadable", server),
+            StateUpdate::Routes(routes) => Self::rare("configuration", routes.version),
+            StateUpdate::ZoneEvacuated(zone) => Self::rare("zone evacuated", zone),
+            StateUpdate::ZoneRestored(zone) => Self::rare("zone taken back", zone),
+            StateUpdate::EvacuatedZones(zones) => {
                 let zones: Vec<&str> = zones.iter().map(|zone| zone.as_str()).collect();
                 Self::rare("zones evacuated", zones.join(" "))
             }
-            Belief::Peers(peers) => Self {
+            StateUpdate::Peers(peers) => Self {
                 what: "instances",
                 subject: peers.len().to_string(),
                 is_rare: false,
             },
-            Belief::Contact(_) | Belief::Silence | Belief::Testimony(_) => return None,
+            StateUpdate::StoreContact(_)
+            | StateUpdate::StoreUnreachable
+            | StateUpdate::ZoneOutcomes(_) => return None,
         };
         Some(told)
     }
--- a/src/flow/backlog.rs
+++ b/src/flow/backlog.rs
@@ -24,7 +24,7 @@
 
 /// A buffered packet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Early {
+pub struct PendingPacket {
     /// When the packet arrived.
     pub at: Instant,
     /// The parsed packet.
@@ -33,7 +33,7 @@
     pub packet: Vec<u8>,
 }
 
-impl Early {
+impl PendingPacket {
     fn is_fresh(&self, now: Instant) -> bool {
         let max_age = if self.segment.opens() {
             MAX_SYN_AGE
@@ -47,12 +47,12 @@
 /// Packets buffered until the instance has read the store, in order of arrival.
 #[derive(Debug, Default)]
 pub struct Backlog {
-    packets: VecDeque<Early>,
+    packets: VecDeque<PendingPacket>,
 }
 
 impl Backlog {
     /// Buffers a packet; drops the oldest ones if the buffer is full.
-    pub fn keep(&mut self, early: Early) {
+    pub fn push(&mut self, early: PendingPacket) {
         let now = early.at;
         while let Some(first) = self.packets.front()
             && (self.packets.len() >= MAX_PACKETS || !first.is_fresh(now))
@@ -63,9 +63,9 @@
     }
 
     /// Drains the buffer and returns the packets that have not expired.
-    pub fn take(&mut self, now: Instant) -> impl Iterator<Item = Early> {
+    pub fn drain(&mut self, now: Instant) -> impl Iterator<Item = PendingPacket> {
         let packets = std::mem::take(&mut self.packets);
-        let is_fresh = move |early: &Early| early.is_fresh(now);
+        let is_fresh = move |early: &PendingPacket| early.is_fresh(now);
         packets.into_iter().filter(is_fresh)
     }
 
--- a/src/flow/choice.rs
+++ b/src/flow/choice.rs
@@ -113,7 +113,7 @@
     let now = criteria.now;
     let accepts_flows =
         |record: &Record| record.accepts_flows() && directory.has_expected_incarnation(record);
-    let is_trusted = |record: &Record| accepts_flows(record) && !record.evidence.is_suspected(now);
+    let is_trusted = |record: &Record| accepts_flows(record) && !record.liveness.is_suspected(now);
     least_loaded(directory, criteria, random, is_trusted)
         .or_else(|| least_loaded(directory, criteria, random, accepts_flows))
         .or_else(|| {
--- a/src/flow/contact.rs
+++ b/src/flow/contact.rs
@@ -15,7 +15,7 @@
 
 /// A time span in which the store answered, according to this instance's replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Contact {
+pub struct StoreContact {
     /// Start of the span.
     pub from: Instant,
     /// When the store is last known to have had no data newer than the replica.
@@ -25,7 +25,7 @@
     pub until: Instant,
 }
 
-impl Contact {
+impl StoreContact {
     /// Contact at a single point in time.
     pub fn at(at: Instant) -> Self {
         Self {
@@ -38,7 +38,7 @@
     ///
     /// After a longer gap the span starts again, because entries may have lapsed in the gap
     /// and need the full time to return.
-    pub(crate) fn join(self, later: Self) -> Self {
+    pub(crate) fn merge(self, later: Self) -> Self {
         if later.from > self.until + MAX_GAP {
             return later;
         }
--- a/src/flow/directory.rs
+++ b/src/flow/directory.rs
@@ -12,18 +12,18 @@
 
 use tokio::time::Instant;
 
-use crate::flow::Contact;
 use crate::flow::Evacuation;
 use crate::flow::Incarnation;
 use crate::flow::Peer;
 use crate::flow::Serial;
+use crate::flow::ServerOutcomes;
+use crate::flow::StoreContact;
 use crate::flow::Tag;
-use crate::flow::Testimony;
 use crate::flow::Warmup;
 use crate::flow::baseline::ResponseBaseline;
 use crate::flow::choice;
-use crate::flow::evidence::Evidence;
-use crate::flow::experience::Experience;
+use crate::flow::liveness::Liveness;
+use crate::flow::outcome::RequestOutcomes;
 use crate::flow::warmup;
 use crate::flow::warmup::ColdQuota;
 use crate::id;
@@ -39,7 +39,7 @@
 
 /// The state that a server announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Presence {
+pub enum ServerState {
     /// Accepts new flows.
     Ready,
     /// Finishes its open flows and then stops.
@@ -64,7 +64,7 @@
     /// Number of requests that the server processes concurrently.
     pub slots: u32,
     /// Whether the server accepts new flows.
-    pub presence: Presence,
+    pub state: ServerState,
     /// How long the server stays slow after its start.
     pub cold_for: Duration,
 }
@@ -120,8 +120,8 @@
     pub(crate) cold_until: Instant,
     /// Quota of new flows from this instance while the server is cold.
     pub(crate) cold_quota: ColdQuota,
-    pub(crate) evidence: Evidence,
-    pub(crate) experience: Experience,
+    pub(crate) liveness: Liveness,
+    pub(crate) outcomes: RequestOutcomes,
     /// Requests of this instance that the server has not answered yet.
     pub(crate) outstanding: u32,
     /// Open flows seen by this instance.
@@ -145,8 +145,8 @@
             is_evacuated: false,
             cold_until: now + server.cold_for,
             cold_quota: ColdQuota::default(),
-            evidence: Evidence::default(),
-            experience: Experience::default(),
+            liveness: Liveness::default(),
+            outcomes: RequestOutcomes::default(),
             outstanding: 0,
             flows: 0,
             penalty: 0.0,
@@ -166,7 +166,7 @@
     /// Updates the cached penalty. A selection compares dozens of servers, most of which have
     /// no failures, so that the penalty is not computed there.
     pub(crate) fn update_penalty(&mut self, now: Instant) {
-        self.penalty = choice::penalty(self.experience.bad_share(now));
+        self.penalty = choice::penalty(self.outcomes.bad_share(now));
     }
 
     /// Whether the server is cold and this instance has used up its quota for it.
@@ -181,14 +181,14 @@
 
     /// Whether the server accepts new flows according to its last readable entry.
     pub(crate) fn accepts_by_last_entry(&self) -> bool {
-        let ready = self.server.presence == Presence::Ready;
+        let ready = self.server.state == ServerState::Ready;
         let is_listed = self.missing_since.is_none() && self.replaced_since.is_none();
         ready && is_listed && !self.has_duplicate_tag
     }
 
     /// Whether the server has answered after `at`.
     fn has_answered_since(&self, at: Instant) -> bool {
-        self.evidence.last_alive() > Some(at)
+        self.liveness.last_answer() > Some(at)
     }
 }
 
@@ -230,7 +230,7 @@
     /// writer and is handled as unreadable.
     entries_have_incarnation: bool,
     /// The last uninterrupted contact with the store; `None` while it is unreachable.
-    contact: Option<Contact>,
+    contact: Option<StoreContact>,
     evacuation: Evacuation,
     /// Name of this instance.
     own_instance: id::Instance,
@@ -377,7 +377,7 @@
             // The server's entry may report only later that it has become cold meanwhile.
             let warmup = self.warmups.get(&record.server.service);
             if let Some(warmup) = warmup.filter(|warmup| is_back && warmup.rate > 0.0) {
-                record.cold_until = record.cold_until.max(now + warmup.lasts);
+                record.cold_until = record.cold_until.max(now + warmup.duration);
             }
         }
         is_new
@@ -499,8 +499,8 @@
     }
 
     /// Records that the store has answered.
-    pub fn note_contact(&mut self, contact: Contact) {
-        let joined = self.contact.map_or(contact, |before| before.join(contact));
+    pub fn note_contact(&mut self, contact: StoreContact) {
+        let joined = self.contact.map_or(contact, |before| before.merge(contact));
         self.contact = Some(joined);
     }
 
@@ -520,7 +520,7 @@
     /// A store that fails may drop the entries of all servers although these are alive.
     /// Otherwise new flows would be refused until the store is back.
     pub(crate) fn accepts_while_missing(&self, record: &Record) -> bool {
-        let ready = record.server.presence == Presence::Ready && !record.has_duplicate_tag;
+        let ready = record.server.state == ServerState::Ready && !record.has_duplicate_tag;
         let missing = record.missing_since;
         let is_replaced = record.replaced_since.is_some();
         ready && !is_replaced && missing.is_some_and(|missing| self.may_return(missing))
@@ -596,7 +596,7 @@
     }
 
     /// Number of servers that are listed in the store now.
-    pub fn listed(&self) -> usize {
+    pub fn listed_count(&self) -> usize {
         let is_listed = |record: &&Record| record.missing_since.is_none();
         self.records().filter(is_listed).count()
     }
@@ -616,22 +616,22 @@
     }
 
     /// The outcomes that this instance counted for suspicious servers, the worst first.
-    pub(crate) fn testimony(&self, now: Instant) -> Vec<Testimony> {
+    pub(crate) fn server_outcomes(&self, now: Instant) -> Vec<ServerOutcomes> {
         let reports = self.records().filter_map(|record| {
-            Some(Testimony {
+            Some(ServerOutcomes {
                 serial: record.server.serial,
                 incarnation: record.server.incarnation,
-                counts: record.experience.testimony(now)?,
+                counts: record.outcomes.reported_counts(now)?,
             })
         });
-        let mut reports: Vec<Testimony> = reports.collect();
+        let mut reports: Vec<ServerOutcomes> = reports.collect();
         reports.sort_by(|a, b| b.counts.bad_share().total_cmp(&a.counts.bad_share()));
         reports.truncate(MAX_OUTCOME_REPORTS);
         reports
     }
 
     /// Applies the outcomes that the zone counted; those of other incarnations are ignored.
-    pub(crate) fn apply_zone_outcomes(&mut self, now: Instant, testimony: &[Testimony]) {
+    pub(crate) fn apply_zone_outcomes(&mut self, now: Instant, testimony: &[ServerOutcomes]) {
         for report in testimony {
             let handle = self.by_tag(Tag::of(report.serial));
             let Some(record) = handle.and_then(|handle| self.get_mut(handle)) else {
@@ -639,7 +639,7 @@
             };
             let server = &record.server;
             if (server.serial, server.incarnation) == (report.serial, report.incarnation) {
-                record.experience.set_zone_counts(now, report.counts);
+                record.outcomes.set_zone_counts(now, report.counts);
             }
         }
         self.update_penalties(now);
@@ -692,12 +692,12 @@
     let rate = warmup
         .map(|warmup| warmup.rate)
         .filter(|rate| *rate > 0.0)?;
-    Some(warmup::share(own_instance, peers, server, rate))
+    Some(warmup::cold_flow_quota(own_instance, peers, server, rate))
 }
 
 fn draining_since(server: &Server, before: Option<Instant>, now: Instant) -> Option<Instant> {
-    match server.presence {
-        Presence::Ready => None,
-        Presence::Draining => before.or(Some(now)),
+    match server.state {
+        ServerState::Ready => None,
+        ServerState::Draining => before.or(Some(now)),
     }
 }
--- a/src/flow/egress.rs
+++ b/src/flow/egress.rs
@@ -16,7 +16,7 @@
 
 use tokio::time::Instant;
 
-use crate::flow::Pair;
+use crate::flow::FlowKey;
 use crate::flow::Segment;
 
 /// Bytes per datagram on the link beside its payload: the UDP, IP and Ethernet headers.
@@ -50,9 +50,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// The datagram has been queued.
-    Waits,
+    Queued,
     /// The datagram has replaced a queued copy of the same data.
-    Replaces,
+    ReplacedQueued,
     /// The queue is full.
     Refused,
 }
@@ -61,12 +61,12 @@
 type QueuePosition = (u64, u64);
 
 /// Flow and sequence number that identify the data of a retransmission.
-type DataKey = (Pair, u32);
+type DataKey = (FlowKey, u32);
 
 #[derive(Debug)]
 struct QueuedDatagram {
     datagram: Datagram,
-    pair: Pair,
+    flow_key: FlowKey,
     /// `None` for packets without data, which are never retransmissions of each other.
     data: Option<DataKey>,
 }
@@ -90,9 +90,9 @@
     arrivals: u64,
     queue: BTreeMap<QueuePosition, QueuedDatagram>,
     position_by_data: HashMap<DataKey, QueuePosition>,
-    flow_queues: HashMap<Pair, FlowQueue>,
+    flow_queues: HashMap<FlowKey, FlowQueue>,
     /// Queued bytes, including headers.
-    bytes: usize,
+    queued_bytes: usize,
     max_bytes: usize,
 }
 
@@ -109,22 +109,22 @@
             queue: BTreeMap::new(),
             position_by_data: HashMap::new(),
             flow_queues: HashMap::new(),
-            bytes: 0,
+            queued_bytes: 0,
             max_bytes: max_bytes.min(MAX_QUEUE_BYTES) as usize,
         }
     }
 
     /// Whether a datagram may be sent at once; if so, it is charged to the link.
-    pub fn passes(&mut self, now: Instant, bytes: usize) -> bool {
+    pub fn try_pass(&mut self, now: Instant, bytes: usize) -> bool {
         let passes = self.queue.is_empty() && self.is_free(now);
         if passes {
-            self.count(now, bytes);
+            self.charge(now, bytes);
         }
         passes
     }
 
     /// Charges the link for a datagram that is sent in any case.
-    pub fn count(&mut self, now: Instant, bytes: usize) {
+    pub fn charge(&mut self, now: Instant, bytes: usize) {
         let time = (bytes + HEADER_BYTES) as f64 / self.bytes_per_second;
         self.link_free_at = self.link_free_at.max(now) + Duration::from_secs_f64(time);
     }
@@ -134,44 +134,44 @@
     /// A retransmission of queued data takes the place of the queued packet, because its
     /// other header fields are newer. Only packets with data are refused when the queue is
     /// full; otherwise uploads would keep out new callers.
-    pub fn wait(&mut self, segment: &Segment, datagram: Datagram) -> Admission {
+    pub fn enqueue(&mut self, segment: &Segment, datagram: Datagram) -> Admission {
         let size = datagram.bytes.len() + HEADER_BYTES;
-        let data = (segment.len > 0).then_some((segment.pair, segment.seq));
+        let data = (segment.len > 0).then_some((segment.flow_key, segment.seq));
         let queued_at = data.and_then(|data| self.position_by_data.get(&data));
         if let Some(queued) = queued_at.and_then(|position| self.queue.get_mut(position)) {
             // A retransmission may have another size.
             let earlier = queued.datagram.bytes.len() + HEADER_BYTES;
-            let bytes = self.bytes - earlier + size;
+            let bytes = self.queued_bytes - earlier + size;
             if size > earlier && bytes > self.max_bytes {
                 return Admission::Refused;
             }
-            self.bytes = bytes;
+            self.queued_bytes = bytes;
             queued.datagram = datagram;
-            return Admission::Replaces;
+            return Admission::ReplacedQueued;
         }
-        if data.is_some() && self.bytes + size > self.max_bytes {
+        if data.is_some() && self.queued_bytes + size > self.max_bytes {
             return Admission::Refused;
         }
-        let start = self.assign_start_tag(segment.pair, size as u64);
+        let start = self.assign_start_tag(segment.flow_key, size as u64);
         let position = (start, self.arrivals);
         self.arrivals += 1;
-        self.bytes += size;
+        self.queued_bytes += size;
         if let Some(data) = data {
             self.position_by_data.insert(data, position);
         }
         let queued = QueuedDatagram {
             datagram,
-            pair: segment.pair,
+            flow_key: segment.flow_key,
             data,
         };
         self.queue.insert(position, queued);
-        Admission::Waits
+        Admission::Queued
     }
 
     /// Start tag of a flow's next packet, in bytes of virtual time.
-    fn assign_start_tag(&mut self, pair: Pair, size: u64) -> u64 {
+    fn assign_start_tag(&mut self, flow_key: FlowKey, size: u64) -> u64 {
         let virtual_time = self.virtual_time;
-        let flow_queue = self.flow_queues.entry(pair).or_insert(FlowQueue {
+        let flow_queue = self.flow_queues.entry(flow_key).or_insert(FlowQueue {
             finish_tag: virtual_time,
             queued: 0,
         });
@@ -191,15 +191,15 @@
         if let Some(data) = queued.data {
             self.position_by_data.remove(&data);
         }
-        if let Some(flow_queue) = self.flow_queues.get_mut(&queued.pair) {
+        if let Some(flow_queue) = self.flow_queues.get_mut(&queued.flow_key) {
             flow_queue.queued -= 1;
             if flow_queue.queued == 0 {
-                self.flow_queues.remove(&queued.pair);
+                self.flow_queues.remove(&queued.flow_key);
             }
         }
         let length = queued.datagram.bytes.len();
-        self.bytes -= length + HEADER_BYTES;
-        self.count(now, length);
+        self.queued_bytes -= length + HEADER_BYTES;
+        self.charge(now, length);
         Some(queued.datagram)
     }
 
@@ -210,8 +210,8 @@
     }
 
     /// Queued bytes, including headers.
-    pub fn bytes(&self) -> usize {
-        self.bytes
+    pub fn queued_bytes(&self) -> usize {
+        self.queued_bytes
     }
 
     fn is_free(&self, now: Instant) -> bool {
--- a/src/flow/experience.rs
+++ b/src/flow/outcome.rs
@@ -38,26 +38,26 @@
 
 /// Outcomes of requests at a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Counts {
+pub struct OutcomeCounts {
     /// Requests that were answered.
     pub answers: f64,
     /// Answered requests whose answers came much sooner and were much smaller than
     /// usual.
-    pub hollow: f64,
+    pub premature: f64,
     /// Requests that were open for much longer than usual.
     pub stalls: f64,
 }
 
-impl Counts {
+impl OutcomeCounts {
     /// Share of requests that fail, from 0 to 1.
     pub fn bad_share(&self) -> f64 {
         let stalls = self.stalls * STALL_WEIGHT;
-        (self.hollow + stalls) / (self.answers + stalls + PRIOR_SUCCESSES)
+        (self.premature + stalls) / (self.answers + stalls + PRIOR_SUCCESSES)
     }
 
     /// Requests that succeeded.
     fn successes(&self) -> f64 {
-        (self.answers - self.hollow).max(0.0)
+        (self.answers - self.premature).max(0.0)
     }
 
     /// The counts after a decay of `age`.
@@ -66,74 +66,74 @@
         let answer_decay = decay(ANSWER_HALF_LIFE);
         Self {
             answers: self.answers * answer_decay,
-            hollow: self.hollow * answer_decay,
+            premature: self.premature * answer_decay,
             stalls: self.stalls * decay(STALL_HALF_LIFE),
         }
     }
 
     /// Whether no failures are counted.
     fn is_clean(&self) -> bool {
-        self.hollow < NEGLIGIBLE && self.stalls < NEGLIGIBLE
+        self.premature < NEGLIGIBLE && self.stalls < NEGLIGIBLE
     }
 }
 
 /// Outcomes at one server as counted by one or several instances.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Testimony {
+pub struct ServerOutcomes {
     /// Identity of the server.
     pub serial: Serial,
     /// Incarnation of the server that the counts refer to.
     pub incarnation: Option<Incarnation>,
     /// The counts.
-    pub counts: Counts,
+    pub counts: OutcomeCounts,
 }
 
 /// Counts as of a point in time.
 #[derive(Clone, Copy, Debug)]
 struct DecayingCounts {
-    counts: Counts,
+    counts: OutcomeCounts,
     at: Instant,
 }
 
 impl DecayingCounts {
-    fn at(&self, now: Instant) -> Counts {
+    fn at(&self, now: Instant) -> OutcomeCounts {
         self.counts.decayed(now.saturating_duration_since(self.at))
     }
 }
 
 /// Outcomes of requests at one server, by source.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Experience {
+pub(crate) struct RequestOutcomes {
     own: Option<DecayingCounts>,
     /// Counts of all instances of the zone together.
     zone: Option<DecayingCounts>,
 }
 
-impl Experience {
-    pub(crate) fn answered(&mut self, now: Instant, is_hollow: bool) {
+impl RequestOutcomes {
+    pub(crate) fn answered(&mut self, now: Instant, is_premature: bool) {
         let counts = self.count(now);
         counts.answers += 1.0;
-        counts.hollow += f64::from(u8::from(is_hollow));
+        counts.premature += f64::from(u8::from(is_premature));
     }
 
     pub(crate) fn stalled(&mut self, now: Instant) {
         self.count(now).stalls += 1.0;
     }
 
-    fn count(&mut self, now: Instant) -> &mut Counts {
+    fn count(&mut self, now: Instant) -> &mut OutcomeCounts {
         let counts = self.own(now);
         let own = self.own.insert(DecayingCounts { counts, at: now });
         &mut own.counts
     }
 
     /// This instance's own counts.
-    pub(crate) fn own(&self, now: Instant) -> Counts {
+    pub(crate) fn own(&self, now: Instant) -> OutcomeCounts {
         self.own
-            .map_or(Counts::default(), |decaying| decaying.at(now))
+            .map_or(OutcomeCounts::default(), |decaying| decaying.at(now))
     }
 
     /// Replaces the zone's counts.
-    pub(crate) fn set_zone_counts(&mut self, now: Instant, counts: Counts) {
+    pub(crate) fn set_zone_counts(&mut self, now: Instant, counts: OutcomeCounts) {
         self.zone = Some(DecayingCounts { counts, at: now });
     }
 
@@ -160,7 +160,7 @@
     /// If another instance counted failures, this instance's successful requests are
     /// reported too: one stall seen by one instance weighs little beside forty answers that
     /// the others got.
-    pub(crate) fn testimony(&self, now: Instant) -> Option<Counts> {
+    pub(crate) fn reported_counts(&self, now: Instant) -> Option<OutcomeCounts> {
         let own = self.own(now);
         let has_failures = |decaying: DecayingCounts| !decaying.at(now).is_clean();
         let is_reported = !own.is_clean() || self.zone.is_some_and(has_failures);
--- a/src/flow/plane.rs
+++ b/src/flow/plane.rs
@@ -15,19 +15,19 @@
 use rand::rngs::SmallRng;
 use tokio::time::Instant;
 
-use crate::flow::Contact;
 use crate::flow::Directory;
-use crate::flow::Drop;
-use crate::flow::Note;
-use crate::flow::Pair;
+use crate::flow::DropReason;
+use crate::flow::FlowEvent;
+use crate::flow::FlowKey;
 use crate::flow::Peer;
 use crate::flow::Refusal;
 use crate::flow::RoundTrip;
 use crate::flow::Routes;
 use crate::flow::Segment;
 use crate::flow::Server;
+use crate::flow::ServerOutcomes;
+use crate::flow::StoreContact;
 use crate::flow::Target;
-use crate::flow::Testimony;
 use crate::flow::Timing;
 use crate::flow::choice;
 use crate::flow::choice::Choice;
@@ -64,7 +64,7 @@
 
 /// A change of the state on which the forwarding decisions depend.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Belief {
+pub enum StateUpdate {
     /// The complete list of servers.
     Servers {
         /// The readable entries.
@@ -75,25 +75,25 @@
     /// A server's entry was written.
     Server(Server),
     /// A server's entry cannot be parsed.
-    Unreadable(id::Server),
+    ServerUnreadable(id::Server),
     /// A server's entry was removed.
-    Gone(id::Server),
+    ServerRemoved(id::Server),
     /// A new configuration.
     Routes(Routes),
     /// Operators have evacuated a zone.
-    Evacuated(id::Zone),
+    ZoneEvacuated(id::Zone),
     /// Operators have ended the evacuation of a zone.
-    Returned(id::Zone),
+    ZoneRestored(id::Zone),
     /// The complete set of evacuated zones.
-    Evacuation(BTreeSet<id::Zone>),
+    EvacuatedZones(BTreeSet<id::Zone>),
     /// The instances that share the callers.
     Peers(Vec<Peer>),
     /// Request outcomes that the instances of this zone counted at servers.
-    Testimony(Vec<Testimony>),
+    ZoneOutcomes(Vec<ServerOutcomes>),
     /// The store has answered.
-    Contact(Contact),
+    StoreContact(StoreContact),
     /// The store does not answer.
-    Silence,
+    StoreUnreachable,
 }
 
 /// Decision about a packet.
@@ -104,7 +104,7 @@
     /// Reset the flow.
     Reset,
     /// Drop the packet.
-    Drop(Drop),
+    Drop(DropReason),
 }
 
 /// A SYN to be sent to a further server.
@@ -118,7 +118,7 @@
 
 /// Decides about packets, and keeps the state that this requires.
 #[derive(Debug)]
-pub struct Plane {
+pub struct DataPlane {
     options: Options,
     directory: Directory,
     routes: Option<Routes>,
@@ -128,9 +128,9 @@
     table: Table,
     /// Deadlines of handshakes, earliest first; those of completed handshakes stay until
     /// they expire.
-    handshake_deadlines: BinaryHeap<Reverse<(Instant, Pair)>>,
+    handshake_deadlines: BinaryHeap<Reverse<(Instant, FlowKey)>>,
     /// Recent new flows, oldest first.
-    recent_openings: VecDeque<(Instant, Pair)>,
+    recent_openings: VecDeque<(Instant, FlowKey)>,
     /// Requests in progress, ordered by deadline.
     pending_requests: VecDeque<PendingRequest>,
     round_trip: RoundTrip,
@@ -140,13 +140,13 @@
     last_adoption: Option<Instant>,
     last_sweep: Option<Instant>,
     random: SmallRng,
-    notes: Vec<Note>,
+    notes: Vec<FlowEvent>,
     timings: Vec<Timing>,
     /// Events that exceeded the buffer since they were last taken.
     omitted: u64,
 }
 
-impl Plane {
+impl DataPlane {
     /// Creates a plane without servers and routes.
     pub fn new(options: Options) -> Self {
         Self {
@@ -175,33 +175,35 @@
     }
 
     /// Applies a state update. Returns `false` if it is older than the current state.
-    pub fn learn(&mut self, now: Instant, belief: Belief) -> bool {
+    pub fn apply(&mut self, now: Instant, belief: StateUpdate) -> bool {
         match belief {
-            Belief::Servers { listed, unreadable } => {
+            StateUpdate::Servers { listed, unreadable } => {
                 self.has_servers = true;
                 self.directory.replace(now, listed, unreadable);
             }
-            Belief::Server(server) => return self.directory.put(now, server),
-            Belief::Unreadable(server) => self.directory.mark_unreadable(&server),
-            Belief::Gone(server) => self.directory.remove(now, &server),
-            Belief::Routes(routes) => return self.set_routes(routes),
-            Belief::Evacuated(zone) => {
+            StateUpdate::Server(server) => return self.directory.put(now, server),
+            StateUpdate::ServerUnreadable(server) => self.directory.mark_unreadable(&server),
+            StateUpdate::ServerRemoved(server) => self.directory.remove(now, &server),
+            StateUpdate::Routes(routes) => return self.set_routes(routes),
+            StateUpdate::ZoneEvacuated(zone) => {
                 return self
                     .directory
                     .change_evacuation(now, |e| e.begin(now, zone));
             }
-            Belief::Returned(zone) => {
+            StateUpdate::ZoneRestored(zone) => {
                 return self.directory.change_evacuation(now, |e| e.end(&zone));
             }
-            Belief::Evacuation(all) => {
+            StateUpdate::EvacuatedZones(all) => {
                 return self
                     .directory
                     .change_evacuation(now, |e| e.replace(now, all));
             }
-            Belief::Testimony(outcomes) => self.directory.apply_zone_outcomes(now, &outcomes),
-            Belief::Peers(peers) => self.set_peers(peers),
-            Belief::Contact(contact) => self.directory.note_contact(contact),
-            Belief::Silence => self.directory.note_unreachable(),
+            StateUpdate::ZoneOutcomes(outcomes) => {
+                self.directory.apply_zone_outcomes(now, &outcomes)
+            }
+            StateUpdate::Peers(peers) => self.set_peers(peers),
+            StateUpdate::StoreContact(contact) => self.directory.note_contact(contact),
+            StateUpdate::StoreUnreachable => self.directory.note_unreachable(),
         }
         true
     }
@@ -254,8 +256,8 @@
     }
 
     /// Request outcomes that this instance counted at servers, the worst first.
-    pub fn testimony(&self, now: Instant) -> Vec<Testimony> {
-        self.directory.testimony(now)
+    pub fn server_outcomes(&self, now: Instant) -> Vec<ServerOutcomes> {
+        self.directory.server_outcomes(now)
     }
 
     /// Number of tracked flows.
@@ -269,7 +271,7 @@
     }
 
     /// Takes the events since the last call, and the number of omitted ones.
-    pub fn take_notes(&mut self) -> (Vec<Note>, u64) {
+    pub fn take_events(&mut self) -> (Vec<FlowEvent>, u64) {
         let omitted = std::mem::take(&mut self.omitted);
         (std::mem::take(&mut self.notes), omitted)
     }
@@ -279,7 +281,7 @@
         std::mem::take(&mut self.timings)
     }
 
-    fn note(&mut self, note: Note) {
+    fn note(&mut self, note: FlowEvent) {
         if self.notes.len() < MAX_EVENTS {
             self.notes.push(note);
         } else {
@@ -292,19 +294,19 @@
         let verdict = if segment.opens() {
             self.receive_syn(now, segment, packet)
         } else if segment.flags.syn {
-            Verdict::Drop(Drop::ServerSide)
+            Verdict::Drop(DropReason::ServerSide)
         } else {
             self.receive_non_syn(now, segment)
         };
         if let Verdict::Drop(reason) = verdict {
-            let pair = segment.pair;
-            self.note(Note::Dropped { pair, reason });
+            let flow_key = segment.flow_key;
+            self.note(FlowEvent::Dropped { flow_key, reason });
         }
         verdict
     }
 
     fn receive_syn(&mut self, now: Instant, segment: &Segment, packet: &[u8]) -> Verdict {
-        if let Some(flow_handle) = self.table.find(&segment.pair) {
+        if let Some(flow_handle) = self.table.find(&segment.flow_key) {
             let known_seq = self.table.get(flow_handle).and_then(|flow| flow.syn_seq);
             if known_seq == Some(segment.seq) {
                 return self.receive_retransmission(now, flow_handle);
@@ -312,16 +314,16 @@
             self.close(flow_handle);
         }
         let Some(routes) = &self.routes else {
-            return Verdict::Drop(Drop::NoView);
+            return Verdict::Drop(DropReason::NoView);
         };
         let version = routes.version;
-        let Some(route) = routes.by_address.get(&segment.pair.service) else {
-            return self.refuse(segment.pair, Refusal::NoRoute, version);
+        let Some(route) = routes.by_address.get(&segment.flow_key.service) else {
+            return self.refuse(segment.flow_key, Refusal::NoRoute, version);
         };
-        let Some(service) = route.service(&segment.pair).cloned() else {
-            return Verdict::Drop(Drop::NoWeight);
+        let Some(service) = route.service(&segment.flow_key).cloned() else {
+            return Verdict::Drop(DropReason::NoWeight);
         };
-        let given_up = self.servers_given_up(now, &segment.pair);
+        let given_up = self.servers_given_up(now, &segment.flow_key);
         let choice = self
             .choose(now, &service, &given_up)
             .or_else(|| self.choose(now, &service, &[]));
@@ -329,22 +331,22 @@
             Some(choice) => self.open_flow(now, segment, packet, choice),
             None if choice::is_quota_exhausted(&self.directory, &service, now) => {
                 // The caller retransmits the SYN shortly, which does not count as a retry.
-                Verdict::Drop(Drop::Cold)
+                Verdict::Drop(DropReason::Cold)
             }
             None if self.has_servers => {
                 let reason = match choice::is_evacuated(&self.directory, &service) {
                     true => Refusal::Evacuated,
                     false => Refusal::NoServer,
                 };
-                self.refuse(segment.pair, reason, version)
+                self.refuse(segment.flow_key, reason, version)
             }
-            None => Verdict::Drop(Drop::NoView),
+            None => Verdict::Drop(DropReason::NoView),
         }
     }
 
-    fn refuse(&mut self, pair: Pair, reason: Refusal, version: u64) -> Verdict {
-        self.note(Note::Refused {
-            pair,
+    fn refuse(&mut self, flow_key: FlowKey, reason: Refusal, version: u64) -> Verdict {
+        self.note(FlowEvent::Refused {
+            flow_key,
             reason,
             version,
         });
@@ -375,11 +377,11 @@
         choice: Choice,
     ) -> Verdict {
         let Some(record) = self.directory.get(choice.handle) else {
-            return Verdict::Drop(Drop::NoView);
+            return Verdict::Drop(DropReason::NoView);
         };
         let target = record.target();
-        let note = Note::Placed {
-            pair: segment.pair,
+        let note = FlowEvent::Placed {
+            flow_key: segment.flow_key,
             server: record.server.id.clone(),
             is_remote: record.server.zone != self.options.zone,
             outstanding: record.outstanding,
@@ -399,8 +401,9 @@
             let flow = Flow::opening(segment, opening, now);
             self.table.insert(flow);
             self.count_flow(choice.handle);
-            self.handshake_deadlines.push(Reverse((due, segment.pair)));
-            self.recent_openings.push_back((now, segment.pair));
+            self.handshake_deadlines
+                .push(Reverse((due, segment.flow_key)));
+            self.recent_openings.push_back((now, segment.flow_key));
         }
         Verdict::Forward(target)
     }
--- a/src/flow/plane/account.rs
+++ b/src/flow/plane/account.rs
@@ -4,8 +4,8 @@
 
 use tokio::time::Instant;
 
-use crate::flow::Note;
-use crate::flow::Plane;
+use crate::flow::DataPlane;
+use crate::flow::FlowEvent;
 use crate::flow::directory::ServerHandle;
 use crate::flow::table::ExpiryRules;
 use crate::flow::table::Flow;
@@ -20,7 +20,7 @@
 /// by some milliseconds with tens of thousands of flows.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 
-impl Plane {
+impl DataPlane {
     pub(super) fn record_miss(
         &mut self,
         server_handle: ServerHandle,
@@ -30,10 +30,10 @@
         let Some(record) = self.directory.get_mut(server_handle) else {
             return;
         };
-        if record.evidence.missed(since, now) {
-            let note = Note::Suspected {
+        if record.liveness.missed(since, now) {
+            let note = FlowEvent::Suspected {
                 server: record.server.id.clone(),
-                misses: record.evidence.misses(),
+                misses: record.liveness.misses(),
             };
             self.note(note);
         }
@@ -43,9 +43,9 @@
         let Some(record) = self.directory.get_mut(server_handle) else {
             return;
         };
-        if record.evidence.answered(now) {
+        if record.liveness.answered(now) {
             let server = record.server.id.clone();
-            self.note(Note::Cleared { server });
+            self.note(FlowEvent::SuspicionCleared { server });
         }
     }
 
--- a/src/flow/plane/carry.rs
+++ b/src/flow/plane/carry.rs
@@ -4,9 +4,9 @@
 
 use tokio::time::Instant;
 
-use crate::flow::Drop;
-use crate::flow::Note;
-use crate::flow::Plane;
+use crate::flow::DataPlane;
+use crate::flow::DropReason;
+use crate::flow::FlowEvent;
 use crate::flow::Segment;
 use crate::flow::Timing;
 use crate::flow::Verdict;
@@ -23,16 +23,16 @@
 /// to a lost packet, which is unlikely for two in a row.
 const MISSED_RETRANSMISSIONS: u32 = 2;
 
-impl Plane {
+impl DataPlane {
     pub(super) fn receive_non_syn(&mut self, now: Instant, segment: &Segment) -> Verdict {
         self.last_packet = Some(now);
         let by_tag = self.directory.by_tag(segment.tag);
-        let known = self.table.find(&segment.pair);
+        let known = self.table.find(&segment.flow_key);
         let flow_handle = known.or_else(|| self.adopt(now, segment, by_tag?));
         let server_handle = flow_handle
             .and_then(|flow_handle| self.select_server(now, flow_handle, segment, by_tag));
         let Some(server_handle) = server_handle.or(by_tag) else {
-            return Verdict::Drop(Drop::UnknownTag);
+            return Verdict::Drop(DropReason::UnknownTag);
         };
         let progress = flow_handle.map(|flow_handle| self.advance(now, flow_handle, segment));
         if segment.len > 0 && self.check_server_gone(now, segment, server_handle) {
@@ -46,7 +46,7 @@
         }
         match self.directory.get(server_handle) {
             Some(record) => Verdict::Forward(record.target()),
-            None => Verdict::Drop(Drop::UnknownTag),
+            None => Verdict::Drop(DropReason::UnknownTag),
         }
     }
 
@@ -139,7 +139,7 @@
             self.record_outcome(server, answer, now);
         }
         if progress.has_begun {
-            self.watch_request(segment.pair, server, now);
+            self.watch_request(segment.flow_key, server, now);
         }
         if segment.flags.fin {
             let ended = self
@@ -180,8 +180,8 @@
         let Some(record) = self.directory.get(server_handle) else {
             return false;
         };
-        let note = Note::Released {
-            pair: segment.pair,
+        let note = FlowEvent::Released {
+            flow_key: segment.flow_key,
             server: record.server.id.clone(),
             missing_ms: (now - missing).as_millis() as u64,
         };
--- a/src/flow/plane/ending.rs
+++ b/src/flow/plane/ending.rs
@@ -2,9 +2,9 @@
 
 use tokio::time::Instant;
 
-use crate::flow::Note;
-use crate::flow::Pair;
-use crate::flow::Plane;
+use crate::flow::DataPlane;
+use crate::flow::FlowEvent;
+use crate::flow::FlowKey;
 use crate::flow::directory::ServerHandle;
 use crate::flow::table::Answer;
 
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingRequest {
     pub(crate) due: Instant,
-    pair: Pair,
+    flow_key: FlowKey,
     started: Instant,
 }
 
@@ -20,9 +20,14 @@
 /// take seconds. Further requests are not watched.
 const MAX_PENDING_REQUESTS: usize = 65_536;
 
-impl Plane {
+impl DataPlane {
     /// Starts watching a request that begins now.
-    pub(super) fn watch_request(&mut self, pair: Pair, server_handle: ServerHandle, now: Instant) {
+    pub(super) fn watch_request(
+        &mut self,
+        flow_key: FlowKey,
+        server_handle: ServerHandle,
+        now: Instant,
+    ) {
         let Some(baseline) = self.directory.baseline_mut(server_handle) else {
             return;
         };
@@ -35,8 +40,11 @@
             .map_or(due, |last| last.due.max(due));
         if self.pending_requests.len() < MAX_PENDING_REQUESTS {
             let started = now;
-            self.pending_requests
-                .push_back(PendingRequest { due, pair, started });
+            self.pending_requests.push_back(PendingRequest {
+                due,
+                flow_key,
+                started,
+            });
         }
     }
 
@@ -52,7 +60,7 @@
         };
         let is_premature = baseline.sample(answer.response_time, answer.bytes);
         if let Some(record) = self.directory.get_mut(server_handle) {
-            record.experience.answered(now, is_premature);
+            record.outcomes.answered(now, is_premature);
             record.update_penalty(now);
         }
     }
@@ -69,7 +77,7 @@
             // look as if they hung.
             let has_received = self.last_packet.is_some_and(|at| at > request.started);
             let has_adopted = self.last_adoption.is_some_and(|at| at >= request.started);
-            let flow = self.table.find(&request.pair);
+            let flow = self.table.find(&request.flow_key);
             let flow = flow.and_then(|key| self.table.get(key));
             let flow = flow.filter(|flow| flow.request_started == Some(request.started));
             let Some(server) = flow
@@ -81,10 +89,10 @@
             let Some(record) = self.directory.get_mut(server) else {
                 continue;
             };
-            record.experience.stalled(now);
+            record.outcomes.stalled(now);
             record.update_penalty(now);
-            let note = Note::Stalled {
-                pair: request.pair,
+            let note = FlowEvent::Stalled {
+                flow_key: request.flow_key,
                 server: record.server.id.clone(),
                 waited_ms: (now - request.started).as_millis() as u64,
             };
--- a/src/flow/plane/opening.rs
+++ b/src/flow/plane/opening.rs
@@ -5,10 +5,10 @@
 
 use tokio::time::Instant;
 
-use crate::flow::Drop;
-use crate::flow::Note;
-use crate::flow::Pair;
-use crate::flow::Plane;
+use crate::flow::DataPlane;
+use crate::flow::DropReason;
+use crate::flow::FlowEvent;
+use crate::flow::FlowKey;
 use crate::flow::Resend;
 use crate::flow::Target;
 use crate::flow::Verdict;
@@ -33,7 +33,7 @@
 /// an answer may be queued in the socket buffer.
 const MAX_TIMER_DELAY: Duration = Duration::from_millis(20);
 
-impl Plane {
+impl DataPlane {
     /// Handles a retransmitted SYN, which shows that the caller got no answer. If the server
     /// had enough time to answer, another server is selected.
     pub(super) fn receive_retransmission(
@@ -42,7 +42,7 @@
         flow_handle: FlowHandle,
     ) -> Verdict {
         let Some(flow) = self.table.get_mut(flow_handle) else {
-            return Verdict::Drop(Drop::UnknownTag);
+            return Verdict::Drop(DropReason::UnknownTag);
         };
         flow.last_seen = now;
         let server = flow.server;
@@ -56,7 +56,7 @@
                 Some(target) => Verdict::Forward(target),
                 // The server may have answered the first SYN, so that a reset could break an open
                 // flow.
-                None => Verdict::Drop(Drop::Evacuated),
+                None => Verdict::Drop(DropReason::Evacuated),
             };
         }
         if is_unanswered && let Some(resend) = self.reopen(now, flow_handle) {
@@ -64,7 +64,7 @@
         }
         match self.directory.get(server) {
             Some(record) => Verdict::Forward(record.target()),
-            None => Verdict::Drop(Drop::UnknownTag),
+            None => Verdict::Drop(DropReason::UnknownTag),
         }
     }
 
@@ -83,11 +83,11 @@
     /// may contain the answers.
     pub fn expire(&mut self, now: Instant) -> Vec<Resend> {
         let mut resends = Vec::new();
-        while let Some(Reverse((due, pair))) = self.handshake_deadlines.peek().copied()
+        while let Some(Reverse((due, flow_key))) = self.handshake_deadlines.peek().copied()
             && due <= now
         {
             self.handshake_deadlines.pop();
-            let Some(flow_handle) = self.find_opening(&pair, due) else {
+            let Some(flow_handle) = self.find_opening(&flow_key, due) else {
                 continue;
             };
             if now > due + MAX_TIMER_DELAY || !self.proves_miss(flow_handle) {
@@ -102,8 +102,8 @@
     }
 
     /// The flow, if its handshake is still waiting for this deadline.
-    fn find_opening(&self, pair: &Pair, due: Instant) -> Option<FlowHandle> {
-        let flow_handle = self.table.find(pair)?;
+    fn find_opening(&self, flow_key: &FlowKey, due: Instant) -> Option<FlowHandle> {
+        let flow_handle = self.table.find(flow_key)?;
         let is_due = match &self.table.get(flow_handle)?.phase {
             Phase::Opening(opening) => opening.due == due,
             Phase::Open | Phase::Closing => false,
@@ -138,17 +138,18 @@
         let Some(flow) = self.table.get_mut(flow_handle) else {
             return;
         };
-        let pair = flow.pair;
+        let flow_key = flow.flow_key;
         if let Phase::Opening(opening) = &mut flow.phase {
             opening.due = now + timeout;
-            self.handshake_deadlines.push(Reverse((opening.due, pair)));
+            self.handshake_deadlines
+                .push(Reverse((opening.due, flow_key)));
         }
     }
 
     /// Marks the last server of an opening flow as unresponsive and selects another.
     pub(super) fn reopen(&mut self, now: Instant, flow_handle: FlowHandle) -> Option<Resend> {
         let flow = self.table.get(flow_handle)?;
-        let pair = flow.pair;
+        let flow_key = flow.flow_key;
         let Phase::Opening(opening) = &flow.phase else {
             return None;
         };
@@ -163,8 +164,8 @@
             false => None,
         };
         let chosen = choice.and_then(|choice| self.directory.get(choice.handle));
-        let note = Note::Reopened {
-            pair,
+        let note = FlowEvent::Reopened {
+            flow_key,
             silent: self.directory.get(silent)?.server.id.clone(),
             server: chosen.map(|record| record.server.id.clone()),
             waited_ms: (now - sent).as_millis() as u64,
@@ -181,11 +182,11 @@
         let Phase::Opening(opening) = &flow.phase else {
             return None;
         };
-        let pair = flow.pair;
+        let flow_key = flow.flow_key;
         let tried = opening.tried.clone();
         let left = &self.directory.get(flow.server)?.server;
-        let note = Note::Evacuated {
-            pair,
+        let note = FlowEvent::Evacuated {
+            flow_key,
             left: left.id.clone(),
         };
         let service = left.service.clone();
@@ -206,12 +207,12 @@
         self.move_flow(flow_handle, server_handle);
         let due = now + self.round_trip.timeout();
         let flow = self.table.get_mut(flow_handle)?;
-        let pair = flow.pair;
+        let flow_key = flow.flow_key;
         if let Phase::Opening(opening) = &mut flow.phase {
             opening.tried.push(server_handle);
             opening.sent = now;
             opening.due = due;
-            self.handshake_deadlines.push(Reverse((due, pair)));
+            self.handshake_deadlines.push(Reverse((due, flow_key)));
         }
         Some(target)
     }
@@ -224,24 +225,30 @@
     /// handshake of the same caller that is unanswered after a round trip indicates such a
     /// retry. If the handshake belongs to another process of the caller, the only effect is
     /// that the new flow goes to another server.
-    pub(super) fn servers_given_up(&mut self, now: Instant, pair: &Pair) -> Vec<ServerHandle> {
+    pub(super) fn servers_given_up(
+        &mut self,
+        now: Instant,
+        flow_key: &FlowKey,
+    ) -> Vec<ServerHandle> {
         let expected = self.round_trip.expected();
-        let is_old = |(at, _): &(Instant, Pair)| now >= *at + MIN_RETRANSMISSION_INTERVAL;
+        let is_old = |(at, _): &(Instant, FlowKey)| now >= *at + MIN_RETRANSMISSION_INTERVAL;
         while self.recent_openings.front().is_some_and(is_old) {
             self.recent_openings.pop_front();
         }
-        let is_earlier = |other: &Pair| {
-            other.caller.ip() == pair.caller.ip() && other.service == pair.service && other != pair
+        let is_earlier = |other: &FlowKey| {
+            other.caller.ip() == flow_key.caller.ip()
+                && other.service == flow_key.service
+                && other != flow_key
         };
-        let earlier: Vec<Pair> = self
+        let earlier: Vec<FlowKey> = self
             .recent_openings
             .iter()
             .filter(|(_, other)| is_earlier(other))
             .map(|(_, other)| *other)
             .collect();
         let mut given_up = Vec::new();
-        for pair in earlier {
-            let Some(flow_handle) = self.table.find(&pair) else {
+        for flow_key in earlier {
+            let Some(flow_handle) = self.table.find(&flow_key) else {
                 continue;
             };
             let Some(flow) = self.table.get(flow_handle) else {
--- a/src/flow/table.rs
+++ b/src/flow/table.rs
@@ -8,7 +8,7 @@
 use hashbrown::HashTable;
 use tokio::time::Instant;
 
-use crate::flow::Pair;
+use crate::flow::FlowKey;
 use crate::flow::Segment;
 use crate::flow::directory::ServerHandle;
 use crate::flow::segment::is_after;
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 #[repr(align(64))]
 pub(crate) struct Flow {
-    pub(crate) pair: Pair,
+    pub(crate) flow_key: FlowKey,
     pub(crate) server: ServerHandle,
     pub(crate) phase: Phase,
     /// Whether several servers got the SYN, so that a late answer may have replaced the
@@ -82,7 +82,7 @@
 impl Flow {
     pub(crate) fn opening(segment: &Segment, opening: Opening, now: Instant) -> Self {
         Self {
-            pair: segment.pair,
+            flow_key: segment.flow_key,
             server: opening.tried[0],
             phase: Phase::Opening(Box::new(opening)),
             is_pinned: false,
@@ -102,7 +102,7 @@
     /// Creates a flow whose SYN another instance has forwarded.
     pub(crate) fn adopted(segment: &Segment, server: ServerHandle, now: Instant) -> Self {
         Self {
-            pair: segment.pair,
+            flow_key: segment.flow_key,
             server,
             phase: Phase::Open,
             is_pinned: false,
@@ -236,15 +236,16 @@
         self.len() < self.limit
     }
 
-    pub(crate) fn find(&self, pair: &Pair) -> Option<FlowHandle> {
-        let hash = self.hasher.hash_one(pair);
+    pub(crate) fn find(&self, flow_key: &FlowKey) -> Option<FlowHandle> {
+        let hash = self.hasher.hash_one(flow_key);
         self.index
-            .find(hash, |handle| self.has_endpoints(*handle, pair))
+            .find(hash, |handle| self.has_endpoints(*handle, flow_key))
             .copied()
     }
 
-    fn has_endpoints(&self, handle: FlowHandle, pair: &Pair) -> bool {
-        self.get(handle).is_some_and(|flow| flow.pair == *pair)
+    fn has_endpoints(&self, handle: FlowHandle, flow_key: &FlowKey) -> bool {
+        self.get(handle)
+            .is_some_and(|flow| flow.flow_key == *flow_key)
     }
 
     pub(crate) fn get(&self, handle: FlowHandle) -> Option<&Flow> {
@@ -261,13 +262,13 @@
             self.flows.push(None);
             FlowHandle(self.flows.len() as u32 - 1)
         });
-        let hash = self.hasher.hash_one(flow.pair);
+        let hash = self.hasher.hash_one(flow.flow_key);
         self.flows[handle.index()] = Some(flow);
         let (flows, hasher) = (&self.flows, &self.hasher);
         let rehash = |handle: &FlowHandle| {
             flows[handle.index()]
                 .as_ref()
-                .map_or(0, |f| hasher.hash_one(f.pair))
+                .map_or(0, |f| hasher.hash_one(f.flow_key))
         };
         self.index.insert_unique(hash, handle, rehash);
         handle
@@ -275,7 +276,7 @@
 
     pub(crate) fn remove(&mut self, handle: FlowHandle) -> Option<Flow> {
         let flow = self.flows.get_mut(handle.index())?.take()?;
-        let hash = self.hasher.hash_one(flow.pair);
+        let hash = self.hasher.hash_one(flow.flow_key);
         if let Ok(entry) = self.index.find_entry(hash, |other| *other == handle) {
             entry.remove();
         }
--- a/src/flow/warmup.rs
+++ b/src/flow/warmup.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Warmup {
     /// How long a server stays cold.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Requests per second that a cold server can process from all instances together; 0 for
     /// no limit.
     pub rate: f64,
@@ -83,7 +83,7 @@
 ///
 /// The quotas of all instances add up to the rate, rounded down, or to one. All zones have
 /// equal quotas, because a service may have servers in one zone only.
-pub fn share(me: &id::Instance, peers: &[Peer], server: &Server, rate: f64) -> usize {
+pub fn cold_flow_quota(me: &id::Instance, peers: &[Peer], server: &Server, rate: f64) -> usize {
     let total = (rate as usize).max(1);
     let own_hash = rank_hash(me, server);
     let hashes = peers.iter().map(|peer| rank_hash(&peer.instance, server));
--- a/src/replica/follow/poll.rs
+++ b/src/replica/follow/poll.rs
@@ -21,7 +21,7 @@
 
 use crate::error::Error;
 use crate::error::Result;
-use crate::flow::Contact;
+use crate::flow::StoreContact;
 use crate::platform::poll::Batch;
 use crate::platform::poll::Page;
 use crate::platform::poll::Reader;
@@ -119,7 +119,7 @@
 impl Follower {
     /// Polls for what has come after the horizon.
     pub(super) async fn poll(&mut self, horizon: u64) -> Outcome<()> {
-        let key = self.sources.keys.large;
+        let key = self.sources.keys.config_key;
         let large = self
             .shared
             .look(|copy| copy.get(key).map(|entry| entry.value.len()));
@@ -136,7 +136,7 @@
     async fn poll_all(&mut self, horizon: u64) -> Outcome<()> {
         let wait = self.wait();
         let asked = Instant::now();
-        let all = self.sources.keys.all;
+        let all = self.sources.keys.root_prefix;
         let batch = self.sources.reader.poll(all, horizon, wait).await?;
         let revision = batch.revision;
         let has_changes = self.take_batch(batch, revision).await?;
@@ -158,20 +158,20 @@
         // One poll brings both while nothing changes.
         let both_from = horizon.max(self.large.horizon.min(self.large.orders));
         let newest = self.large.is_changing(asked);
-        let pace = self.sources.pace;
-        let short = pace.wait_for_others / 3;
+        let pace = self.sources.timing;
+        let short = pace.subscribed_wait / 3;
         let small_wait = self.wait();
         // What changes seldom is asked for seldom: three polls a third of a second long
         // made 2,400 calls a minute in a calm fleet of 24. All end before the next round.
         let wait = match (small_wait.is_zero(), newest) {
             (true, _) => Duration::ZERO,
             (false, true) => short,
-            (false, false) => pace.wait,
+            (false, false) => pace.background_wait,
         };
         let (over, is_over) = watch::channel(false);
         let again = Again {
             reader: &reader,
-            orders: keys.orders,
+            orders: keys.evacuation_prefix,
             wait: small_wait,
             seldom: wait,
             short: short.min(small_wait),
@@ -179,20 +179,28 @@
             is_over,
         };
         let mut polls = FuturesUnordered::new();
-        polls.push(again.poll(keys.small, horizon, Duration::ZERO).boxed());
+        polls.push(
+            again
+                .poll(keys.server_prefix, horizon, Duration::ZERO)
+                .boxed(),
+        );
         polls.push(poll_members(&reader, horizon, wait).boxed());
         let orders_after = match newest {
             true => Duration::ZERO,
             false => wait + ANSWER,
         };
-        polls.push(again.poll(keys.orders, horizon, orders_after).boxed());
+        polls.push(
+            again
+                .poll(keys.evacuation_prefix, horizon, orders_after)
+                .boxed(),
+        );
         let large = async {
             let asked = Instant::now();
             let batch = match newest {
-                true => read_newest(&reader, keys.large).await,
-                false => reader.poll(keys.operators, both_from, wait).await,
+                true => read_newest(&reader, keys.config_key).await,
+                false => reader.poll(keys.operator_prefix, both_from, wait).await,
             };
-            Polled::new(keys.large, asked, wait, batch)
+            Polled::new(keys.config_key, asked, wait, batch)
         };
         polls.push(large.boxed());
         let mut round = Round {
@@ -200,9 +208,10 @@
             ..Round::default()
         };
         // A poll that is never sent has reached nothing.
-        round
-            .reached
-            .extend([(keys.small, horizon), (keys.orders, horizon)]);
+        round.reached.extend([
+            (keys.server_prefix, horizon),
+            (keys.evacuation_prefix, horizon),
+        ]);
         while let Some(polled) = polls.next().await {
             let next = self.take_polled(polled, horizon, &mut round).await?;
             if round.is_large_over {
@@ -234,11 +243,11 @@
             is_vain,
             batch,
         } = polled;
-        let is_small = key == self.sources.keys.small;
-        let is_repeated = is_small || key == self.sources.keys.orders;
-        let is_large = key == self.sources.keys.large;
+        let is_small = key == self.sources.keys.server_prefix;
+        let is_repeated = is_small || key == self.sources.keys.evacuation_prefix;
+        let is_large = key == self.sources.keys.config_key;
         round.is_large_over |= is_large;
-        let gather = self.sources.pace.gather;
+        let gather = self.sources.timing.gather_pause;
         let batch = match batch {
             // The large one was over before this one was sent.
             None => return Ok(None),
@@ -259,7 +268,7 @@
         }
         round.failures.remove(key);
         round.reached.insert(key, revision);
-        let orders = self.sources.keys.orders;
+        let orders = self.sources.keys.evacuation_prefix;
         if key == orders || is_large && round.has_orders {
             self.large.orders = revision.max(self.large.orders);
             round.reached.insert(orders, self.large.orders);
@@ -277,7 +286,7 @@
     }
 
     pub(super) async fn take_batch(&mut self, batch: Batch, revision: u64) -> Outcome<bool> {
-        for refusal in batch.refused {
+        for refusal in batch.unreadable {
             self.sender.send(Update::Refused(refusal)).await?;
         }
         let has_changes = !batch.changes.is_empty();
@@ -292,8 +301,8 @@
         let until = asked + waited.min(asked.elapsed());
         // Small values may have been polled again beside a large one.
         let until = self.shared.contact().map_or(until, |at| at.max(until));
-        self.answered(Contact { from: asked, until }).await?;
-        store::pause(&self.sources.pace, asked, wait, has_changes).await;
+        self.answered(StoreContact { from: asked, until }).await?;
+        store::pause(&self.sources.timing, asked, wait, has_changes).await;
         Ok(())
     }
 
@@ -301,15 +310,15 @@
     ///
     /// A poll that brought changes is known to be as fresh as its question only,
     /// so that the one after it is kept short: an upstream's age stays below
-    /// [`crate::replica::Pace::most_age`] although polls without changes wait for
+    /// [`crate::replica::PollTiming::max_age`] although polls without changes wait for
     /// half as long. That holds also while nobody subscribes: whoever begins to in the
     /// middle of a longer poll would find the copy too old and leave again.
     fn wait(&self) -> Duration {
-        let pace = self.sources.pace;
+        let pace = self.sources.timing;
         match self.is_silent {
             true => Duration::ZERO,
-            false if self.had_changes => pace.wait_for_others / 3,
-            false => pace.wait_for_others,
+            false if self.had_changes => pace.subscribed_wait / 3,
+            false => pace.subscribed_wait,
         }
     }
 }
@@ -375,7 +384,7 @@
 
 /// Reads the newest version, as a poll would have brought it.
 async fn read_newest(reader: &Reader, key: &str) -> Result<Batch> {
-    let page: Page = match reader.item(key).await {
+    let page: Page = match reader.get(key).await {
         Ok(page) => page,
         // Whoever deleted it wrote that as a change, which a poll brings.
         Err(Error::Refused { .. }) => return reader.poll(key, 0, Duration::ZERO).await,
@@ -384,7 +393,7 @@
     let changes = page.entries.into_iter().map(crate::platform::Change::Put);
     Ok(Batch {
         changes: changes.collect(),
-        refused: page.refused,
+        unreadable: page.unreadable,
         revision: page.revision,
     })
 }
--- a/tests/flow/egress.rs
+++ b/tests/flow/egress.rs
@@ -34,7 +34,7 @@
 
 /// Queues a datagram although the link is free.
 fn enqueue(egress: &mut Egress, segment: &Segment, mark: u8, length: usize) -> Admission {
-    egress.wait(segment, datagram(mark, length))
+    egress.enqueue(segment, datagram(mark, length))
 }
 
 /// The marks of the datagrams sent within this time.
@@ -127,13 +127,13 @@
         for upload in &mut uploads {
             for number in upload.send(at) {
                 let segment = data(upload.port, number);
-                if egress.passes(now, FULL_PACKET as usize) {
+                if egress.try_pass(now, FULL_PACKET as usize) {
                     link.send((upload.port, number));
                     continue;
                 }
                 let mut datagram = datagram(upload.port as u8, FULL_PACKET as usize);
                 datagram.bytes[1..5].copy_from_slice(&number.to_be_bytes());
-                egress.wait(&segment, datagram);
+                egress.enqueue(&segment, datagram);
             }
         }
         while let Some(datagram) = egress.next(now) {
@@ -198,15 +198,15 @@
     let now = Instant::now();
     let mut egress = Egress::new(SLOW_LINK, now);
     let segment = data(1, 0);
-    assert_eq!(enqueue(&mut egress, &segment, 1, 1_242), Admission::Waits);
-    let bytes = egress.bytes();
+    assert_eq!(enqueue(&mut egress, &segment, 1, 1_242), Admission::Queued);
+    let bytes = egress.queued_bytes();
     assert_eq!(
         enqueue(&mut egress, &segment, 2, 1_242),
-        Admission::Replaces
+        Admission::ReplacedQueued
     );
-    assert_eq!(egress.bytes(), bytes);
+    assert_eq!(egress.queued_bytes(), bytes);
     assert_eq!(marks(&mut egress, now, 100), [2]);
-    assert_eq!(enqueue(&mut egress, &segment, 3, 1_242), Admission::Waits);
+    assert_eq!(enqueue(&mut egress, &segment, 3, 1_242), Admission::Queued);
 }
 
 // Acknowledgements without data differ from each other, and all of them are sent.
@@ -217,7 +217,7 @@
     let caller = Caller::new(1, BOOKINGS);
     for bytes in [100, 200, 300] {
         let segment = caller.acknowledge(bytes, Tag::NONE);
-        assert_eq!(enqueue(&mut egress, &segment, 1, 42), Admission::Waits);
+        assert_eq!(enqueue(&mut egress, &segment, 1, 42), Admission::Queued);
     }
     assert_eq!(marks(&mut egress, now, 10).len(), 3);
 }
@@ -237,11 +237,11 @@
     }
     assert!(refused > 0);
     assert!(
-        egress.bytes() as f64 <= SLOW_LINK,
+        egress.queued_bytes() as f64 <= SLOW_LINK,
         "bytes of one second of link time"
     );
     let opening = Caller::new(50, BOOKINGS).opening(0);
-    assert_eq!(enqueue(&mut egress, &opening, 2, 42), Admission::Waits);
+    assert_eq!(enqueue(&mut egress, &opening, 2, 42), Admission::Queued);
 }
 
 // On a fast link the windows of a hundred uploads are sent without queueing.
@@ -250,7 +250,7 @@
     let now = Instant::now();
     let mut egress = Egress::new(SLOW_LINK * 500.0, now);
     for _ in 0..100 {
-        assert!((0..4).all(|_| egress.passes(now, 1_242)));
+        assert!((0..4).all(|_| egress.try_pass(now, 1_242)));
     }
     assert_eq!(egress.next_due(), None);
 }
@@ -264,10 +264,10 @@
     let segment = data(1, 0);
     enqueue(&mut egress, &segment, 1, 100);
     enqueue(&mut egress, &segment, 2, 1_242);
-    assert_eq!(egress.bytes(), 1_242 + 42);
+    assert_eq!(egress.queued_bytes(), 1_242 + 42);
     enqueue(&mut egress, &segment, 3, 100);
     assert_eq!(marks(&mut egress, now, 100), [3]);
-    assert_eq!(egress.bytes(), 0);
+    assert_eq!(egress.queued_bytes(), 0);
 }
 
 // Short packets fill the queue, and their senders retransmit them at full size: the queue
@@ -284,8 +284,8 @@
         }
     }
     assert!(
-        egress.bytes() as f64 <= SLOW_LINK,
+        egress.queued_bytes() as f64 <= SLOW_LINK,
         "{} bytes",
-        egress.bytes()
+        egress.queued_bytes()
     );
 }
--- a/tests/flow/neighbours.rs
+++ b/tests/flow/neighbours.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use godwitreel::entry::remark;
-use godwitreel::entry::testimony;
-use godwitreel::flow::Belief;
-use godwitreel::flow::Testimony;
-use godwitreel::replica::Board;
-use godwitreel::replica::Remark;
-use godwitreel::replica::Remarks;
+use godwitreel::entry::outcomes_from_message;
+use godwitreel::entry::outcomes_to_message;
+use godwitreel::flow::ServerOutcomes;
+use godwitreel::flow::StateUpdate;
+use godwitreel::replica::OutcomeAggregator;
+use godwitreel::replica::OutcomeEntry;
+use godwitreel::replica::OutcomeReport;
 
 use crate::experience::Behavior;
 use crate::experience::GOOD;
@@ -22,10 +22,10 @@
 /// Number of messages, for a minute and a half.
 const MESSAGES: usize = 450;
 
-/// The instances of a zone and the board on which they exchange their counts.
+/// The instances of a zone and the aggregator on which they exchange their counts.
 struct Zone {
     generators: Vec<LoadGenerator>,
-    board: Board,
+    aggregator: OutcomeAggregator,
     subscribers: Vec<u64>,
     /// Requests of an instance between two messages, and its idle time per message.
     requests: usize,
@@ -43,13 +43,15 @@
     }
 
     fn new(instances: usize, requests: usize, idle_time: Duration) -> Self {
-        let board = Board::default();
+        let aggregator = OutcomeAggregator::default();
         Self {
             generators: (0..instances)
                 .map(|_| LoadGenerator::new(four_servers()))
                 .collect(),
-            subscribers: (0..instances).map(|_| board.enter()).collect(),
-            board,
+            subscribers: (0..instances)
+                .map(|_| aggregator.add_subscriber())
+                .collect(),
+            aggregator,
             requests,
             idle_time,
         }
@@ -58,7 +60,7 @@
     /// Requests of all instances but the first to each server during the whole run.
     fn run(
         &mut self,
-        false_report: Option<Remark>,
+        false_report: Option<OutcomeEntry>,
         behavior: impl Fn(usize, u64) -> Behavior,
     ) -> Vec<usize> {
         let mut counts = vec![0; 10];
@@ -71,25 +73,33 @@
                         *count += sent;
                     }
                 }
-                let own = generator.plane.testimony(generator.now);
-                let mut remarks: Vec<Remark> = own.iter().map(remark).collect();
-                if let Some(report) = false_report.filter(|_| number == 0) {
-                    remarks = vec![report];
+                let own = generator.plane.server_outcomes(generator.now);
+                let mut outcomes: Vec<OutcomeEntry> = own.iter().map(outcomes_to_message).collect();
+                if let Some(entry) = false_report.filter(|_| number == 0) {
+                    outcomes = vec![entry];
                 }
-                let remarks = Remarks {
-                    remarks,
+                let report = OutcomeReport {
+                    outcomes,
                     instances: 1,
                 };
-                self.board
-                    .hear_below(generator.now, self.subscribers[number], remarks);
+                self.aggregator.receive_from_subscriber(
+                    generator.now,
+                    self.subscribers[number],
+                    report,
+                );
             }
             let now = self.generators[0].now;
-            let zone_counts: Vec<Testimony> =
-                self.board.confirmed(now).iter().map(testimony).collect();
+            let zone_counts: Vec<ServerOutcomes> = self
+                .aggregator
+                .confirmed_outcomes(now)
+                .iter()
+                .map(outcomes_from_message)
+                .collect();
             for generator in &mut self.generators {
-                generator
-                    .plane
-                    .learn(generator.now, Belief::Testimony(zone_counts.clone()));
+                generator.plane.apply(
+                    generator.now,
+                    StateUpdate::ZoneOutcomes(zone_counts.clone()),
+                );
             }
         }
         counts
@@ -106,13 +116,13 @@
 // that are accepted. The server answers the other instances and must keep its load.
 #[test]
 fn an_instance_with_false_reports_takes_little_load_from_a_good_server() {
-    let false_report = Remark {
+    let false_report = OutcomeEntry {
         serial: 1,
         incarnation: None,
         answers: 0.0,
-        hollow: 1e9,
+        premature: 1e9,
         stalls: 1e9,
-        ..Remark::default()
+        ..OutcomeEntry::default()
     };
     for mut zone in [Zone::busy(3), Zone::busy(8), Zone::calm(8), Zone::calm(23)] {
         let counts = zone.run(Some(false_report), |_, _| GOOD);
--- a/tests/flow/opening.rs
+++ b/tests/flow/opening.rs
@@ -1,6 +1,6 @@
 //! Handshakes: unresponsive servers, retransmissions, and a stalled process.
 
-use godwitreel::flow::Note;
+use godwitreel::flow::FlowEvent;
 use godwitreel::flow::Resend;
 use tokio::time::Instant;
 
@@ -50,8 +50,8 @@
         let Some(due) = plane.next_due() else { break };
         assert_eq!(plane.expire(due), Vec::new());
     }
-    let notes = plane.take_notes().0;
-    let is_suspicion = |note: &Note| matches!(note, Note::Suspected { .. });
+    let notes = plane.take_events().0;
+    let is_suspicion = |note: &FlowEvent| matches!(note, FlowEvent::Suspected { .. });
     assert!(!notes.iter().any(is_suspicion), "{notes:?}");
 }
 
@@ -74,8 +74,8 @@
         resends.extend(plane.expire(due));
     }
     assert_eq!(resends, Vec::new());
-    let notes = plane.take_notes().0;
-    let is_suspicion = |note: &Note| matches!(note, Note::Suspected { .. });
+    let notes = plane.take_events().0;
+    let is_suspicion = |note: &FlowEvent| matches!(note, FlowEvent::Suspected { .. });
     assert!(!notes.iter().any(is_suspicion), "{notes:?}");
 }
 
--- a/tests/flow/sequence.rs
+++ b/tests/flow/sequence.rs
@@ -3,9 +3,9 @@
 use std::collections::HashMap;
 use std::collections::HashSet;
 
-use godwitreel::flow::Belief;
-use godwitreel::flow::Contact;
-use godwitreel::flow::Plane;
+use godwitreel::flow::DataPlane;
+use godwitreel::flow::StateUpdate;
+use godwitreel::flow::StoreContact;
 use godwitreel::flow::Tag;
 use godwitreel::flow::Verdict;
 use proptest::prelude::*;
@@ -22,7 +22,7 @@
     List(u8),
     Drain(u8),
     Gone(u8),
-    Contact(bool),
+    StoreContact(bool),
     Pause(u64),
 }
 
@@ -37,13 +37,13 @@
         2 => number.clone().prop_map(Step::List),
         1 => number.clone().prop_map(Step::Drain),
         1 => number.prop_map(Step::Gone),
-        1 => any::<bool>().prop_map(Step::Contact),
+        1 => any::<bool>().prop_map(Step::StoreContact),
         3 => prop_oneof![1..50_u64, 100..400_u64, 1_000..4_000_u64].prop_map(Step::Pause),
     ]
 }
 
 struct Simulation {
-    plane: Plane,
+    plane: DataPlane,
     now: Instant,
     listed: HashSet<u8>,
     draining: HashSet<u8>,
@@ -84,22 +84,22 @@
             Step::List(n) => {
                 self.listed.insert(*n);
                 self.draining.remove(n);
-                Belief::Server(server(*n, "dispatch", LOCAL))
+                StateUpdate::Server(server(*n, "dispatch", LOCAL))
             }
             Step::Drain(n) => {
                 self.listed.insert(*n);
                 self.draining.insert(*n);
-                Belief::Server(draining(*n, "dispatch", LOCAL))
+                StateUpdate::Server(draining(*n, "dispatch", LOCAL))
             }
             Step::Gone(n) => {
                 self.listed.remove(n);
-                Belief::Gone(format!("s-{n}").parse().unwrap())
+                StateUpdate::ServerRemoved(format!("s-{n}").parse().unwrap())
             }
-            Step::Contact(is_answering) => {
+            Step::StoreContact(is_answering) => {
                 self.is_answering = *is_answering;
                 match is_answering {
-                    true => Belief::Contact(Contact::at(self.now)),
-                    false => Belief::Silence,
+                    true => StateUpdate::StoreContact(StoreContact::at(self.now)),
+                    false => StateUpdate::StoreUnreachable,
                 }
             }
             Step::Pause(pause) => {
@@ -112,7 +112,7 @@
             }
             _ => return,
         };
-        self.plane.learn(self.now, belief);
+        self.plane.apply(self.now, belief);
     }
 
     fn check(&mut self, step: &Step, port: u16, verdict: Verdict) {
