--- a/src/flow/backlog.rs
+++ b/src/flow/backlog.rs
@@ -52,20 +52,20 @@
 
 impl Backlog {
     /// Buffers a packet; drops the oldest ones if the buffer is full.
-    pub fn push(&mut self, early: PendingPacket) {
-        let now = early.at;
+    pub fn push(&mut self, pending: PendingPacket) {
+        let now = pending.at;
         while let Some(first) = self.packets.front()
             && (self.packets.len() >= MAX_PACKETS || !first.is_fresh(now))
         {
             self.packets.pop_front();
         }
-        self.packets.push_back(early);
+        self.packets.push_back(pending);
     }
 
     /// Drains the buffer and returns the packets that have not expired.
     pub fn drain(&mut self, now: Instant) -> impl Iterator<Item = PendingPacket> {
         let packets = std::mem::take(&mut self.packets);
-        let is_fresh = move |early: &PendingPacket| early.is_fresh(now);
+        let is_fresh = move |pending: &PendingPacket| pending.is_fresh(now);
         packets.into_iter().filter(is_fresh)
     }
 
--- a/src/flow/directory.rs
+++ b/src/flow/directory.rs
@@ -631,8 +631,8 @@
     }
 
     /// Applies the outcomes that the zone counted; those of other incarnations are ignored.
-    pub(crate) fn apply_zone_outcomes(&mut self, now: Instant, testimony: &[ServerOutcomes]) {
-        for report in testimony {
+    pub(crate) fn apply_zone_outcomes(&mut self, now: Instant, reports: &[ServerOutcomes]) {
+        for report in reports {
             let handle = self.by_tag(Tag::of(report.serial));
             let Some(record) = handle.and_then(|handle| self.get_mut(handle)) else {
                 continue;
--- a/src/flow/plane.rs
+++ b/src/flow/plane.rs
@@ -1,9 +1,9 @@
 //! Forwarding decisions of one instance.
 
-mod account;
-mod carry;
-mod ending;
-mod opening;
+mod accounting;
+mod established;
+mod handshake;
+mod requests;
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -33,7 +33,7 @@
 use crate::flow::choice::Choice;
 use crate::flow::choice::Criteria;
 use crate::flow::directory::ServerHandle;
-use crate::flow::plane::ending::PendingRequest;
+use crate::flow::plane::requests::PendingRequest;
 use crate::flow::table::Flow;
 use crate::flow::table::Opening;
 use crate::flow::table::Table;
@@ -140,7 +140,7 @@
     last_adoption: Option<Instant>,
     last_sweep: Option<Instant>,
     random: SmallRng,
-    notes: Vec<FlowEvent>,
+    events: Vec<FlowEvent>,
     timings: Vec<Timing>,
     /// Events that exceeded the buffer since they were last taken.
     omitted: u64,
@@ -167,7 +167,7 @@
             last_adoption: None,
             last_sweep: None,
             random: SmallRng::seed_from_u64(options.seed),
-            notes: Vec::new(),
+            events: Vec::new(),
             timings: Vec::new(),
             omitted: 0,
             options,
@@ -175,8 +175,8 @@
     }
 
     /// Applies a state update. Returns `false` if it is older than the current state.
-    pub fn apply(&mut self, now: Instant, belief: StateUpdate) -> bool {
-        match belief {
+    pub fn apply(&mut self, now: Instant, update: StateUpdate) -> bool {
+        match update {
             StateUpdate::Servers { listed, unreadable } => {
                 self.has_servers = true;
                 self.directory.replace(now, listed, unreadable);
@@ -273,7 +273,7 @@
     /// Takes the events since the last call, and the number of omitted ones.
     pub fn take_events(&mut self) -> (Vec<FlowEvent>, u64) {
         let omitted = std::mem::take(&mut self.omitted);
-        (std::mem::take(&mut self.notes), omitted)
+        (std::mem::take(&mut self.events), omitted)
     }
 
     /// Takes the durations measured since the last call.
@@ -281,9 +281,9 @@
         std::mem::take(&mut self.timings)
     }
 
-    fn note(&mut self, note: FlowEvent) {
-        if self.notes.len() < MAX_EVENTS {
-            self.notes.push(note);
+    fn record_event(&mut self, event: FlowEvent) {
+        if self.events.len() < MAX_EVENTS {
+            self.events.push(event);
         } else {
             self.omitted += 1;
         }
@@ -300,7 +300,7 @@
         };
         if let Verdict::Drop(reason) = verdict {
             let flow_key = segment.flow_key;
-            self.note(FlowEvent::Dropped { flow_key, reason });
+            self.record_event(FlowEvent::Dropped { flow_key, reason });
         }
         verdict
     }
@@ -345,7 +345,7 @@
     }
 
     fn refuse(&mut self, flow_key: FlowKey, reason: Refusal, version: u64) -> Verdict {
-        self.note(FlowEvent::Refused {
+        self.record_event(FlowEvent::Refused {
             flow_key,
             reason,
             version,
@@ -380,7 +380,7 @@
             return Verdict::Drop(DropReason::NoView);
         };
         let target = record.target();
-        let note = FlowEvent::Placed {
+        let event = FlowEvent::Placed {
             flow_key: segment.flow_key,
             server: record.server.id.clone(),
             is_remote: record.server.zone != self.options.zone,
@@ -388,7 +388,7 @@
             candidates: choice.candidates,
             version: self.version(),
         };
-        self.note(note);
+        self.record_event(event);
         self.directory.use_cold_quota(choice.handle, now);
         if self.table.has_room() {
             let due = now + self.round_trip.timeout();
--- a/src/flow/plane/account.rs
+++ b/src/flow/plane/accounting.rs
@@ -31,11 +31,11 @@
             return;
         };
         if record.liveness.missed(since, now) {
-            let note = FlowEvent::Suspected {
+            let event = FlowEvent::Suspected {
                 server: record.server.id.clone(),
                 misses: record.liveness.misses(),
             };
-            self.note(note);
+            self.record_event(event);
         }
     }
 
@@ -45,7 +45,7 @@
         };
         if record.liveness.answered(now) {
             let server = record.server.id.clone();
-            self.note(FlowEvent::SuspicionCleared { server });
+            self.record_event(FlowEvent::SuspicionCleared { server });
         }
     }
 
--- a/src/flow/plane/carry.rs
+++ b/src/flow/plane/established.rs
@@ -180,12 +180,12 @@
         let Some(record) = self.directory.get(server_handle) else {
             return false;
         };
-        let note = FlowEvent::Released {
+        let event = FlowEvent::Released {
             flow_key: segment.flow_key,
             server: record.server.id.clone(),
             missing_ms: (now - missing).as_millis() as u64,
         };
-        self.note(note);
+        self.record_event(event);
         true
     }
 }
--- a/src/flow/plane/opening.rs
+++ b/src/flow/plane/handshake.rs
@@ -68,7 +68,7 @@
         }
     }
 
-    /// When [`Plane::expire`] has to be called next.
+    /// When [`DataPlane::expire`] has to be called next.
     pub fn next_due(&self) -> Option<Instant> {
         let opening = self
             .handshake_deadlines
@@ -79,7 +79,7 @@
     }
 
     /// Sends SYNs of unresponsive servers to further servers, and removes expired flows.
-    /// Packets in the socket buffer must be passed to [`Plane::receive`] first, because they
+    /// Packets in the socket buffer must be passed to [`DataPlane::receive`] first, because they
     /// may contain the answers.
     pub fn expire(&mut self, now: Instant) -> Vec<Resend> {
         let mut resends = Vec::new();
@@ -164,13 +164,13 @@
             false => None,
         };
         let chosen = choice.and_then(|choice| self.directory.get(choice.handle));
-        let note = FlowEvent::Reopened {
+        let event = FlowEvent::Reopened {
             flow_key,
             silent: self.directory.get(silent)?.server.id.clone(),
             server: chosen.map(|record| record.server.id.clone()),
             waited_ms: (now - sent).as_millis() as u64,
         };
-        self.note(note);
+        self.record_event(event);
         let target = self.move_to(now, flow_handle, choice?.handle)?;
         Some(Resend { packet, target })
     }
@@ -185,13 +185,13 @@
         let flow_key = flow.flow_key;
         let tried = opening.tried.clone();
         let left = &self.directory.get(flow.server)?.server;
-        let note = FlowEvent::Evacuated {
+        let event = FlowEvent::Evacuated {
             flow_key,
             left: left.id.clone(),
         };
         let service = left.service.clone();
         let choice = self.choose(now, &service, &tried)?;
-        self.note(note);
+        self.record_event(event);
         self.move_to(now, flow_handle, choice.handle)
     }
 
--- a/src/flow/plane/ending.rs
+++ b/src/flow/plane/requests.rs
@@ -91,12 +91,12 @@
             };
             record.outcomes.stalled(now);
             record.update_penalty(now);
-            let note = FlowEvent::Stalled {
+            let event = FlowEvent::Stalled {
                 flow_key: request.flow_key,
                 server: record.server.id.clone(),
                 waited_ms: (now - request.started).as_millis() as u64,
             };
-            self.note(note);
+            self.record_event(event);
         }
     }
 }
--- a/tests/flow/backlog.rs
+++ b/tests/flow/backlog.rs
@@ -13,7 +13,7 @@
 use crate::support::Caller;
 use crate::support::ms;
 
-fn early(at: Instant, segment: Segment) -> PendingPacket {
+fn pending(at: Instant, segment: Segment) -> PendingPacket {
     PendingPacket {
         at,
         segment,
@@ -30,7 +30,7 @@
 }
 
 fn drain(backlog: &mut Backlog, now: Instant) -> Vec<Segment> {
-    backlog.drain(now).map(|early| early.segment).collect()
+    backlog.drain(now).map(|pending| pending.segment).collect()
 }
 
 // Guards against packets that are lost or reordered before the store has been read.
@@ -38,8 +38,8 @@
 fn early_packets_are_drained_once_and_in_order() {
     let now = Instant::now();
     let mut backlog = Backlog::default();
-    backlog.push(early(now, data(1)));
-    backlog.push(early(now + ms(1), opening(2)));
+    backlog.push(pending(now, data(1)));
+    backlog.push(pending(now + ms(1), opening(2)));
     let both = vec![data(1), opening(2)];
     assert_eq!(drain(&mut backlog, now + ms(100)), both);
     assert_eq!(drain(&mut backlog, now + ms(100)), Vec::new());
@@ -51,8 +51,8 @@
 fn no_opening_packet_outlives_its_callers_copy() {
     let now = Instant::now();
     let mut backlog = Backlog::default();
-    backlog.push(early(now, opening(1)));
-    backlog.push(early(now, data(2)));
+    backlog.push(pending(now, opening(1)));
+    backlog.push(pending(now, data(2)));
     assert_eq!(drain(&mut backlog, now + ms(200)), vec![data(2)]);
 }
 
@@ -61,7 +61,7 @@
 fn no_packet_outlives_the_longest_pause_between_repeats() {
     let now = Instant::now();
     let mut backlog = Backlog::default();
-    backlog.push(early(now, data(1)));
+    backlog.push(pending(now, data(1)));
     assert_eq!(drain(&mut backlog, now + ms(1_600)), Vec::new());
 }
 
@@ -72,7 +72,7 @@
     let now = Instant::now();
     let mut backlog = Backlog::default();
     for port in 0..10_000 {
-        backlog.push(early(now, data(port)));
+        backlog.push(pending(now, data(port)));
     }
     let kept = drain(&mut backlog, now);
     assert!(kept.len() <= 1_024, "{}", kept.len());
@@ -84,7 +84,7 @@
 fn a_cleared_backlog_holds_nothing() {
     let now = Instant::now();
     let mut backlog = Backlog::default();
-    backlog.push(early(now, opening(1)));
+    backlog.push(pending(now, opening(1)));
     backlog.clear();
     assert_eq!(drain(&mut backlog, now), Vec::new());
 }
@@ -97,11 +97,11 @@
         let mut backlog = Backlog::default();
         for (gap, opens) in gaps {
             now += ms(gap);
-            backlog.push(early(now, if opens { opening(1) } else { data(1) }));
+            backlog.push(pending(now, if opens { opening(1) } else { data(1) }));
         }
-        for early in backlog.drain(now) {
-            let most = if early.segment.opens() { 200 } else { 1_600 };
-            prop_assert!(now - early.at < Duration::from_millis(most));
+        for pending in backlog.drain(now) {
+            let max_age = if pending.segment.opens() { 200 } else { 1_600 };
+            prop_assert!(now - pending.at < Duration::from_millis(max_age));
         }
     }
 }
--- a/tests/flow/evacuation.rs
+++ b/tests/flow/evacuation.rs
@@ -79,14 +79,14 @@
     evacuate(&mut plane, now, LOCAL);
     let copy = plane.receive(now + ms(200), &caller.opening(1), b"packet");
     assert_eq!(forwarded(copy).serial.0, 3);
-    let (notes, _) = plane.take_events();
+    let (events, _) = plane.take_events();
     assert!(
-        notes
+        events
             .iter()
-            .any(|note| matches!(note, FlowEvent::Evacuated { .. }))
+            .any(|event| matches!(event, FlowEvent::Evacuated { .. }))
     );
-    let is_suspected = |note: &FlowEvent| matches!(note, FlowEvent::Suspected { .. });
-    assert!(!notes.iter().any(is_suspected), "{notes:?}");
+    let is_suspected = |event: &FlowEvent| matches!(event, FlowEvent::Suspected { .. });
+    assert!(!events.iter().any(is_suspected), "{events:?}");
     let evacuated = plane.apply(now, StateUpdate::ZoneEvacuated(zone(REMOTE)));
     assert!(evacuated);
     let copy = plane.receive(now + ms(600), &caller.opening(2), b"packet");
@@ -123,17 +123,17 @@
     let caller = Caller::new(1, BOOKINGS);
     let verdict = plane.receive(now, &caller.opening(0), b"packet");
     assert_eq!(verdict, Verdict::Reset);
-    let (notes, _) = plane.take_events();
-    let is_told = |note: &FlowEvent| {
+    let (events, _) = plane.take_events();
+    let is_refused = |event: &FlowEvent| {
         matches!(
-            note,
+            event,
             FlowEvent::Refused {
                 reason: Refusal::Evacuated,
                 ..
             }
         )
     };
-    assert!(notes.iter().any(is_told), "{notes:?}");
+    assert!(events.iter().any(is_refused), "{events:?}");
 }
 
 // Guards against the fallbacks: servers whose entry has just lapsed, suspected servers,
--- a/tests/flow/opening.rs
+++ b/tests/flow/opening.rs
@@ -50,9 +50,9 @@
         let Some(due) = plane.next_due() else { break };
         assert_eq!(plane.expire(due), Vec::new());
     }
-    let notes = plane.take_events().0;
-    let is_suspicion = |note: &FlowEvent| matches!(note, FlowEvent::Suspected { .. });
-    assert!(!notes.iter().any(is_suspicion), "{notes:?}");
+    let events = plane.take_events().0;
+    let is_suspicion = |event: &FlowEvent| matches!(event, FlowEvent::Suspected { .. });
+    assert!(!events.iter().any(is_suspicion), "{events:?}");
 }
 
 // Instances restart one by one, and each of them makes the routers redistribute flows. A
@@ -74,9 +74,9 @@
         resends.extend(plane.expire(due));
     }
     assert_eq!(resends, Vec::new());
-    let notes = plane.take_events().0;
-    let is_suspicion = |note: &FlowEvent| matches!(note, FlowEvent::Suspected { .. });
-    assert!(!notes.iter().any(is_suspicion), "{notes:?}");
+    let events = plane.take_events().0;
+    let is_suspicion = |event: &FlowEvent| matches!(event, FlowEvent::Suspected { .. });
+    assert!(!events.iter().any(is_suspicion), "{events:?}");
 }
 
 // As above, but the server does not answer: the caller's retransmission arrives here, like
--- a/tests/flow/sequence.rs
+++ b/tests/flow/sequence.rs
@@ -79,8 +79,8 @@
         self.tags.get(&port).copied().unwrap_or(Tag::NONE)
     }
 
-    fn learn(&mut self, step: &Step) {
-        let belief = match step {
+    fn apply(&mut self, step: &Step) {
+        let update = match step {
             Step::List(n) => {
                 self.listed.insert(*n);
                 self.draining.remove(n);
@@ -112,7 +112,7 @@
             }
             _ => return,
         };
-        self.plane.apply(self.now, belief);
+        self.plane.apply(self.now, update);
     }
 
     fn check(&mut self, step: &Step, port: u16, verdict: Verdict) {
@@ -161,7 +161,7 @@
             if let Some((port, verdict)) = simulation.segment_verdict(step) {
                 simulation.check(step, port, verdict);
             }
-            simulation.learn(step);
+            simulation.apply(step);
             simulation.plane.expire(simulation.now);
         }
         for second in 1..100 {
