--- a/src/engine/inbound.rs
+++ b/src/engine/inbound.rs
@@ -12,9 +12,9 @@
 use crate::id;
 use crate::peer;
 use crate::reason::Reason;
-use crate::record::Arrival;
-use crate::record::Intent;
-use crate::record::Park;
+use crate::record::ClaimFollowUp;
+use crate::record::IncomingRequest;
+use crate::record::ParkedRequests;
 use crate::record::Phase;
 use crate::record::Record;
 use crate::record::Timer;
@@ -33,7 +33,7 @@
 
 /// How long a non-idempotent request may wait for its slice to get a home.
 /// It covers noticing a dead home and promoting its backup.
-pub(crate) const PARK_TIME: Duration = Duration::from_secs(5);
+pub(crate) const PARK_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How long an answer may take before receipt is acknowledged by itself; under
 /// the two seconds after which a caller repeats its request.
@@ -50,11 +50,11 @@
     pub(super) fn request(&mut self, now: Instant, request: Request, hops: u32) {
         // It may have waited in a buffer for longer than records are kept, so
         // that its home would take it for a new one and run it again.
-        if request.kind.runs_once() && self.is_catching_up(now) {
+        if request.kind.is_non_idempotent() && self.is_catching_up(now) {
             self.turn_away(&request, Outcome::Unknown, Reason::UnknownDeadline);
             return;
         }
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             request,
             hops,
             since: now,
@@ -63,7 +63,7 @@
     }
 
     /// Brings a request to whoever decides for it now.
-    pub(super) fn settle_route(&mut self, now: Instant, mut arrival: Arrival) {
+    pub(super) fn settle_route(&mut self, now: Instant, mut arrival: IncomingRequest) {
         if self.table.is_empty() {
             // Just started; the caller repeats it.
             self.note(Reason::ParkFull);
@@ -83,11 +83,13 @@
             Route::Here => self.serve(now, slice, &service, arrival),
             // Two tables that are late name each other for a moment. A request
             // that nothing repeats waits here for the next table.
-            Route::To(_) if arrival.hops >= MAX_HOPS && arrival.request.kind.runs_once() => {
+            Route::To(_)
+                if arrival.hops >= MAX_HOPS && arrival.request.kind.is_non_idempotent() =>
+            {
                 self.wait(arrival);
             }
             Route::To(holder) => {
-                let Arrival { request, hops, .. } = arrival;
+                let IncomingRequest { request, hops, .. } = arrival;
                 self.relay(&holder, &request.flow, request.datagram, hops);
             }
             Route::Wait => self.wait(arrival),
@@ -111,7 +113,7 @@
         {
             return Route::To(backup.clone());
         }
-        if kind.runs_once() {
+        if kind.is_non_idempotent() {
             Route::Wait
         } else {
             Route::Here
@@ -123,7 +125,7 @@
             self.note(Reason::TooManyHops);
             return;
         }
-        let body = peer::Body::Relay(peer::Relay {
+        let body = peer::PeerMessage::Relay(peer::Relay {
             flow: Some(peer::pack_flow(flow)),
             datagram,
             hops: hops + 1,
@@ -154,14 +156,14 @@
         // Only the claimer knows that it did not forward the request. Another one
         // may have: this message could be a late one about an earlier claim.
         let own = |record: &Record| {
-            record.phase == Phase::Claimed && record.claimer.as_ref() == Some(from)
+            record.phase == Phase::Claimed && record.claimed_by.as_ref() == Some(from)
         };
         if self.record(slice, &key).is_some_and(|record| own(record)) {
             self.forget(slice, &key);
         }
         if self.table.row(slice).is_home(from) {
             // The table here is late and would send it back.
-            self.wait(Arrival {
+            self.wait(IncomingRequest {
                 request,
                 hops,
                 since: now,
@@ -171,9 +173,9 @@
         }
     }
 
-    fn wait(&mut self, arrival: Arrival) {
+    fn wait(&mut self, arrival: IncomingRequest) {
         let request = &arrival.request;
-        let same = |parked: &Arrival| {
+        let same = |parked: &IncomingRequest| {
             parked.request.id == request.id && parked.request.flow == request.flow
         };
         if self.park.iter().any(same) {
@@ -198,7 +200,7 @@
                 Route::Wait => self.park.push_back(parked),
                 _ => {
                     let hops = parked.hops.min(MAX_HOPS - 1);
-                    self.settle_route(now, Arrival { hops, ..parked });
+                    self.settle_route(now, IncomingRequest { hops, ..parked });
                 }
             }
         }
@@ -206,14 +208,14 @@
 
     /// Gives up on requests that have waited long enough.
     pub(super) fn expire_parked(&mut self, now: Instant) {
-        let over = |parked: &Arrival| now >= parked.since + PARK_TIME;
+        let over = |parked: &IncomingRequest| now >= parked.since + PARK_TIMEOUT;
         if !self.park.iter().any(over) {
             return;
         }
         let parked = std::mem::take(&mut self.park);
         let (late, waiting) = parked.into_iter().partition(over);
         self.park = waiting;
-        let late: Park = late;
+        let late: ParkedRequests = late;
         for parked in late {
             // Another copy may have reached the home before it fell silent, so
             // "not run" would be a guess.
@@ -249,12 +251,18 @@
         });
     }
 
-    fn serve(&mut self, now: Instant, slice: id::Slice, service: &Service, arrival: Arrival) {
+    fn serve(
+        &mut self,
+        now: Instant,
+        slice: id::Slice,
+        service: &Service,
+        arrival: IncomingRequest,
+    ) {
         let key = arrival.request.key();
         let state = self.slices.entry(slice).or_default();
         if state.records.contains_key(&key) {
             self.copy(now, slice, &key, &arrival.request);
-        } else if arrival.request.kind.runs_once() {
+        } else if arrival.request.kind.is_non_idempotent() {
             self.admit_once(now, slice, service, arrival);
         } else {
             self.admit(now, slice, service, arrival.request);
@@ -312,9 +320,9 @@
         let Some(record) = state.and_then(|state| state.records.get(key)) else {
             return false;
         };
-        let claimer = record.claimer.as_ref();
+        let claimer = record.claimed_by.as_ref();
         let has_ended = claimer.is_some_and(|claimer| self.members.has_ended(claimer));
-        !has_ended && now < record.born + self.deadline(&key.flow.service)
+        !has_ended && now < record.received_at + self.deadline(&key.flow.service)
     }
 
     /// Keeps in mind that the sender of this copy waits for a word.
@@ -328,16 +336,25 @@
         };
         record.token = request.token;
         record.confirmable = request.confirmable;
-        if std::mem::replace(&mut record.is_awaited, true) {
+        if std::mem::replace(&mut record.has_waiting_sender, true) {
             return;
         }
-        let due = record.born + deadline;
+        let due = record.received_at + deadline;
         self.schedule(due, Timer::Deadline(slice, key.clone()));
     }
 
-    fn admit_once(&mut self, now: Instant, slice: id::Slice, service: &Service, arrival: Arrival) {
-        let Arrival { request, since, .. } = arrival;
-        let blank = self.slices.get(&slice).and_then(|state| state.blank_since);
+    fn admit_once(
+        &mut self,
+        now: Instant,
+        slice: id::Slice,
+        service: &Service,
+        arrival: IncomingRequest,
+    ) {
+        let IncomingRequest { request, since, .. } = arrival;
+        let blank = self
+            .slices
+            .get(&slice)
+            .and_then(|state| state.records_lost_since);
         if !self.members.has_authority(now) {
             self.turn_away(&request, Outcome::Unknown, Reason::UnknownAuthority);
             return;
@@ -355,8 +372,8 @@
             return;
         }
         let intent = match self.limit(slice, service, &request.flow) {
-            None => Intent::Forward,
-            Some(reason) => Intent::Refuse {
+            None => ClaimFollowUp::Forward,
+            Some(reason) => ClaimFollowUp::Refuse {
                 retry_after: service.profile.retry_after_s,
                 reason,
             },
@@ -377,18 +394,18 @@
             self.turn_away(&request, refusal, reason);
             return;
         }
-        if request.part.upload && self.records >= self.settings.max_flows {
+        if request.block.is_upload && self.records >= self.settings.max_flows {
             self.turn_away(&request, refusal, Reason::RefusedLimit);
             return;
         }
         let feeds = self.usage(&service.id).feeds;
-        if request.kind == Kind::Open
+        if request.kind == Kind::OpenFeed
             && (feeds >= service.profile.max_feeds || self.feeds >= self.settings.max_flows)
         {
             self.turn_away(&request, refusal, Reason::RefusedLimit);
             return;
         }
-        if request.kind == Kind::Close {
+        if request.kind == Kind::CloseFeed {
             self.close_feed(now, slice, &request);
         }
         let key = self.open(now, slice, service, request, Phase::Sent);
@@ -405,7 +422,7 @@
         let busy = self
             .slices
             .get(&slice)
-            .and_then(|state| state.busy.get(flow));
+            .and_then(|state| state.open_requests.get(flow));
         if busy.is_some_and(|busy| *busy >= service.profile.max_per_caller) {
             return Some(Reason::RefusedCaller);
         }
@@ -425,23 +442,23 @@
         let key = request.key();
         let record = Record {
             phase,
-            claimer: None,
-            is_awaited: false,
+            claimed_by: None,
+            has_waiting_sender: false,
             kind: request.kind,
             token: request.token,
             confirmable: request.confirmable,
-            part: request.part,
-            born: since,
+            block: request.block,
+            received_at: since,
             separate: None,
             resends: 0,
             sequence: None,
             attempts: Vec::new(),
-            tried: Vec::new(),
+            tried_servers: Vec::new(),
             datagram: request.datagram,
         };
         let state = self.slices.entry(slice).or_default();
         state.records.insert(key.clone(), record);
-        *state.busy.entry(key.flow.clone()).or_default() += 1;
+        *state.open_requests.entry(key.flow.clone()).or_default() += 1;
         self.records += 1;
         self.usage(&service.id).in_progress += 1;
         if request.confirmable {
@@ -475,7 +492,7 @@
         if self.table.is_empty() {
             return;
         }
-        if let Route::To(holder) = self.route(slice, Kind::Close) {
+        if let Route::To(holder) = self.route(slice, Kind::CloseFeed) {
             self.relay(&holder, &flow, datagram, hops);
         }
     }
