--- a/src/flow/choice.rs
+++ b/src/flow/choice.rs
@@ -99,7 +99,7 @@
 ///
 /// 1. Servers that are not suspected.
 /// 2. Suspected servers.
-/// 3. Servers whose entry has just lapsed, which is how a store looks that lost all
+/// 3. Servers whose entry has just lapsed, as happens when the store loses all
 ///    leases in an outage.
 /// 4. Servers whose entry another writer has overwritten.
 ///
