--- a/tests/flow/neighbours.rs
+++ b/tests/flow/neighbours.rs
@@ -1,4 +1,4 @@
-//! What one instance says of a server, and what it costs that server in its zone.
+//! Effect of one instance's reports about a server on the server's load in the zone.
 
 use std::time::Duration;
 
@@ -10,26 +10,26 @@
 use godwitreel::replica::OutcomeEntry;
 use godwitreel::replica::OutcomeReport;
 
+use crate::experience::Behavior;
 use crate::experience::GOOD;
 use crate::experience::HANGING;
-use crate::experience::Load;
-use crate::experience::Manner;
-use crate::experience::four;
+use crate::experience::LoadGenerator;
+use crate::experience::four_servers;
 
 /// Requests of an instance between two messages to its neighbours, 0.2 s.
 const REQUESTS: usize = 20;
 
-/// Messages: a minute and a half.
+/// Number of messages, for a minute and a half.
 const MESSAGES: usize = 450;
 
-/// The zone's instances: who tells what, and how servers answer each.
+/// The instances of a zone and the aggregator on which they exchange their counts.
 struct Zone {
-    loads: Vec<Load>,
-    board: OutcomeAggregator,
+    generators: Vec<LoadGenerator>,
+    aggregator: OutcomeAggregator,
     subscribers: Vec<u64>,
-    /// Requests of an instance between two messages, and the rest of the time.
+    /// Requests of an instance between two messages, and its idle time per message.
     requests: usize,
-    rest: Duration,
+    idle_time: Duration,
 }
 
 impl Zone {
@@ -37,77 +37,86 @@
         Self::new(instances, REQUESTS, Duration::ZERO)
     }
 
-    /// Each instance sends each server one request a second.
+    /// Each instance sends one request per second to each server.
     fn calm(instances: usize) -> Self {
         Self::new(instances, 1, Duration::from_millis(240))
     }
 
-    fn new(instances: usize, requests: usize, rest: Duration) -> Self {
-        let board = OutcomeAggregator::default();
+    fn new(instances: usize, requests: usize, idle_time: Duration) -> Self {
+        let aggregator = OutcomeAggregator::default();
         Self {
-            loads: (0..instances).map(|_| Load::new(four())).collect(),
-            subscribers: (0..instances).map(|_| board.add_subscriber()).collect(),
-            board,
+            generators: (0..instances)
+                .map(|_| LoadGenerator::new(four_servers()))
+                .collect(),
+            subscribers: (0..instances)
+                .map(|_| aggregator.add_subscriber())
+                .collect(),
+            aggregator,
             requests,
-            rest,
+            idle_time,
         }
     }
 
-    /// Requests of all instances but the first to each server, over the whole time.
+    /// Requests of all instances but the first to each server during the whole run.
     fn run(
         &mut self,
-        first_says: Option<OutcomeEntry>,
-        manner: impl Fn(usize, u64) -> Manner,
+        false_report: Option<OutcomeEntry>,
+        behavior: impl Fn(usize, u64) -> Behavior,
     ) -> Vec<usize> {
         let mut counts = vec![0; 10];
         for _ in 0..MESSAGES {
-            for (number, load) in self.loads.iter_mut().enumerate() {
-                load.now += self.rest;
-                let sent = load.run(self.requests, |server| manner(number, server));
+            for (number, generator) in self.generators.iter_mut().enumerate() {
+                generator.now += self.idle_time;
+                let sent = generator.run(self.requests, |server| behavior(number, server));
                 if number > 0 {
                     for (count, sent) in counts.iter_mut().zip(sent) {
                         *count += sent;
                     }
                 }
-                let own = load.plane.server_outcomes(load.now);
-                let mut remarks: Vec<OutcomeEntry> = own.iter().map(outcomes_to_message).collect();
-                if let Some(said) = first_says.filter(|_| number == 0) {
-                    remarks = vec![said];
+                let own = generator.plane.server_outcomes(generator.now);
+                let mut outcomes: Vec<OutcomeEntry> = own.iter().map(outcomes_to_message).collect();
+                if let Some(entry) = false_report.filter(|_| number == 0) {
+                    outcomes = vec![entry];
                 }
-                let told = OutcomeReport {
-                    outcomes: remarks,
+                let report = OutcomeReport {
+                    outcomes,
                     instances: 1,
                 };
-                self.board
-                    .receive_from_subscriber(load.now, self.subscribers[number], told);
+                self.aggregator.receive_from_subscriber(
+                    generator.now,
+                    self.subscribers[number],
+                    report,
+                );
             }
-            let now = self.loads[0].now;
-            let sum: Vec<ServerOutcomes> = self
-                .board
+            let now = self.generators[0].now;
+            let zone_counts: Vec<ServerOutcomes> = self
+                .aggregator
                 .confirmed_outcomes(now)
                 .iter()
                 .map(outcomes_from_message)
                 .collect();
-            for load in &mut self.loads {
-                load.plane
-                    .apply(load.now, StateUpdate::ZoneOutcomes(sum.clone()));
+            for generator in &mut self.generators {
+                generator.plane.apply(
+                    generator.now,
+                    StateUpdate::ZoneOutcomes(zone_counts.clone()),
+                );
             }
         }
         counts
     }
 }
 
-/// Whether the first server has at least four fifths of what the others have each.
+/// Asserts that the first server gets at least four fifths of the others' mean load.
 fn assert_used(counts: &[usize]) {
     let others = counts[2..5].iter().sum::<usize>() / 3;
     assert!(counts[1] * 5 >= others * 4, "{counts:?}");
 }
 
-// One instance lies: it says all the time, as loudly as one is heard, that a good server
-// hangs and fails. The others get its answers, and it keeps its work.
+// One instance reports falsely that a good server hangs and fails, with the highest counts
+// that are accepted. The server answers the other instances and must keep its load.
 #[test]
-fn one_that_lies_takes_little_work_from_a_good_server() {
-    let lie = OutcomeEntry {
+fn an_instance_with_false_reports_takes_little_load_from_a_good_server() {
+    let false_report = OutcomeEntry {
         serial: 1,
         incarnation: None,
         answers: 0.0,
@@ -116,15 +125,15 @@
         ..OutcomeEntry::default()
     };
     for mut zone in [Zone::busy(3), Zone::busy(8), Zone::calm(8), Zone::calm(23)] {
-        let counts = zone.run(Some(lie), |_, _| GOOD);
+        let counts = zone.run(Some(false_report), |_, _| GOOD);
         assert_used(&counts);
     }
 }
 
-// One instance alone is cut off from a server, so that all that it sends there hangs. It
-// says so, and is right for itself; the server serves all others and keeps their work.
+// One instance cannot reach a server, so that all of its requests there hang. Its report is
+// right for itself, but the server answers all other instances and must keep their load.
 #[test]
-fn one_that_is_cut_off_takes_little_work_from_a_good_server() {
+fn an_instance_that_is_cut_off_takes_little_load_from_a_good_server() {
     let cut_off = |number, server| match (number, server) {
         (0, 1) => HANGING,
         _ => GOOD,
@@ -135,10 +144,10 @@
     }
 }
 
-// A server hangs for all. It takes two of them to say so, and those that have sent it
-// nothing yet leave it, too.
+// A server hangs for all instances. Once two of them report it, the instances that have
+// not sent it any request avoid it too.
 #[test]
-fn what_two_have_seen_counts_for_all() {
+fn reports_of_two_instances_apply_to_all() {
     let hanging = |_, server| if server == 1 { HANGING } else { GOOD };
     for mut zone in [Zone::busy(3), Zone::calm(8), Zone::calm(23)] {
         let counts = zone.run(None, hanging);
--- a/tests/flow/sequence.rs
+++ b/tests/flow/sequence.rs
@@ -1,4 +1,4 @@
-//! Random histories of packets, beliefs and pauses.
+//! Random sequences of packets, state updates and pauses.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -22,7 +22,7 @@
     List(u8),
     Drain(u8),
     Gone(u8),
-    Contact(bool),
+    StoreContact(bool),
     Pause(u64),
 }
 
@@ -37,23 +37,23 @@
         2 => number.clone().prop_map(Step::List),
         1 => number.clone().prop_map(Step::Drain),
         1 => number.prop_map(Step::Gone),
-        1 => any::<bool>().prop_map(Step::Contact),
+        1 => any::<bool>().prop_map(Step::StoreContact),
         3 => prop_oneof![1..50_u64, 100..400_u64, 1_000..4_000_u64].prop_map(Step::Pause),
     ]
 }
 
-struct World {
+struct Simulation {
     plane: DataPlane,
     now: Instant,
     listed: HashSet<u8>,
     draining: HashSet<u8>,
     /// Whether the store answers.
     is_answering: bool,
-    /// Tag that each caller repeats.
+    /// Tag that each caller echoes.
     tags: HashMap<u16, Tag>,
 }
 
-impl World {
+impl Simulation {
     fn segment_verdict(&mut self, step: &Step) -> Option<(u16, Verdict)> {
         let (port, segment) = match step {
             Step::Open { port, copy } => (*port, Caller::new(*port, BOOKINGS).opening(*copy)),
@@ -79,8 +79,8 @@
         self.tags.get(&port).copied().unwrap_or(Tag::NONE)
     }
 
-    fn learn(&mut self, step: &Step) {
-        let belief = match step {
+    fn apply(&mut self, step: &Step) {
+        let update = match step {
             Step::List(n) => {
                 self.listed.insert(*n);
                 self.draining.remove(n);
@@ -95,7 +95,7 @@
                 self.listed.remove(n);
                 StateUpdate::ServerRemoved(format!("s-{n}").parse().unwrap())
             }
-            Step::Contact(is_answering) => {
+            Step::StoreContact(is_answering) => {
                 self.is_answering = *is_answering;
                 match is_answering {
                     true => StateUpdate::StoreContact(StoreContact::at(self.now)),
@@ -112,7 +112,7 @@
             }
             _ => return,
         };
-        self.plane.apply(self.now, belief);
+        self.plane.apply(self.now, update);
     }
 
     fn check(&mut self, step: &Step, port: u16, verdict: Verdict) {
@@ -136,7 +136,7 @@
             }
             Verdict::Reset => {
                 let open = self.listed.difference(&self.draining).count();
-                assert_eq!(open, 0, "refused with servers free");
+                assert_eq!(open, 0, "refused a new flow although a server accepts it");
             }
             Verdict::Drop(_) => {}
         }
@@ -144,12 +144,12 @@
 }
 
 proptest! {
-    // No flow of a listed server is reset, no new flow refused while a server
-    // takes some, and no load is left over when all flows are forgotten.
+    // No flow of a listed server is reset, no new flow is refused while a server accepts it,
+    // and no load is left when all flows have expired.
     #[test]
-    fn histories_keep_the_promises(steps in prop::collection::vec(step(), 1..200)) {
+    fn random_sequences_keep_the_invariants(steps in prop::collection::vec(step(), 1..200)) {
         let now = Instant::now();
-        let mut world = World {
+        let mut simulation = Simulation {
             plane: plane(now, Vec::new()),
             now,
             listed: HashSet::new(),
@@ -158,16 +158,16 @@
             tags: HashMap::new(),
         };
         for step in &steps {
-            if let Some((port, verdict)) = world.segment_verdict(step) {
-                world.check(step, port, verdict);
+            if let Some((port, verdict)) = simulation.segment_verdict(step) {
+                simulation.check(step, port, verdict);
             }
-            world.learn(step);
-            world.plane.expire(world.now);
+            simulation.apply(step);
+            simulation.plane.expire(simulation.now);
         }
         for second in 1..100 {
-            world.plane.expire(world.now + ms(1_000 * second));
+            simulation.plane.expire(simulation.now + ms(1_000 * second));
         }
-        prop_assert_eq!(world.plane.flows(), 0);
-        prop_assert_eq!(world.plane.directory().load(), 0);
+        prop_assert_eq!(simulation.plane.flows(), 0);
+        prop_assert_eq!(simulation.plane.directory().load(), 0);
     }
 }
