--- a/src/replica.rs
+++ b/src/replica.rs
@@ -1,23 +1,24 @@
-//! Every instance's copy of the store, kept up through few instances.
+//! Every instance's copy of the store, kept up to date with few reads of the store.
 //!
-//! If each instance watched the store, each change would cost a call for each of
-//! them, and a fleet outgrows the store's rates. Instead the instances of a zone
-//! form a tree by rank: the first follows the store, the others subscribe to the
-//! one above them and get each change within milliseconds. With each heartbeat
-//! goes the age of the last contact with the store, so that an instance whose
-//! upstream is cut off, frozen or gone notices in time and asks the store itself.
+//! If each instance watched the store, each change would cost one call per instance,
+//! and a large fleet would exceed the store's rate limits. Instead, the instances of a
+//! zone form a tree by rank: the first one follows the store, and the others subscribe
+//! to the instance above them and receive each change within milliseconds. Each
+//! heartbeat carries the age of the last contact with the store, so that an instance
+//! whose upstream is cut off, frozen or gone notices in time and asks the store itself.
 //!
-//! An instance that starts gets its first copy from the heads of its zone, the
-//! three first by rank, which also stand in for an upstream that is cut off. A
-//! subscriber that had to go further up moves back down once the instance that is
-//! meant to feed it can be reached.
+//! An instance that starts gets its first copy from the heads of its zone. These are
+//! the first three by rank, which also replace an upstream that is cut off. A
+//! subscriber that had to follow an instance higher up the tree moves back down once
+//! its intended upstream can be reached.
 //!
-//! Subscribers are told the newest change of a key, small ones at once in messages of
-//! bounded size, large ones in parts and as what is new in them. Up the same
-//! connections go counts of how requests end at servers, and their sum comes down.
+//! Subscribers are sent the newest change of each key: small values at once in messages
+//! of bounded size, large values in parts and compressed against the version that the
+//! subscriber has. Over the same connections, counts of request outcomes at servers are
+//! sent up the tree, and their sums are sent down.
 //!
-//! Ranks need no agreement. Two instances that disagree about them only cause a
-//! few more calls, since subscriptions always lead to a smaller rank.
+//! Ranks need no agreement. Two instances that disagree about them only cause a few
+//! more calls, since a subscription always leads to a smaller rank.
 
 mod backlog;
 mod bandwidth;
--- a/src/replica/backlog.rs
+++ b/src/replica/backlog.rs
@@ -1,10 +1,10 @@
-//! Small rows that wait to be told to one subscriber.
+//! Small rows that are queued for one subscriber.
 //!
-//! Load pattern: the store was away and all leases have lapsed; with its return every
-//! server is registered anew within a second, while others go on to drain. In one
-//! message these rows keep a thin link busy for seconds, in which its subscribers hear
-//! nothing, leave, come back, and are sent the same message again. In messages of
-//! bounded size each one that arrives is progress that lasts.
+//! Load pattern: the store was unreachable and all leases have expired. When it
+//! returns, every server registers again within a second, while others drain. Sent as
+//! one message, these rows keep a slow link busy for seconds. Its subscribers receive
+//! nothing in that time, leave, subscribe again, and are sent the same message again.
+//! With messages of bounded size, each message that arrives is progress that is kept.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -16,20 +16,20 @@
 /// The newest row of each key that the subscriber lacks.
 #[derive(Debug, Default)]
 pub(crate) struct Backlog {
-    /// By revision, so that the first is the oldest.
+    /// Ordered by revision; the first one is the oldest.
     rows: BTreeMap<(u64, String), Row>,
     revisions: HashMap<String, u64>,
 }
 
 impl Backlog {
-    /// Adds a row, in place of an earlier one of its key.
+    /// Adds a row, replacing an earlier one of the same key.
     pub(crate) fn add(&mut self, row: Row) {
         self.remove(&row.key);
         self.revisions.insert(row.key.clone(), row.mod_revision);
         self.rows.insert((row.mod_revision, row.key.clone()), row);
     }
 
-    /// Drops a key that is told in another way.
+    /// Removes a key whose change is sent in another form.
     pub(crate) fn remove(&mut self, key: &str) {
         if let Some(revision) = self.revisions.remove(key) {
             self.rows.remove(&(revision, key.to_owned()));
@@ -49,16 +49,16 @@
         self.rows.len()
     }
 
-    /// Revision of the oldest row that waits.
+    /// Revision of the oldest queued row.
     pub(crate) fn first_revision(&self) -> Option<u64> {
         self.rows.keys().next().map(|(revision, _)| *revision)
     }
 
-    /// Takes rows of about so many bytes, at least one.
+    /// Takes rows of about this many bytes in total, at least one.
     ///
-    /// Half of them are the newest: a server that drains now must not wait behind
-    /// thousands that have come back. The others are the oldest, so that none waits
-    /// for ever.
+    /// The first half are the newest rows, so that a server that drains now does not wait
+    /// behind thousands that have registered again. The second half are the oldest rows,
+    /// so that every row is sent eventually.
     pub(crate) fn take(&mut self, bytes: usize) -> Vec<Row> {
         let mut taken = Vec::new();
         let mut size = 0;
--- a/src/replica/bandwidth.rs
+++ b/src/replica/bandwidth.rs
@@ -1,5 +1,3 @@
-//! Rate of a link.
-
 use std::fmt;
 use std::num::ParseFloatError;
 use std::str::FromStr;
@@ -13,16 +11,16 @@
 pub struct Bandwidth(pub f64);
 
 impl Bandwidth {
-    /// What is assumed of a link that nobody tells anything of.
+    /// Rate assumed for a link when none is configured.
     pub const USUAL: Self = Self(1_000.0);
 
-    /// Bytes that it carries in a second.
+    /// Bytes per second that the link carries.
     pub fn bytes_per_second(self) -> f64 {
         self.0 * 1e6 / 8.0
     }
 
-    /// Links of one class differ by less than half; by class, instances are
-    /// ranked.
+    /// Rate class, by which instances are ranked: links of one class differ by a factor
+    /// of less than two.
     pub(crate) fn class(self) -> i32 {
         self.0.max(f64::MIN_POSITIVE).log2().floor() as i32
     }
--- a/src/replica/board.rs
+++ b/src/replica/board.rs
@@ -1,9 +1,9 @@
-//! What the instances of a zone tell each other of servers, along the tree of
-//! subscriptions: counts are added up on the way up, and the sum goes down.
+//! Counts of request outcomes per server, shared among the instances of a zone along
+//! the subscription tree: counts are added up on the way up, and the sum is sent down.
 //!
-//! With 23 instances in a zone each sends a server less than one request a second.
-//! A server that hangs or fails takes a request from each of them before each
-//! knows; together they know after two or three.
+//! With 23 instances in a zone, each sends a server less than one request a second.
+//! Alone, each of them would lose a request to a server that hangs or fails before it
+//! notices. Together they notice after two or three requests.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -17,60 +17,60 @@
 
 use crate::replica::tree::FAN_OUT;
 
-/// Time between two messages while there is something to tell. What one instance
-/// saw is known to all after two steps up and two down, within a second.
+/// Time between two reports while there is something to report. An observation crosses
+/// two levels up and two down, and so reaches all instances within a second.
 pub(crate) const TELL_EVERY: Duration = Duration::from_millis(200);
 
-/// Age at which what somebody told is forgotten: five messages missed.
+/// Age at which a report expires: five missed messages.
 const MOST_AGE: Duration = Duration::from_secs(1);
 
-/// Servers in one message. At 30 bytes each and five messages a second to sixteen
-/// subscribers this is 40 KB a second, and only while servers fail.
+/// Maximum servers per message. At 30 bytes each and five messages a second to 16
+/// subscribers this is 40 KB/s, and only while servers fail.
 pub(crate) const MOST_REMARKS: usize = 16;
 
-/// What one instance's counts are worth at most, so that one that is confused or
-/// lies moves the others little.
+/// Limits on the counts of a single instance, so that one that reports wrong counts, by
+/// fault or intent, has little effect on the others.
 const MOST_ANSWERS: f32 = 64.0;
 const MOST_HOLLOW: f32 = 4.0;
 const MOST_STALLS: f32 = 2.0;
 
-/// Instances that a subscriber may speak for: itself and those below it.
+/// Maximum instances that a subscriber may report for: itself and those below it.
 const MOST_INSTANCES: u32 = 1 + FAN_OUT as u32;
 
-/// Ends of requests at one server, counted by one or several instances.
+/// Outcomes of requests at one server, counted by one or several instances.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct Remark {
-    /// What datagrams to the server are named with.
+    /// Serial number that identifies the server in datagrams.
     #[prost(fixed64, tag = "1")]
     pub serial: u64,
-    /// The server's life; none when it does not tell.
+    /// The server's incarnation; `None` when the server does not report one.
     #[prost(uint64, optional, tag = "2")]
     pub incarnation: Option<u64>,
     /// Requests that were answered.
     #[prost(float, tag = "3")]
     pub answers: f32,
-    /// Those of them that ended too soon with too little.
+    /// Answered requests whose response ended too early, with too little data.
     #[prost(float, tag = "4")]
     pub hollow: f32,
     /// Requests open for too long.
     #[prost(float, tag = "5")]
     pub stalls: f32,
-    /// What the one instance counted that says most against the server: answers that
-    /// ended too soon.
+    /// Responses that ended too early, as counted by the one instance that reports the
+    /// most failures.
     #[prost(float, tag = "6")]
     pub loudest_hollow: f32,
-    /// The same: requests open for too long.
+    /// Requests open for too long, as counted by that same instance.
     #[prost(float, tag = "7")]
     pub loudest_stalls: f32,
 }
 
-/// What a subscriber tells the instance above it.
+/// What a subscriber reports to its upstream.
 #[derive(Clone, PartialEq, Message)]
 pub struct Remarks {
-    /// One for each server that something speaks against.
+    /// One entry for each server with failures.
     #[prost(message, repeated, tag = "1")]
     pub remarks: Vec<Remark>,
-    /// Instances that counted, the subscriber included.
+    /// Number of instances that counted, including the subscriber.
     #[prost(uint32, tag = "2")]
     pub instances: u32,
 }
@@ -82,9 +82,11 @@
         (self.serial, self.incarnation)
     }
 
-    /// Limits what so many instances can have counted; rubbish counts nothing.
+    /// Limits the counts to what this many instances can have counted; invalid numbers
+    /// count as zero.
     ///
-    /// Of whoever speaks for itself alone, all that it says is said by one.
+    /// When a sender reports for itself alone, all of its failures come from a single
+    /// instance.
     fn limited(self, instances: u32) -> Self {
         let limit = |count: f32, most: f32| {
             let most = most * instances as f32;
@@ -124,13 +126,15 @@
         self.loudest_hollow + self.loudest_stalls
     }
 
-    /// What more than one instance says: the word of the loudest counts as much as all
-    /// others say together.
+    /// Reduces the failures to those that more than one instance reports: the instance
+    /// with the most failures weighs no more than all others together.
     ///
-    /// Where each instance sends a server a request a second or less, nobody has much to
-    /// say for it. One that lies, or that alone is cut off from the server, took all of
-    /// its work: 7 requests of 1,050 were left to a server that answered each of them. Whoever
-    /// has seen it fail itself goes by that; the others wait for a second one.
+    /// Where each instance sends a server a request a second or less, there are few
+    /// successes to outweigh a failure report. Without this limit, one instance that
+    /// reports wrong counts, or that alone is cut off from the server, took all work from
+    /// it: 7 of 1,050 requests still went to a server that answered every one of them. An
+    /// instance that has seen the server fail acts on its own counts; the others wait for
+    /// a second report.
     fn confirmed(self) -> Self {
         let confirmed = |all: f32, loudest: f32| {
             let others = (all - loudest).max(0.0);
@@ -148,7 +152,7 @@
     }
 }
 
-/// What was told, and when.
+/// A report and the time of its arrival.
 #[derive(Debug)]
 struct Told {
     at: Instant,
@@ -169,9 +173,9 @@
     next_subscriber: u64,
 }
 
-/// What is known from this instance, from those below and from above.
+/// Sums the counts of this instance, of its subscribers and of its upstream.
 ///
-/// Its lock is a leaf.
+/// Leaf lock: no other lock is taken while it is held.
 #[derive(Debug, Default)]
 pub struct Board {
     sides: Mutex<Sides>,
@@ -182,30 +186,30 @@
         self.sides.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets what this instance counted, the worst first.
+    /// Sets the counts of this instance, those of the worst server first.
     pub fn set_own(&self, own: Vec<Remark>) {
         self.lock().own = own;
     }
 
-    /// A number for a subscriber, under which it is heard.
+    /// Returns an id for a new subscriber, under which its reports are stored.
     pub fn enter(&self) -> u64 {
         let mut sides = self.lock();
         sides.next_subscriber += 1;
         sides.next_subscriber
     }
 
-    /// Takes in what a subscriber tells.
+    /// Stores the report of a subscriber.
     pub fn hear_below(&self, now: Instant, subscriber: u64, remarks: Remarks) {
         let told = Told { at: now, remarks };
         self.lock().below.insert(subscriber, told);
     }
 
-    /// Forgets a subscriber that has left.
+    /// Drops the report of a subscriber that has left.
     pub fn leave(&self, subscriber: u64) {
         self.lock().below.remove(&subscriber);
     }
 
-    /// Takes in what the instance above tells.
+    /// Stores the sum sent by the upstream.
     pub fn hear_above(&self, now: Instant, remarks: Vec<Remark>) {
         let remarks = Remarks {
             remarks,
@@ -214,7 +218,7 @@
         self.lock().above = Some(Told { at: now, remarks });
     }
 
-    /// What to tell the instance above: this instance's counts and those below.
+    /// The report for the upstream: the counts of this instance and of those below it.
     pub fn upward(&self, now: Instant) -> Remarks {
         let sides = self.lock();
         let mut sums: BTreeMap<Key, Remark> = BTreeMap::new();
@@ -234,7 +238,7 @@
         for told in fresh {
             let count = told.remarks.instances.clamp(1, MOST_INSTANCES);
             instances += count;
-            // One that names a server many times counts once.
+            // A server that appears several times in one report counts once.
             let remarks = told.remarks.remarks.iter().take(MOST_REMARKS);
             let remarks: BTreeMap<Key, &Remark> = remarks.map(|r| (r.key(), r)).collect();
             for remark in remarks.values() {
@@ -247,14 +251,15 @@
         Remarks { remarks, instances }
     }
 
-    /// What the zone counted and more than one instance says.
+    /// The zone's counts, with failures reduced to those that more than one instance
+    /// reports.
     pub fn confirmed(&self, now: Instant) -> Vec<Remark> {
         let zone = self.zone(now).into_iter();
         zone.map(Remark::confirmed).collect()
     }
 
-    /// What the zone counted, as far as it is known here: what is told from above,
-    /// or the sum of this instance and those below where nobody is above.
+    /// The zone's counts as known here: the sum received from the upstream, or without an
+    /// upstream the sum of this instance and those below it.
     pub fn zone(&self, now: Instant) -> Vec<Remark> {
         let sides = self.lock();
         let above = sides.above.as_ref().filter(|told| told.is_fresh(now));
--- a/src/replica/census.rs
+++ b/src/replica/census.rs
@@ -1,9 +1,10 @@
-//! Who answers, of this zone and of the others.
+//! Which instances respond, in this zone and in the others.
 //!
 //! Routers use all instances of a zone when less than half of them are ready. When most
-//! of a small zone stand still, two flows of three go to those, and only the one that is
-//! left can change that, see [`crate::entry::Withdrawal`]. So it has to know. In a large
-//! zone that is not worth the looks: most of twenty do not stand still at once.
+//! of a small zone are frozen, two of three flows go to frozen instances, and only the
+//! remaining instance can change that by withdrawing, see [`crate::entry::Withdrawal`].
+//! So it has to know how many respond. In a large zone the probes are not worth their
+//! cost, since most of 20 instances do not freeze at once.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,46 +19,48 @@
 use crate::replica::Shared;
 use crate::replica::subscribe;
 
-/// Time between two looks. An instance that stands still does so for seconds, and
+/// Time between two rounds of probes. Frozen instances stay frozen for seconds, and
 /// routers notice it after one.
 const LOOK_EVERY: Duration = Duration::from_millis(400);
 
-/// Instances of a zone that look at each other, at most. Looks grow with its square: eight
-/// instances in three zones used 3.05 s of a processor with them and 2.86 s without, mean
-/// of ten days of 53 s.
+/// Maximum instances in a zone whose instances probe each other. The number of probes
+/// grows with its square: eight instances in three zones used 3.05 s of CPU time with
+/// probes and 2.86 s without, in runs of 53 s.
 const LARGEST_ZONE: usize = 8;
 
-/// Instances of another zone that are asked whether it can take callers.
+/// Instances of each other zone that are probed to learn whether the zone can take
+/// callers.
 const ASKED_ABROAD: usize = 4;
 
-/// How many of a zone answer.
+/// How many instances of a zone respond.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Headcount {
-    /// Instances that answer; the one that asks counts as one.
+    /// Instances that respond, including the probing instance itself.
     pub answering: usize,
-    /// Those of them that have withdrawn from their routers.
+    /// Responding instances that have withdrawn from their routers.
     pub withdrawn: usize,
-    /// Instances that are registered or, elsewhere, were asked.
+    /// All registered instances in this zone; in other zones, all instances probed.
     pub all: usize,
 }
 
-/// One look at the fleet.
+/// Result of one round of probes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     /// This zone.
     pub here: Headcount,
-    /// Other zones; empty while all is well here.
+    /// Other zones; empty unless most instances of this zone are unresponsive.
     pub elsewhere: Vec<Headcount>,
 }
 
 impl Headcount {
-    /// Whether less than half answer: routers then use those that do not, too.
+    /// Whether less than half of the instances respond. Routers then also use those that
+    /// do not.
     pub fn is_minority(&self) -> bool {
         self.answering * 2 < self.all
     }
 }
 
-/// Looks at the fleet until the receiver is dropped.
+/// Probes the fleet periodically until the receiver is dropped.
 pub(crate) async fn take(me: Member, shared: Arc<Shared>, sender: mpsc::Sender<Tally>) {
     loop {
         time::sleep(LOOK_EVERY).await;
@@ -97,13 +100,13 @@
     }
 }
 
-/// Asks these instances, all at once.
+/// Probes these instances, all at once.
 async fn count(me: &Member, members: &[Member]) -> Headcount {
     let looks = members.iter().map(async |member| {
         if member.instance == me.instance {
             return Some(false);
         }
-        // Whatever the reason, it does not answer.
+        // Any error means that the instance does not respond.
         let sign = subscribe::look(member.address, me).await.ok();
         sign.map(|sign| sign.is_withdrawn)
     });
--- a/src/replica/copy.rs
+++ b/src/replica/copy.rs
@@ -1,13 +1,13 @@
-//! The copy itself: the newest change of each key, in the order it was learned.
+//! The copy of the store: the newest change of each key, in the order of arrival.
 //!
-//! A subscriber needs the newest value of a key, not each version on the way.
-//! So each key stands in the order of changes once, at the place of its last
-//! change, and whoever falls behind is told less, not more.
+//! A subscriber needs the newest value of a key, not each version in between. So each
+//! key appears in the order of changes once, at the position of its last change, and a
+//! subscriber that falls behind is sent less, not more.
 //!
-//! Changes are not learned in the order of their revisions: a large value may
-//! come after small ones that were written later. Which change of a key is newer
-//! is therefore a matter of the key's own revision, and what a subscriber has
-//! been told is counted by [`Place`], the order of learning.
+//! Changes do not arrive in the order of their revisions: a large value may arrive
+//! after small ones that were written later. Therefore the key's own revision decides
+//! which of two changes is newer, and what a subscriber has been sent is tracked by
+//! [`SequenceNumber`], the order of arrival.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -38,19 +38,19 @@
 use crate::replica::publish::HEARTBEAT;
 use crate::replica::register;
 
-/// Deleted keys that are remembered; who has not heard of an earlier one gets a
-/// whole copy. Twice the servers that the largest deployment planned replaces in
-/// a minute.
+/// Maximum deleted keys that are kept. A subscriber that lacks an earlier deletion is
+/// sent a complete copy. The limit is twice the number of servers that the largest
+/// planned deployment replaces in a minute.
 const MOST_DELETED: usize = 512;
 
-/// Instances that have introduced themselves and are remembered: enough that some of
-/// them live, few enough to ask all at once for a copy.
+/// Maximum addresses kept of instances that have a copy: enough that some of them are
+/// alive, and few enough to ask all of them at once for a copy.
 const MOST_INTRODUCED: usize = 8;
 
-/// What a copy tells its own instance.
+/// An event that the copy reports to its own instance.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
-    /// The whole prefix; what is not among the entries does not exist.
+    /// All keys under the prefix; a key that is not among the entries does not exist.
     Reset {
         /// All keys.
         entries: Vec<Entry>,
@@ -63,23 +63,25 @@
     Change(Change),
     /// A key whose new value could not be read.
     Refused(Refusal),
-    /// Everything that the store knew by the end of this contact has been told.
+    /// A period of contact with the store; every change that the store had by its end has
+    /// been reported.
     Contact(Contact),
-    /// The store does not answer; told once for each silence.
+    /// The store does not respond; reported once per outage.
     Silent {
         /// The first error.
         reason: String,
     },
-    /// The instances that are registered.
+    /// All registered instances.
     Members(Vec<Member>),
-    /// Changes come from here from now on.
+    /// The source of further changes.
     Source {
-        /// The instance; `None` for the store itself.
+        /// The instance that is followed; `None` for the store itself.
         upstream: Option<id::Instance>,
     },
 }
 
-/// Place in the order in which changes were learned; later ones are greater.
+/// Local sequence number of a change, in the order of arrival; later changes have
+/// greater numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place(u64);
 
@@ -90,14 +92,14 @@
     change: Change,
 }
 
-/// A whole copy at one moment.
+/// A complete copy at one moment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Snapshot {
     /// All keys.
     pub entries: Vec<Entry>,
-    /// Revision up to which everything is known.
+    /// Revision up to which the copy is complete.
     pub revision: u64,
-    /// What was learned after it is told separately.
+    /// Sequence number up to which changes are included.
     pub place: Place,
 }
 
@@ -107,28 +109,28 @@
     keys: BTreeMap<String, Newest>,
     /// Keys in the order of their newest changes.
     order: BTreeMap<Place, String>,
-    /// Keys that were deleted, earliest first.
+    /// Sequence numbers and revisions of the deletions that are kept, oldest first.
     deleted: BTreeSet<(Place, u64)>,
-    /// Place of the last change learned.
+    /// Sequence number of the newest change.
     last: Place,
-    /// Revision up to which all is known; `None` before the first listing.
+    /// Revision up to which all changes are known; `None` before the first listing.
     horizon: Option<u64>,
-    /// Deletions at and before these have been forgotten.
+    /// Deletions up to these have been pruned.
     forgotten_place: Place,
     forgotten_revision: u64,
 }
 
 impl Copy {
-    /// Revision up to which all is known; `None` before the first listing.
+    /// Revision up to which all changes are known; `None` before the first listing.
     pub fn horizon(&self) -> Option<u64> {
         self.horizon
     }
 
-    /// Takes over a whole listing; gives back how it differs from what was known,
-    /// or `None` when more is known already.
+    /// Applies a complete listing and returns the changes against the previous content,
+    /// or `None` when the copy is already newer.
     ///
-    /// Subscribers are told the difference only: after the store has dropped its
-    /// history, whoever follows it lists it anew, and has missed little.
+    /// Subscribers are sent only the difference: after the store has dropped its history,
+    /// the instance that follows it lists it again and has missed little.
     pub fn reset(&mut self, entries: &[Entry], revision: u64) -> Option<Vec<Change>> {
         if self.horizon.is_some_and(|horizon| horizon > revision) {
             return None;
@@ -144,14 +146,14 @@
         });
         let mut changes: Vec<Change> = deletions.collect();
         changes.extend(entries.iter().cloned().map(Change::Put));
-        // What a listing names exists, however old its last change is.
+        // Every listed key exists, however old its last change is.
         self.forgotten_revision = 0;
         let fresh = self.apply(changes, revision);
         self.forgotten_revision = revision;
         Some(fresh)
     }
 
-    /// Takes over changes; gives back those that were new.
+    /// Applies changes and returns those that were new.
     pub fn apply(&mut self, changes: Vec<Change>, revision: u64) -> Vec<Change> {
         let mut fresh = Vec::new();
         for change in changes {
@@ -164,8 +166,8 @@
         fresh
     }
 
-    /// Whether a change is newer than what is known of its key. Of a key that is
-    /// not known, what is older than the deletions forgotten may be one of them.
+    /// Whether a change is newer than the known state of its key. If the key is not
+    /// known, a change older than the pruned deletions may belong to a deleted key.
     fn is_new(&self, change: &Change) -> bool {
         let revision = change.mod_revision();
         match self.keys.get(key(change)) {
@@ -203,24 +205,28 @@
         self.forgotten_revision = self.forgotten_revision.max(revision);
     }
 
-    /// Whether who knows everything up to this revision needs a whole copy.
+    /// Whether a subscriber that has everything up to this revision needs a complete
+    /// copy.
     pub fn needs_whole(&self, known: Option<u64>) -> bool {
         known.is_none_or(|known| known < self.forgotten_revision)
     }
 
-    /// Whether who was told everything up to this place needs a whole copy.
+    /// Whether a subscriber that was sent everything up to this number needs a complete
+    /// copy.
     pub fn has_forgotten(&self, place: Place) -> bool {
         place < self.forgotten_place
     }
 
-    /// The newest changes after a revision, and the place up to which they are all.
+    /// The newest changes after a revision, and the sequence number up to which they are
+    /// complete.
     pub fn after_revision(&self, known: u64) -> (Vec<Change>, Place) {
         let newer = self.keys.values().map(|newest| &newest.change);
         let newer = newer.filter(|change| change.mod_revision() > known);
         (newer.cloned().collect(), self.last)
     }
 
-    /// The newest changes after a place, and the place up to which they are all.
+    /// The newest changes after a sequence number, and the number up to which they are
+    /// complete.
     pub fn after(&self, place: Place) -> (Vec<Change>, Place) {
         let later = self.order.range(Place(place.0 + 1)..);
         let later = later.filter_map(|(_, key)| self.keys.get(key));
@@ -228,7 +234,7 @@
         (changes.collect(), self.last)
     }
 
-    /// Everything; `None` before the first listing.
+    /// All entries; `None` before the first listing.
     pub fn snapshot(&self) -> Option<Snapshot> {
         Some(Snapshot {
             entries: self.entries().cloned().collect(),
@@ -237,7 +243,7 @@
         })
     }
 
-    /// A key's entry; `None` when it does not exist.
+    /// The entry of a key; `None` when the key does not exist.
     pub fn get(&self, key: &str) -> Option<&Entry> {
         match &self.keys.get(key)?.change {
             Change::Put(entry) => Some(entry),
@@ -245,7 +251,7 @@
         }
     }
 
-    /// All entries, in the order of their keys.
+    /// All entries, ordered by key.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.keys
             .values()
@@ -266,30 +272,31 @@
 #[derive(Debug, Default)]
 struct State {
     copy: Copy,
-    /// When the store is known to have had nothing newer.
+    /// When the copy is last known to have matched the store.
     contact: Option<Instant>,
 }
 
-/// A copy that the sources write and the subscribers read.
+/// The copy as written by its sources and read by its subscribers.
 ///
-/// Its lock is a leaf: nothing else is locked while it is held.
+/// Leaf lock: no other lock is taken while it is held.
 #[derive(Debug)]
 pub(crate) struct Shared {
     state: Mutex<State>,
-    /// Told after each change of the copy.
+    /// Notified after each change of the copy.
     changed: watch::Sender<()>,
     subscribers: AtomicUsize,
-    /// Instances with a copy that have asked here, the last ones last.
+    /// Addresses of instances with a copy that have subscribed here, the latest last.
     introduced: watch::Sender<Vec<SocketAddrV4>>,
-    /// Whether changes come from an instance that is not above this one.
+    /// Whether changes come from a fallback upstream, which is not above this instance in
+    /// the tree.
     is_detour: AtomicBool,
     is_leaving: AtomicBool,
     is_withdrawn: AtomicBool,
-    /// What subscribers are sent, packed once for all of them.
+    /// Values compressed for subscribers, once for all of them.
     pub(crate) shelf: Shelf,
-    /// Bytes a second that go to all subscribers together.
+    /// Limits the bytes per second sent to all subscribers together.
     pub(crate) pacer: Pacer,
-    /// What the instances of the zone tell each other of servers.
+    /// Request outcomes per server, shared among the instances of the zone.
     pub(crate) board: Board,
 }
 
@@ -321,7 +328,7 @@
         self.lock().copy.horizon()
     }
 
-    /// The last contact with the store.
+    /// Time of the last contact with the store.
     pub(crate) fn contact(&self) -> Option<Instant> {
         self.lock().contact
     }
@@ -331,12 +338,13 @@
         self.contact().map(|at| now - at)
     }
 
-    /// Notes contact with the store, unless later contact is known.
+    /// Records contact with the store, unless a later contact is known.
     ///
-    /// Subscribers are told of it at once. Left to the heartbeat, which polls of a second
-    /// keep in step with, some instances never see a copy younger than a quarter of a
-    /// second, and each level of the tree adds as much. Smaller steps are left to
-    /// it: two that follow each other take the way between them for later contact.
+    /// Subscribers are notified at once. Polls of a second stay in step with the
+    /// heartbeat. If notification were left to the heartbeat alone, some instances would
+    /// never see a copy younger than a quarter of a second, and each level of the tree
+    /// would add as much. Smaller steps are left to the heartbeat: two instances that
+    /// follow each other would take the transfer time between them for later contact.
     pub(crate) fn touch(&self, at: Instant) {
         let mut state = self.lock();
         let before = state.contact;
@@ -347,7 +355,7 @@
         }
     }
 
-    /// Takes over a whole listing; `false` when more is known already.
+    /// Applies a complete listing; returns `false` when the copy is already newer.
     pub(crate) fn reset(&self, entries: &[Entry], revision: u64) -> bool {
         let changes = self.lock().copy.reset(entries, revision);
         let is_taken = changes.is_some();
@@ -357,7 +365,7 @@
         is_taken
     }
 
-    /// Takes over changes; gives back those that were new.
+    /// Applies changes and returns those that were new.
     pub(crate) fn apply(&self, changes: Vec<Change>, revision: u64) -> Vec<Change> {
         let mut state = self.lock();
         let earlier = changes
@@ -386,20 +394,20 @@
         held.iter().filter_map(find).collect()
     }
 
-    /// Looks at the copy; whatever is asked must be short.
+    /// Calls `ask` with the copy under the lock, so `ask` must be short.
     pub(crate) fn look<T>(&self, ask: impl FnOnce(&Copy) -> T) -> T {
         ask(&self.lock().copy)
     }
 
-    /// The large values known, for a subscription that is told only what is new
-    /// in them.
+    /// The large values known here. A subscription with them is sent only the
+    /// differences.
     pub(crate) fn bases(&self) -> Vec<Base> {
         let state = self.lock();
         let large = state.copy.entries().filter(|entry| is_large(entry));
         large.map(Base::from).collect()
     }
 
-    /// Notes where an instance that has a copy can be asked for it.
+    /// Records the address of an instance that has a copy.
     pub(crate) fn introduce(&self, address: SocketAddrV4) {
         self.introduced.send_if_modified(|known| {
             let is_new = !known.contains(&address);
@@ -412,7 +420,7 @@
         });
     }
 
-    /// Instances with a copy, as they introduce themselves.
+    /// Addresses of instances with a copy that have subscribed here.
     pub(crate) fn introduced(&self) -> watch::Receiver<Vec<SocketAddrV4>> {
         self.introduced.subscribe()
     }
@@ -425,7 +433,8 @@
         self.is_detour.load(Ordering::Relaxed)
     }
 
-    /// From now on nobody should count on this copy.
+    /// Announces that this instance is about to stop, so that no other instance relies on
+    /// its copy.
     pub(crate) fn begin_leaving(&self) {
         self.is_leaving.store(true, Ordering::Relaxed);
     }
@@ -442,8 +451,8 @@
         self.is_withdrawn.load(Ordering::Relaxed)
     }
 
-    /// All registered instances, this one among them, as far as their entries can be
-    /// read; whoever follows the store tells of those that cannot.
+    /// All registered instances, including this one, whose entries can be read. The
+    /// instance that follows the store reports the entries that cannot.
     pub(crate) fn members(&self) -> Vec<Member> {
         self.look(|copy| {
             let members = copy
@@ -453,7 +462,7 @@
         })
     }
 
-    /// Counts a subscriber in; says how many there are then.
+    /// Counts a new subscriber; returns the number of subscribers.
     pub(crate) fn join(self: &Arc<Self>) -> usize {
         self.subscribers.fetch_add(1, Ordering::Relaxed) + 1
     }
@@ -463,8 +472,8 @@
     }
 }
 
-/// Largest value, in bytes, that goes out at once among others. A server's entry
-/// has about 150; what is larger is sent in parts, behind the small ones.
+/// Largest value, in bytes, that is sent whole among other rows. A server's entry has
+/// about 150 bytes; larger values are sent in parts, after the small ones.
 const MOST_SMALL: usize = 4 << 10;
 
 /// Whether an entry is sent in parts.
--- a/src/replica/follow.rs
+++ b/src/replica/follow.rs
@@ -1,4 +1,4 @@
-//! Keeping the copy up to date, from the instance above or from the store.
+//! Keeps the copy up to date, from the instance above or from the store.
 
 mod poll;
 mod search;
@@ -37,31 +37,33 @@
 use crate::replica::store::Listing;
 use crate::replica::subscribe::Report;
 
-/// Longest pause between two polls while the store is silent and an upstream is
-/// heard: it tells at once when the store is back.
+/// Longest pause between two polls while the store is unreachable and an upstream is
+/// connected, which reports the store's return at once.
 const SLOW_RETRY: Duration = Duration::from_millis(1_500);
 
-/// Pause before the store is probed again beside an upstream that is cut off from it,
-/// too. Load pattern: the store refuses or is silent for seconds, and all
-/// instances of a fleet find their copies old at once. If each left its upstream and
-/// asked again and again, 70 instances made 1,400 calls in five seconds, and what the
-/// zone tells of servers stopped; with it they make 100. One probe each in four seconds
-/// finds an upstream that alone stays cut off; it tells of the store's return at once.
+/// Pause before the store is probed again while an upstream is followed that is cut off
+/// from the store as well. Load pattern: the store refuses requests or is silent for
+/// seconds, and the copies of all instances of a fleet become old at once. When each
+/// left its upstream and polled the store again and again, 70 instances made 1,400
+/// calls in five seconds, and the exchange of request outcomes in the zone stopped.
+/// With this pause they make 100 calls. One probe per instance in four seconds is
+/// enough to detect an upstream that alone stays cut off, and an upstream reports the
+/// store's return at once.
 const PROBE_PAUSE: Duration = Duration::from_secs(4);
 
-/// Where changes can come from.
+/// What following needs: the sources of changes and their settings.
 pub(crate) struct Sources {
     pub(crate) reader: Reader,
     pub(crate) keys: Keys,
     pub(crate) pace: Pace,
-    /// This instance, as others know it.
+    /// This instance, as registered for others.
     pub(crate) me: Member,
-    /// Instances to ask when the store does not answer at the start.
+    /// Instances to ask for a copy when the store does not respond at the start.
     pub(crate) seeds: Vec<SocketAddrV4>,
     pub(crate) log: Logger,
 }
 
-/// Why following ended.
+/// Why following stopped.
 enum End {
     Failed(Error),
     Abandoned,
@@ -79,14 +81,15 @@
     }
 }
 
-/// What is known of the store's answers to this instance.
+/// Reachability of the store from this instance.
 #[derive(Clone, Copy, Debug)]
 enum Presence {
-    /// Nothing that speaks against it.
+    /// No failure is known.
     Unknown,
-    /// It did not answer, and is not probed again until then.
+    /// The store did not respond; it is not probed again until this time.
     Away(Instant),
-    /// It answers again, which the upstream is given until then to tell.
+    /// The store responds again; until this time the upstream may still report that
+    /// itself.
     Back(Instant),
 }
 
@@ -95,27 +98,27 @@
     shared: Arc<Shared>,
     sender: mpsc::Sender<Update>,
     members: HashMap<String, Member>,
-    /// The instances above this one, until the members change.
+    /// Addresses of the instances above this one; `None` after the members have changed.
     above: Option<Vec<SocketAddrV4>>,
-    /// Whether the members have changed since they were told last.
+    /// Whether the members have changed since they were last reported.
     has_new_members: bool,
     /// Upstreams that failed.
     resting: HashMap<SocketAddrV4, Rest>,
     is_silent: bool,
     presence: Presence,
-    /// [`PROBE_PAUSE`] and up to a quarter more, so that a fleet that has found the
-    /// store away at once does not probe it at once again.
+    /// [`PROBE_PAUSE`] plus up to a quarter, so that a fleet that loses the store at one
+    /// moment does not probe it again at one moment.
     probe_pause: Duration,
-    /// The last poll brought changes.
+    /// Whether the last poll brought changes.
     had_changes: bool,
-    /// The store has dropped the history after the horizon.
+    /// Whether the store has dropped the history after the synced revision.
     is_compacted: bool,
-    /// What is known of the large value beside the copy.
+    /// Polling state of the large value.
     large: Large,
     backoff: Backoff,
-    /// When this instance began to follow.
+    /// When following started.
     begun: Instant,
-    /// While an instance is followed that is not above: when the store is tried next.
+    /// While a fallback upstream is followed: when the store is probed next.
     detour_ends: Option<Instant>,
 }
 
@@ -144,7 +147,7 @@
 }
 
 impl Follower {
-    /// One poll of the store, or one subscription from its begin to its end.
+    /// One poll of the store, or one subscription from start to end.
     async fn round(&mut self) -> Result<(), End> {
         if let Some(peer) = self.candidate() {
             return self.subscribe(peer).await;
@@ -165,12 +168,12 @@
         age.is_none_or(|age| age > self.sources.pace.most_age)
     }
 
-    /// Asks the store without waiting for a change.
+    /// Polls the store without waiting for a change.
     async fn catch_up(&mut self) -> Result<(), End> {
         self.is_silent = true;
         match self.ask_store().await {
             Err(End::Failed(error)) => {
-                // The next round repeats it, with its pauses.
+                // The next round polls again, after its usual pauses.
                 self.note_away(&error);
                 Ok(())
             }
@@ -178,7 +181,7 @@
         }
     }
 
-    /// Takes the store for away, unless the error is an answer.
+    /// Marks the store as unreachable, unless the error is itself a response.
     fn note_away(&mut self, error: &Error) {
         if store::needs_listing(error) {
             return;
@@ -186,8 +189,8 @@
         self.presence = Presence::Away(Instant::now() + self.probe_pause);
     }
 
-    /// Whether the store is known not to answer here: then an upstream with an old
-    /// copy is as good as any, and news of the store's return comes through it.
+    /// Whether the store is known not to respond here. Then an upstream with an old copy
+    /// is as good as any other, and reports the store's return.
     fn is_store_away(&self) -> bool {
         match self.presence {
             Presence::Unknown => false,
@@ -215,9 +218,9 @@
             let refused = Vec::new();
             self.reset(entries.collect(), refused, revision).await?;
         } else if !report.awaits_copy && self.shared.horizon().is_some() {
-            // Whoever has nothing yet learns nothing from an instance that has nothing
-            // either, itself for one: it would take the empty copy for a whole one and
-            // ask no further seed while the store is away.
+            // An instance without a copy takes no changes from another one without a copy,
+            // such as itself: it would treat the empty copy as complete and ask no further
+            // seeds while the store is unreachable.
             self.apply(report.changes, revision).await?;
         }
         let Some(contact) = contact else {
@@ -276,8 +279,9 @@
         for entry in &entries {
             self.enroll(&entry.key, &entry.value);
         }
-        // Of some keys more may be known than the listing says: going back, if only
-        // for a moment, would send new flows to servers that have said that they leave.
+        // For some keys, newer changes than the listed ones may be known. Going back to the
+        // listing, even briefly, would send new flows to servers that have announced that
+        // they drain.
         let known = self.shared.look(|copy| copy.entries().cloned().collect());
         let reset = Update::Reset {
             entries: known,
@@ -288,7 +292,7 @@
         self.tell_members().await
     }
 
-    /// Tells which instances share the callers, if that has changed.
+    /// Reports the instances that share the callers, if they have changed.
     async fn tell_members(&mut self) -> Result<(), End> {
         if !std::mem::take(&mut self.has_new_members) {
             return Ok(());
--- a/src/replica/follow/poll.rs
+++ b/src/replica/follow/poll.rs
@@ -1,13 +1,13 @@
-//! Polling the store: everything in one call, or in several where a large value
-//! would hold up the small ones.
+//! Polls of the store: one call for everything, or several calls where a large value
+//! would delay the small ones.
 //!
-//! A poll brings each version of each key since the last one. Load pattern: a
+//! A poll returns each version of each key since the last one. Load pattern: a
 //! configuration of hundreds of kilobytes changes a dozen times a second, and this
-//! instance's link takes a fifth of a second or more for each of them. Then the
-//! answers take longer than the changes, the copy grows old without end, and what
-//! servers say of themselves stands behind versions that nobody needs. So on such
-//! a link the servers are polled by themselves, and the large value is read at its
-//! newest once it has begun to change.
+//! instance's link takes a fifth of a second or more for each version. Responses then
+//! take longer than the interval between changes, the copy grows ever older, and the
+//! states that servers report wait behind obsolete versions. On such a link the servers
+//! are therefore polled separately, and once the large value has begun to change, only
+//! its newest version is read.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -31,25 +31,27 @@
 use crate::replica::register;
 use crate::replica::store;
 
-/// Time on this instance's link beyond which the large value is polled apart. Five
-/// versions gather in a poll when they come fastest; at this time each they still
-/// take no longer than the pause between two polls.
+/// Transfer time on this instance's link above which the large value is polled
+/// separately. At the fastest rate of change, a poll collects five versions. At this
+/// transfer time each, they still take no longer than the pause between two polls.
 const MOST_TRANSFER: Duration = Duration::from_millis(60);
 
-/// Bytes that the store sends for a value, as a multiple of the value's.
+/// Bytes that the store sends per byte of a value, which it encodes in base64.
 const SPELLING: f64 = 4.0 / 3.0;
 
-/// How long after a change of the large value further ones are expected.
+/// How long after a change of the large value further changes are expected.
 const CHANGING: Duration = Duration::from_secs(5);
 
-/// The large value, as far as polling it apart needs to know.
+/// State of polling the large value separately.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Large {
-    /// Revision up to which it is known, if later than the copy's horizon.
+    /// Revision up to which the large value is known, if it is later than the synced
+    /// revision of the copy.
     horizon: u64,
-    /// The same of the operators' orders.
+    /// Revision up to which the operators' orders are known, if it is later than that of
+    /// the copy.
     orders: u64,
-    /// When it last changed here, or a poll for it failed.
+    /// When the value last changed here, or a poll for it last failed.
     changed: Option<Instant>,
 }
 
@@ -58,66 +60,68 @@
         self.changed = Some(now);
     }
 
-    /// Whether only its newest version should be read.
+    /// Whether only the newest version should be read.
     fn is_changing(&self, now: Instant) -> bool {
         self.changed.is_some_and(|at| now < at + CHANGING)
     }
 }
 
-/// Time in which the answer to a poll that waited in vain comes, on a link with room.
+/// Time for the response to a poll that found no changes, on a link with spare
+/// capacity.
 const ANSWER: Duration = Duration::from_millis(100);
 
 type Outcome<T> = std::result::Result<T, End>;
 
-/// What one of several polls has brought.
+/// Result of one of several polls.
 struct Polled {
-    /// What was polled: a prefix of small ones, or the large one's key.
+    /// The prefix or key that was polled.
     key: &'static str,
-    /// Up to when nothing newer is known to have been there.
+    /// Time up to which the result is known to be complete.
     known: Instant,
-    /// Whether it waited for what did not come.
+    /// Whether the poll waited its full time and found no changes.
     is_vain: bool,
     /// `None` when the poll was not sent.
     batch: Option<Result<Batch>>,
 }
 
-/// What the polls of one round have brought so far, by what was polled.
+/// Results of the polls of one round so far, by polled prefix or key.
 #[derive(Default)]
 struct Round {
     reached: BTreeMap<&'static str, u64>,
-    /// The last failures that nothing came after.
+    /// The latest failure of each poll that has not succeeded since.
     failures: BTreeMap<&'static str, Error>,
     has_changes: bool,
     is_large_over: bool,
-    /// Whether the poll of the large value brings orders as well.
+    /// Whether the poll of the large value includes the orders.
     has_orders: bool,
 }
 
-/// How small values are polled beside the large one.
+/// Polls of small values while the large value is polled separately.
 struct Again<'a> {
     reader: &'a Reader,
-    /// Prefix of what changes seldom.
+    /// Prefix of the orders, which seldom change.
     orders: &'static str,
-    /// Longest wait of a poll of the servers while the large one waits, too.
+    /// Longest wait of a poll of the servers while the poll of the large value waits as
+    /// well.
     wait: Duration,
-    /// The same of a poll of what changes seldom.
+    /// Longest wait of a poll of the orders during that time.
     seldom: Duration,
-    /// The same while the large one is on its way.
+    /// Longest wait of a poll while the large value is being transferred.
     short: Duration,
-    /// When the poll of the large one ends if it waits in vain.
+    /// When the poll of the large value ends if it finds no changes.
     ends: Instant,
-    /// Whether the large one has ended.
+    /// Whether the poll of the large value has ended.
     is_over: watch::Receiver<bool>,
 }
 
-/// Whether reading the large value takes so long that it is polled apart.
+/// Whether reading the large value takes so long that it is polled separately.
 pub(crate) fn is_thin(large: usize, bytes_per_second: f64) -> bool {
     let seconds = large as f64 * SPELLING / bytes_per_second;
     seconds > MOST_TRANSFER.as_secs_f64()
 }
 
 impl Follower {
-    /// Polls for what has come after the horizon.
+    /// Polls for changes after the synced revision.
     pub(super) async fn poll(&mut self, horizon: u64) -> Outcome<()> {
         let key = self.sources.keys.large;
         let large = self
@@ -131,8 +135,8 @@
         }
     }
 
-    /// While the store is silent the poll does not wait, so that the first
-    /// answer after an outage comes at once.
+    /// While the store is unreachable the poll does not wait, so that the first response
+    /// after an outage arrives at once.
     async fn poll_all(&mut self, horizon: u64) -> Outcome<()> {
         let wait = self.wait();
         let asked = Instant::now();
@@ -143,26 +147,28 @@
         self.end_poll(asked, wait, has_changes).await
     }
 
-    /// Polls servers, orders and members beside the large value; what comes first
-    /// counts first.
+    /// Polls servers, orders and members in parallel with the large value, and applies
+    /// each result as it arrives.
     ///
-    /// Orders come with the large one, unless that is read at its newest or does not come
-    /// when its poll's wait is over. What is small is polled again for as long as the
-    /// large one is on its way. On a
-    /// link of 1 Mbit/s that takes 7.5 s for a configuration of 4,250 routes; a server that
-    /// drained meanwhile got new flows until it was over.
+    /// Orders are included in the poll of the large value. They are polled separately if
+    /// only the newest version of that value is read, or if its poll has not returned at
+    /// the end of its wait. Small values are polled again for as long as the large value
+    /// is being transferred. On a 1 Mbit/s link that takes 7.5 s for a configuration of
+    /// 4,250 routes; without further polls, a server that drained meanwhile received new
+    /// flows until the end of the transfer.
     async fn poll_apart(&mut self, horizon: u64) -> Outcome<()> {
         let asked = Instant::now();
         let reader = self.sources.reader.clone();
         let keys = self.sources.keys;
-        // One poll brings both while nothing changes.
+        // While nothing changes, one poll covers both.
         let both_from = horizon.max(self.large.horizon.min(self.large.orders));
         let newest = self.large.is_changing(asked);
         let pace = self.sources.pace;
         let short = pace.wait_for_others / 3;
         let small_wait = self.wait();
-        // What changes seldom is asked for seldom: three polls a third of a second long
-        // made 2,400 calls a minute in a calm fleet of 24. All end before the next round.
+        // Keys that seldom change are polled seldom: three polls of a third of a second
+        // each made 2,400 calls a minute in an idle fleet of 24. All polls end before the
+        // next round.
         let wait = match (small_wait.is_zero(), newest) {
             (true, _) => Duration::ZERO,
             (false, true) => short,
@@ -199,7 +205,7 @@
             has_orders: !newest,
             ..Round::default()
         };
-        // A poll that is never sent has reached nothing.
+        // A poll that is never sent advances no revision.
         round
             .reached
             .extend([(keys.small, horizon), (keys.orders, horizon)]);
@@ -220,8 +226,8 @@
         self.end_poll(asked, wait, round.has_changes).await
     }
 
-    /// Takes what one poll has brought; says what is polled again, from where, and
-    /// after which pause.
+    /// Applies the result of one poll; returns the prefix to poll again, from which
+    /// revision, and after which pause.
     async fn take_polled(
         &mut self,
         polled: Polled,
@@ -240,12 +246,12 @@
         round.is_large_over |= is_large;
         let gather = self.sources.pace.gather;
         let batch = match batch {
-            // The large one was over before this one was sent.
+            // The poll of the large value ended before this one was sent.
             None => return Ok(None),
             Some(Ok(batch)) => batch,
             Some(Err(error)) => {
                 if is_large {
-                    // Perhaps there was too much of it.
+                    // The cause may be that there were too many versions to transfer.
                     self.large.note_change(Instant::now());
                 }
                 round.failures.insert(key, error);
@@ -266,10 +272,10 @@
         }
         round.has_changes |= self.take_batch(batch, horizon).await?;
         if is_small && round.failures.is_empty() {
-            // While the large value is on its way, what is small is known as of its last
-            // poll. Of the large one as much has come as the link brings: an instance
-            // that is left for being slow with it makes all that follow it read it over
-            // links of their own.
+            // While the large value is being transferred, the small values are known as of
+            // their last poll, which counts as contact. The large value arrives as fast as
+            // the link allows: if subscribers left this instance for being slow with it, they
+            // would all read it from the store over their own links.
             self.shared.touch(known);
         }
         let pause = if is_vain { Duration::ZERO } else { gather };
@@ -287,10 +293,10 @@
 
     async fn end_poll(&mut self, asked: Instant, wait: Duration, has_changes: bool) -> Outcome<()> {
         self.had_changes = has_changes;
-        // A poll that waited in vain was answered no earlier than its wait's end.
+        // A poll that found no changes was answered no earlier than the end of its wait.
         let waited = if has_changes { Duration::ZERO } else { wait };
         let until = asked + waited.min(asked.elapsed());
-        // Small values may have been polled again beside a large one.
+        // Small values may have been polled again while the large one was transferred.
         let until = self.shared.contact().map_or(until, |at| at.max(until));
         self.answered(Contact { from: asked, until }).await?;
         store::pause(&self.sources.pace, asked, wait, has_changes).await;
@@ -299,10 +305,10 @@
 
     /// How long the next poll may wait.
     ///
-    /// A poll that brought changes is known to be as fresh as its question only,
-    /// so that the one after it is kept short: an upstream's age stays below
-    /// [`crate::replica::Pace::most_age`] although polls without changes wait for
-    /// half as long. That holds also while nobody subscribes: whoever begins to in the
+    /// The result of a poll that brought changes is only as fresh as its request, so the
+    /// next poll is kept short. That keeps an upstream's age below
+    /// [`crate::replica::Pace::most_age`], although polls without changes wait for half
+    /// as long. It also applies without subscribers: an instance that subscribed in the
     /// middle of a longer poll would find the copy too old and leave again.
     fn wait(&self) -> Duration {
         let pace = self.sources.pace;
@@ -321,7 +327,7 @@
         Self {
             key,
             known: asked + waited.min(asked.elapsed()),
-            // A store that answers at once without a change would be asked without end.
+            // A store that responds at once without a change would be polled in a busy loop.
             is_vain: is_vain && asked.elapsed() >= wait / 2 && !wait.is_zero(),
             batch: Some(batch),
         }
@@ -338,7 +344,8 @@
 }
 
 impl Again<'_> {
-    /// Polls what is under a prefix after a pause, unless the large one is over by then.
+    /// Polls a prefix after a pause, unless the poll of the large value has ended by
+    /// then.
     async fn poll(&self, prefix: &'static str, after: u64, pause: Duration) -> Polled {
         let mut is_over = self.is_over.clone();
         let is_needless = tokio::select! {
@@ -356,7 +363,8 @@
         Polled::new(prefix, asked, wait, batch)
     }
 
-    /// No longer than the large one waits, so that the next round is not held up.
+    /// Waits no longer than the poll of the large value, so that the next round is not
+    /// delayed.
     fn wait_from(&self, now: Instant, prefix: &str) -> Duration {
         let left = self.ends.saturating_duration_since(now);
         let longest = match prefix == self.orders {
@@ -373,11 +381,11 @@
     Polled::new(register::PREFIX, asked, wait, batch)
 }
 
-/// Reads the newest version, as a poll would have brought it.
+/// Reads the newest version and returns it as the result of a poll.
 async fn read_newest(reader: &Reader, key: &str) -> Result<Batch> {
     let page: Page = match reader.item(key).await {
         Ok(page) => page,
-        // Whoever deleted it wrote that as a change, which a poll brings.
+        // The deletion was written as a change, which a poll returns.
         Err(Error::Refused { .. }) => return reader.poll(key, 0, Duration::ZERO).await,
         Err(error) => return Err(error),
     };
--- a/src/replica/follow/search.rs
+++ b/src/replica/follow/search.rs
@@ -1,14 +1,15 @@
-//! Asking all who may have a copy, while the store does not answer.
+//! Search for a copy among other instances while the store does not respond.
 //!
-//! Whom to ask: the seeds, which may be gone or have started anew themselves, and
-//! whoever introduces itself by asking here for what it lacks, as instances do that
-//! followed this one before.
+//! The candidates are the seeds, which may be gone or have restarted without a copy,
+//! and the instances that subscribe here for updates, as those do that followed this
+//! instance before.
 //!
-//! What may be taken: a copy whose owner has heard the store lately is as good as the
-//! store's answer. An older one may lack a configuration or a server that leaves. It is
-//! taken only when the store has been silent for longer than it ever is while it works,
-//! the newest of those that came: then nobody who could be asked knows more. Nothing that
-//! is known here goes back by it, since each key keeps its newest revision.
+//! A copy whose owner had contact with the store recently is as good as the store's
+//! response. An older one may lack a configuration, or list a server that drains by
+//! now. It is accepted only after the store has been silent for longer than it ever is
+//! while it works, and then the newest copy received so far is used: no instance that
+//! could be asked has newer content. Nothing known here goes back to an older state
+//! through it, since each key keeps its newest revision.
 
 use std::collections::HashSet;
 use std::net::SocketAddrV4;
@@ -27,17 +28,18 @@
 use crate::replica::subscribe::Report;
 use crate::replica::subscribe::Subscription;
 
-/// Time after the start before others are asked beside the store. It answers within
-/// 4 ms; a fleet that starts with a store that works asks nobody else.
+/// Delay after the start until other instances are asked besides the store. The store
+/// responds within 4 ms, so a fleet that starts with a working store asks no other
+/// instances.
 const ASK_AFTER: Duration = Duration::from_millis(100);
 
-/// Time after the start from which an old copy is taken: the store's slow hours, 250 ms,
-/// and the way there and back.
+/// Delay after the start from which an old copy is accepted: the response time of a
+/// slow store, 250 ms, plus the round trip.
 const TAKE_OLD_AFTER: Duration = Duration::from_millis(300);
 
-/// Pauses before one that gave nothing is asked again: at first half of what a caller waits
-/// before it repeats its first packet, and so much at most that a seed that is gone for
-/// good fills no log.
+/// Pauses before an instance that returned no copy is asked again. The first is half of
+/// the time after which a caller repeats its first packet; the longest keeps a seed
+/// that is gone for good from filling the log.
 const RETRY: Bounds = Bounds {
     first: Duration::from_millis(100),
     most: Duration::from_millis(400),
@@ -47,17 +49,17 @@
 pub(super) struct Search {
     pub(super) me: Member,
     pub(super) seeds: Vec<SocketAddrV4>,
-    /// Age below which a copy is as good as the store's answer.
+    /// Age below which a copy is as good as the store's response.
     pub(super) fresh: Duration,
-    /// When this instance began to follow.
+    /// When this instance started to follow.
     pub(super) begun: Instant,
-    /// Instances with a copy, as they introduce themselves.
+    /// Addresses of instances with a copy that have subscribed here.
     pub(super) introduced: watch::Receiver<Vec<SocketAddrV4>>,
     pub(super) log: Logger,
 }
 
 impl Search {
-    /// Searches until a copy that may be taken is found.
+    /// Searches until an acceptable copy is found.
     pub(super) async fn run(mut self) -> Report {
         time::sleep_until(self.begun + ASK_AFTER).await;
         let old_from = self.begun + TAKE_OLD_AFTER;
@@ -97,7 +99,7 @@
     }
 }
 
-/// The copy of an instance, as soon as it has one.
+/// Waits until an instance has a copy and returns it.
 pub(super) async fn await_copy(
     peer: SocketAddrV4,
     me: &Member,
--- a/src/replica/follow/start.rs
+++ b/src/replica/follow/start.rs
@@ -1,15 +1,17 @@
 //! The first copy of an instance that starts.
 //!
-//! Load pattern: a whole fleet loses its power and starts at once, with a store of
-//! hundreds of kilobytes and links of 10 Mbit/s. If each instance read the store,
-//! the store's own link would be full for a fifth of a second and a thin link for
-//! 0.35 s more, while every caller waits. So the first few of a zone read it, those
-//! with the widest links, and the others get a packed copy from these.
+//! Load pattern: a whole fleet loses power and starts again at once, with a store of
+//! hundreds of kilobytes and links of 10 Mbit/s. If each instance read the store, the
+//! store's own link would be full for a fifth of a second, and a slow link for another
+//! 0.35 s, while every caller waits. So only the heads of a zone read the store, which
+//! are the instances with the fastest links, and the others get a compressed copy from
+//! them.
 //!
-//! A second one: instances are restarted in turn, the store falls silent, and others
-//! are killed. Whoever starts then can only get a copy from whoever still has one, and
-//! every moment in which it asks one instance after the other, or waits for the store
-//! first, is one in which callers wait. See [`super::search`].
+//! Another load pattern: instances are restarted in turn, the store becomes
+//! unreachable, and further instances are killed. An instance that starts then can only
+//! get a copy from one that still has it. Asking one instance after the other, or
+//! waiting for the store first, would prolong the wait of callers. See
+//! [`super::search`].
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -32,32 +34,34 @@
 use crate::replica::tree;
 use crate::replica::tree::HEADS;
 
-/// Pause before an instance that does not answer yet is asked for a copy again; the store
-/// is read beside it, so that this does not go on for long.
+/// Pause before an instance that does not respond yet is asked for a copy again. The
+/// store is read in parallel, so this does not go on for long.
 const RETRY: Bounds = Bounds {
     first: Duration::from_millis(25),
     most: Duration::from_millis(25),
 };
 
-/// Where an instance that starts gets its first copy.
+/// Instances from which the first copy is requested.
 struct Feeders {
-    /// Whom to ask; nobody when this instance is a head of its zone.
+    /// Their addresses; empty when this instance is a head of its zone.
     addresses: Vec<SocketAddrV4>,
     /// How long to wait for them before the store is read as well.
     wait: Duration,
 }
 
 impl Follower {
-    /// Gets the first copy: from the store, or from an instance that has it.
+    /// Gets the first copy, from the store or from an instance that has one.
     ///
-    /// Machines that start together have their power back within 0.3 s of each
-    /// other, so that those to be asked may not be there yet. Whoever waits in vain
-    /// reads the store as well, and takes what comes first: one after the other, by
-    /// rank, from [`crate::replica::Pace::copy_wait`] on.
+    /// Machines that lose power together regain it within 0.3 s of each other, so the
+    /// instances to ask may not be running yet. An instance that gets no copy in time
+    /// also reads the store, and takes whichever arrives first. The wait starts at
+    /// [`crate::replica::Pace::copy_wait`] and grows by rank, so that they do not all
+    /// read the store at once.
     ///
-    /// While the store has not answered, all who may have a copy are asked, too. One
-    /// search goes on through all tries of the store: a copy that takes longer on a thin
-    /// link than a try and its pause would never be whole if each began it anew.
+    /// Until the store has responded, all instances that may have a copy are asked as
+    /// well. One search continues across all attempts to reach the store: on a slow link,
+    /// a copy may take longer than one attempt and its pause, and would never complete if
+    /// each attempt started again.
     pub(super) async fn begin(&mut self) -> Result<(), End> {
         let search = self.search().run();
         tokio::pin!(search);
@@ -89,16 +93,16 @@
         }
     }
 
-    /// Takes over what a search has found, while the store does not answer.
+    /// Applies the copy that a search has found while the store did not respond.
     async fn take_found(&mut self, report: Report) -> Result<(), End> {
         info!(self.sources.log, "copy of another instance taken"; "revision" => report.revision,
             "age_ms" => report.age.map(|age| age.as_millis() as u64));
-        // An upstream with an old copy is as good as any until the store answers.
+        // Until the store responds, an upstream with an old copy is as good as any other.
         self.presence = Presence::Away(Instant::now() + self.probe_pause);
         self.take(report).await
     }
 
-    /// Gets the first copy while the store answers.
+    /// Gets the first copy while the store responds.
     async fn begin_from(&mut self, feeders: Feeders) -> Result<(), End> {
         let reader = self.sources.reader.clone();
         let all = self.sources.keys.all;
@@ -121,7 +125,8 @@
         }
     }
 
-    /// Whom to ask for a copy, as the store's list of members says.
+    /// Reads the list of members from the store and returns the instances to ask for a
+    /// copy.
     async fn feeders(&mut self) -> Result<Feeders, End> {
         let reader = self.sources.reader.clone();
         let zone = register::zone_prefix(&self.sources.me.zone);
@@ -129,7 +134,8 @@
         for entry in &page.entries {
             self.enroll(&entry.key, &entry.value);
         }
-        // A page may not hold all members; who is not on it has a rank all the same.
+        // One page may not contain all members. This instance needs a rank even if it is
+        // not on the page.
         let me = self.sources.me.clone();
         self.members.entry(register::key(&me)).or_insert(me);
         self.above = None;
@@ -143,8 +149,8 @@
         })
     }
 
-    /// The copy of whichever gives one first. All are asked at once: a machine
-    /// without power does not even refuse.
+    /// The first copy that any of the instances returns. All are asked in parallel, since
+    /// a machine without power does not even refuse a connection.
     async fn copy_from_first(&self, feeders: &[SocketAddrV4]) -> Report {
         let copies = feeders
             .iter()
@@ -153,15 +159,15 @@
         report
     }
 
-    /// The copy of an instance, as soon as it has one.
+    /// Waits until an instance has a fresh copy and returns it.
     async fn copy_from(&self, feeder: SocketAddrV4) -> Report {
         let (me, log) = (&self.sources.me, &self.sources.log);
         let report = search::await_copy(feeder, me, RETRY, log).await;
         if self.is_fresh(&report) {
             return report;
         }
-        // Its owner is cut off from the store. Who took it over would use routes that
-        // have been withdrawn meanwhile.
+        // The owner of the copy is cut off from the store. With this copy, routes would be
+        // used that have been withdrawn since.
         info!(log, "copy of upstream too old"; "peer" => %feeder);
         std::future::pending().await
     }
--- a/src/replica/follow/upstream.rs
+++ b/src/replica/follow/upstream.rs
@@ -1,4 +1,4 @@
-//! Following the instance above: which one, and when to leave it.
+//! Selects the upstream to follow and decides when to leave it.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -27,15 +27,15 @@
 /// Pause before an upstream that failed is tried again.
 const REST: Duration = Duration::from_secs(2);
 
-/// The same while the store is away: an upstream that was restarted has nothing, and gets
-/// its copy from those that come back to it.
+/// The same pause while the store is unreachable: an upstream that was restarted has no
+/// copy and gets it from subscribers that return to it.
 const REST_AWAY: Duration = Duration::from_millis(500);
 
-/// Doublings of a pause at most: an upstream that was cut off for long is tried
-/// again 16 s after the cut at the latest.
+/// Maximum number of times a pause is doubled: an upstream that was cut off for long is
+/// tried again at most 16 s after it has recovered.
 const MOST_DOUBLINGS: u32 = 3;
 
-/// An upstream that failed.
+/// State of an upstream that failed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Rest {
     /// When it may be tried again.
@@ -43,38 +43,38 @@
     failures: u32,
 }
 
-/// Pause before a nearer upstream that failed is tried again, while a further one
-/// serves: it may be gone, and each try holds the present one's news up.
+/// Pause before a nearer upstream that failed is tried again while a higher one serves.
+/// The nearer one may be gone, and each attempt delays the updates of the present one.
 const MOVE_REST: Duration = Duration::from_secs(5);
 
-/// Share of the age at which others probe the store at which heads do: 0.3 s of 2 s,
-/// in which a store in its slow hours answers.
+/// Heads probe the store at this share of the age at which other instances do: 0.3 s of
+/// 2 s earlier, in which even a slow store responds.
 const HEADS_PROBE_AT: f64 = 0.85;
 
-/// Time in which an upstream tells that the store is back: its own pause between two
-/// tries, a second at most, and a call.
+/// Time within which an upstream reports the return of the store: its own pause between
+/// two attempts, at most a second, plus one call.
 const TELLS_WITHIN: Duration = Duration::from_millis(1_300);
 
-/// Why an upstream is left whose copy grows old while others do not.
+/// Reason for leaving an upstream whose copy grows old while the store responds here.
 const NO_CONTACT: &str = "no contact with the store";
 
-/// Why one is left that is not above this instance.
+/// Reason for leaving a fallback upstream, which is not above this instance.
 const DETOUR_OVER: &str = "the store answers here again";
 
-/// What happens while an upstream is followed.
+/// Events while an upstream is followed.
 enum Event {
     Heard(crate::Result<Report>),
     Tell,
     Probed(crate::Result<Batch>),
 }
 
-/// Time for a subscription and a whole copy with it. A copy of 4 MB at the size
-/// planned is packed to half a megabyte, which a link of 10 Mbit/s brings in half a
-/// second; whoever waits longer asks the store.
+/// Time limit for a subscription and the complete copy that comes with it. At the
+/// planned size, a copy of 4 MB is compressed to half a megabyte, which a 10 Mbit/s
+/// link transfers in half a second. After the limit, the store is asked.
 const COPY_PATIENCE: Duration = Duration::from_secs(4);
 
 impl Follower {
-    /// The nearest upstream that does not rest; nobody before anything is known.
+    /// The nearest upstream that is not in cooldown; `None` before the first copy.
     pub(super) fn candidate(&mut self) -> Option<SocketAddrV4> {
         self.shared.horizon()?;
         let above = self.above();
@@ -82,11 +82,12 @@
         nearest.or_else(|| self.bystander())
     }
 
-    /// Somebody to turn to when the store does not answer here and nobody above is of
-    /// use.
+    /// A fallback upstream, for when the store does not respond here and no instance
+    /// above is usable.
     ///
-    /// The first of a zone has nobody above it. Refused by the store alone, it stayed as it
-    /// was for as long, and so did whoever the store refused together with it.
+    /// The first instance of a zone has no instance above it. Without a fallback, when
+    /// the store refused only this instance, its copy stayed outdated for as long, and so
+    /// did the copies of any instances refused together with it.
     fn bystander(&mut self) -> Option<SocketAddrV4> {
         if !self.is_store_away() {
             return None;
@@ -98,7 +99,7 @@
         others.find(|address| self.may_try(address))
     }
 
-    /// The instances to follow, the best first.
+    /// Addresses of the instances to follow, the best first.
     pub(super) fn above(&mut self) -> Vec<SocketAddrV4> {
         if let Some(above) = &self.above {
             return above.clone();
@@ -110,7 +111,7 @@
         above
     }
 
-    /// Leaves an upstream alone for a while, longer each time that it fails.
+    /// Puts an upstream in cooldown, which doubles with each failure.
     fn rest(&mut self, peer: SocketAddrV4, first: Duration) {
         let failures = self.resting.get(&peer).map_or(0, |rest| rest.failures);
         let pause = first * (1 << failures.min(MOST_DOUBLINGS));
@@ -128,10 +129,11 @@
             .is_none_or(|rest| now >= rest.until)
     }
 
-    /// Follows an upstream until it fails or falls behind a store that answers here.
+    /// Follows an upstream until it fails, or its copy grows old while the store responds
+    /// here.
     ///
-    /// Whatever ends it, the store is asked next, at once: other upstreams may be
-    /// cut off together with this one, and each try would make the copy older.
+    /// In either case the store is asked next, at once: other upstreams may be cut off
+    /// together with this one, and each attempt would make the copy older.
     pub(super) async fn subscribe(&mut self, peer: SocketAddrV4) -> Result<(), End> {
         let is_above = self.above().contains(&peer);
         let Some(subscription) = self.enter(peer, is_above).await? else {
@@ -149,7 +151,7 @@
         self.catch_up().await
     }
 
-    /// Subscribes to an instance if that is of use.
+    /// Subscribes to an instance; returns `None` if its copy is of no use here.
     async fn enter(
         &mut self,
         peer: SocketAddrV4,
@@ -163,9 +165,9 @@
                 return Ok(None);
             }
         };
-        // While the store is away for all, one above with an old copy will do: news of
-        // its return comes that way. One that has no copy at all would keep the rest of
-        // the zone waiting for nothing.
+        // While the store is unreachable for all instances, an upstream above with an old
+        // copy is good enough, since it will report the store's return. One without any
+        // copy would keep the remaining instances of the zone waiting for nothing.
         let is_enough = is_above && first.age.is_some() && self.is_store_away();
         let is_news = is_above || self.is_newer(&first);
         let is_worth_it = is_enough || is_news && self.is_useful(&first);
@@ -179,8 +181,9 @@
         Ok(Some(subscription))
     }
 
-    /// Takes what an upstream tells until it is of no use any more, moving to better
-    /// ones meanwhile; the last one, and why it was left.
+    /// Applies the updates of an upstream for as long as it is useful, and moves to
+    /// better upstreams meanwhile. Returns the last upstream and the reason for leaving
+    /// it.
     async fn attend(
         &mut self,
         mut subscription: Subscription,
@@ -203,7 +206,8 @@
             match event {
                 Event::Heard(Ok(report)) => {
                     self.take(report).await?;
-                    // Two that turned to each other would stay together for good.
+                    // Otherwise two instances that fell back to each other would stay together
+                    // forever.
                     if self.detour_ends.is_some() && self.is_old() {
                         return Ok((peer, NO_CONTACT.to_owned()));
                     }
@@ -240,8 +244,9 @@
         }
     }
 
-    /// After an instance that is of no use: the store is next, unless it is known not to
-    /// answer and there may be others to try.
+    /// Called after an attempt to follow an instance that was of no use. The store is
+    /// asked next, unless it is known not to respond and other fallback upstreams may
+    /// remain.
     async fn leave(&mut self, was_above: bool) -> Result<(), End> {
         if was_above || !self.is_store_away() {
             return self.catch_up().await;
@@ -254,8 +259,9 @@
         self.shared.set_detour(is_detour);
     }
 
-    /// Asks the store what is new of the servers, beside the upstream. The large value
-    /// is left out: on a thin link its versions would hold up the answer for seconds.
+    /// Polls the store for changes of servers while an upstream is followed. The large
+    /// value is excluded: on a slow link, its versions would delay the response for
+    /// seconds.
     fn probe_store(&self) -> impl Future<Output = crate::Result<Batch>> + Send + use<> {
         let reader = self.sources.reader.clone();
         let small = self.sources.keys.small;
@@ -263,9 +269,9 @@
         async move { reader.poll(small, horizon, Duration::ZERO).await }
     }
 
-    /// Heads probe a little earlier than the others, which turn to a head that the store
-    /// serves when it does not serve them. On a detour the store is tried now and then
-    /// although the copy is young, so that it ends.
+    /// Heads probe a little earlier than other instances, which turn to a head that has
+    /// contact with the store when they have none. On a fallback upstream, the store is
+    /// probed from time to time even if the copy is young, so that the fallback ends.
     fn is_probe_due(&mut self) -> bool {
         if self.detour_ends.is_some_and(|end| Instant::now() >= end) {
             return true;
@@ -277,7 +283,8 @@
         age.is_none_or(|age| age > due)
     }
 
-    /// Whether the upstream should be left: the store answers here and not there.
+    /// Applies the result of a probe; returns whether the upstream should be left because
+    /// the store responds here but not there.
     async fn take_probe(&mut self, probed: crate::Result<Batch>) -> Result<bool, End> {
         let is_upstream_old = self.is_probe_due();
         match probed {
@@ -289,14 +296,15 @@
             Err(error) => {
                 self.fail(&error).await?;
                 self.detour_ends = self.detour_ends.map(|_| Instant::now() + self.probe_pause);
-                // A store that has dropped the history answers.
+                // A store that has dropped the history does respond.
                 Ok(is_upstream_old && store::needs_listing(&error))
             }
         }
     }
 
-    /// Whether this is the first answer after an outage. The upstream, which asks from
-    /// second to second, is about to tell of it; the store is probed again if it does not.
+    /// Whether this is the first response after an outage. The upstream, which polls
+    /// about once a second, is about to report the store's return itself; if it does not,
+    /// the store is probed again.
     fn is_just_back(&mut self) -> bool {
         let is_just_back = matches!(self.presence, Presence::Away(_));
         if is_just_back {
@@ -305,7 +313,7 @@
         is_just_back
     }
 
-    /// Moves to any other instance above that has heard the store lately.
+    /// Moves to any other instance above that had contact with the store recently.
     async fn move_to_any(
         &mut self,
         peer: SocketAddrV4,
@@ -321,7 +329,8 @@
         Ok(None)
     }
 
-    /// Tells the upstream what speaks against servers, and once that nothing does.
+    /// Reports request outcomes to the upstream while there are failures, and once more
+    /// after the last failure has expired.
     async fn tell(
         &self,
         subscription: &mut Subscription,
@@ -336,7 +345,8 @@
         Ok(())
     }
 
-    /// Subscribes, and waits for all that the upstream knows more.
+    /// Subscribes, and waits for all changes that the upstream has and this instance
+    /// lacks.
     async fn join(&self, peer: SocketAddrV4) -> crate::Result<(Subscription, Report)> {
         let me = &self.sources.me;
         let (horizon, bases) = (self.shared.horizon(), self.shared.bases());
@@ -354,15 +364,16 @@
         report.age.is_some_and(|age| age < self.sources.pace.fresh)
     }
 
-    /// Whether an upstream with this report is worth a subscription. One that follows
-    /// somebody below it is for those only whom the store does not serve either: two that
-    /// follow each other would both believe the other's word for the store's.
+    /// Whether an upstream that sends this update is worth a subscription. An upstream
+    /// that itself follows a fallback is of use only to instances that cannot reach the
+    /// store either: two instances that follow each other would both take the other's age
+    /// for contact with the store.
     fn is_useful(&self, report: &Report) -> bool {
         self.is_fresh(report) && (!report.is_detour || self.is_store_away())
     }
 
-    /// Whether a report is of a later contact with the store than this instance's. What
-    /// follows this instance tells its own contact back to it, some moments older.
+    /// Whether an update shows a later contact with the store than this instance's own.
+    /// An instance that follows this one reports this one's contact back, slightly older.
     fn is_newer(&self, report: &Report) -> bool {
         let own = self.shared.age(Instant::now()).unwrap_or(Duration::MAX);
         report.age.is_some_and(|age| age + HEARTBEAT < own)
@@ -374,19 +385,20 @@
         Ok(self.sender.send(Update::Source { upstream }).await?)
     }
 
-    /// An instance that should be followed rather than this one, if any.
+    /// A better upstream than the present one, if any.
     ///
-    /// Who starts together with many others finds its place taken or its upstream
-    /// not yet there and goes further up. If it stayed, the first instance of the
-    /// zone would be full of subscribers that are not its own, refuse those that
-    /// are, and these would each ask the store for all they need.
+    /// An instance that starts together with many others finds its place taken, or its
+    /// upstream not running yet, and subscribes higher up. If it stayed there, the first
+    /// instance of the zone would fill up with subscribers of others and refuse its own,
+    /// which would then each ask the store for everything.
     fn nearer(&mut self, peer: SocketAddrV4) -> Option<SocketAddrV4> {
         let above = self.above();
         let mut nearer = above.into_iter().take_while(|address| *address != peer);
         nearer.find(|address| self.may_try(address))
     }
 
-    /// Subscribes to a nearer instance; the present subscription stays until then.
+    /// Subscribes to a nearer instance; the present subscription is kept until this
+    /// succeeds.
     async fn move_to(&mut self, nearer: SocketAddrV4) -> Result<Option<Subscription>, End> {
         self.rest(nearer, MOVE_REST);
         match self.join(nearer).await {
--- a/src/replica/handover.rs
+++ b/src/replica/handover.rs
@@ -1,13 +1,15 @@
-//! When an instance that stops may take its copy with it.
+//! Decides when an instance that stops may discard its copy.
 //!
-//! Load pattern: instances are restarted in turn, half a second apart, and the store falls
-//! silent. Each that ends takes a copy with it and starts with none, until nobody has
-//! one: for two seconds no instance of a site knew a server.
+//! Load pattern: instances are restarted in turn, half a second apart, and the store
+//! becomes unreachable. Each instance that stops discards a copy and starts without
+//! one, until no instance has one: for two seconds no instance of a site knew any
+//! server.
 //!
-//! A copy may go when whoever starts next can get the same from the store, or from two
-//! others that stay. Two, since one of them may be killed in the next moment. Weighed: to
-//! stay until the grace time is over whatever others have. Then instances restarted in
-//! turn are all on their way out at the same time, and none is ready.
+//! A copy may be discarded when a starting instance can get the same content from the
+//! store, or from two other instances that are not stopping. Two are required because
+//! one of them may be killed at the next moment. The alternative, to wait for the end
+//! of the grace time whatever the others have, was rejected: instances restarted in
+//! turn would then all be stopping at the same time, and none would be ready.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -27,19 +29,20 @@
 use crate::replica::subscribe::Subscription;
 use crate::replica::tree;
 
-/// Time for an answer of the store. It takes 4 ms, in slow hours 250.
+/// Time limit for a response of the store, which takes 4 ms, and up to 250 ms when the
+/// store is slow.
 const ANSWERS_WITHIN: Duration = Duration::from_millis(400);
 
-/// Pause before the store and the others are asked again.
+/// Pause before the store and the other instances are asked again.
 const RETRY: Duration = Duration::from_millis(300);
 
-/// Others that must have the copy.
+/// Other instances that must have the copy.
 const KEEPERS: usize = 2;
 
-/// Others that are asked at once, those of the own zone first.
+/// Maximum other instances that are asked at once, those of the own zone first.
 const MOST_ASKED: usize = 12;
 
-/// What decides whether a copy may go.
+/// Decides whether the copy may be discarded.
 pub(crate) struct Handover {
     pub(crate) reader: Reader,
     pub(crate) me: Member,
@@ -48,7 +51,7 @@
 }
 
 impl Handover {
-    /// Waits until the copy may go; at once when there is none.
+    /// Waits until the copy may be discarded; returns at once when there is none.
     pub(crate) async fn wait(&self) {
         while let Some(horizon) = self.shared.horizon() {
             if self.is_store_there(horizon).await || self.is_kept(horizon).await {
@@ -59,7 +62,7 @@
     }
 
     async fn is_store_there(&self, horizon: u64) -> bool {
-        // Few keys change there, so that the answer is short.
+        // Few keys change under this prefix, so the response is short.
         let asked = self.reader.poll(register::PREFIX, horizon, Duration::ZERO);
         match time::timeout(ANSWERS_WITHIN, asked).await {
             Ok(Ok(_) | Err(Error::Compacted { .. })) => true,
@@ -74,7 +77,8 @@
         }
     }
 
-    /// Whether enough others that stay know all that is known here.
+    /// Whether enough other instances, which are not stopping, have everything that is
+    /// known here.
     async fn is_kept(&self, horizon: u64) -> bool {
         let others = self.others();
         let asked = others.iter().map(|other| self.ask(*other, horizon));
@@ -97,7 +101,8 @@
         others.into_iter().take(MOST_ASKED).collect()
     }
 
-    /// What another instance knows more. It learns where this one can be asked.
+    /// Asks another instance for its newer changes, which also gives it the address of
+    /// this instance.
     async fn ask(&self, other: SocketAddrV4, horizon: u64) -> Option<Report> {
         let bases = self.shared.bases();
         let joined = Subscription::join(other, &self.me, Some(horizon), bases).await;
--- a/src/replica/inbox.rs
+++ b/src/replica/inbox.rs
@@ -1,4 +1,4 @@
-//! What a subscriber makes of the parts that it is sent.
+//! Reassembles the parts that a subscriber receives.
 
 use std::collections::HashMap;
 
@@ -13,36 +13,36 @@
 use crate::replica::pack;
 use crate::replica::pack::Base;
 
-/// Why a part does not fit.
+/// Why a part is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Misfit {
-    /// It does not begin where the part before it ended.
+    /// It does not begin where the previous part ended.
     #[error("a part is missing")]
     Gap,
-    /// It claims more bytes than any value has.
+    /// It declares more bytes than any value may have.
     #[error("a value of {0} bytes is too large")]
     TooLarge(u64),
-    /// It was packed against a value that is not known here.
+    /// It was compressed against a value that is not known here.
     #[error("packed against revision {0}, which is not known here")]
     UnknownBase(u64),
-    /// It cannot be unpacked.
+    /// It cannot be decompressed.
     #[error("not unpacked: {0}")]
     Unpacked(String),
-    /// It is not the value that was sent.
+    /// The decompressed value is not the one that was sent.
     #[error("another value than was sent")]
     WrongDigest,
 }
 
-/// What parts make when they are complete.
+/// A value whose parts are complete.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Complete {
-    /// All entries, up to a revision.
+    /// All entries, and the revision up to which they are complete.
     Copy(Vec<Entry>, u64),
     /// One large entry.
     Entry(Entry),
 }
 
-/// The subscriber's end: puts parts together.
+/// Joins the parts that a subscriber receives.
 #[derive(Debug, Default)]
 pub struct Inbox {
     bases: HashMap<String, Base>,
@@ -51,7 +51,7 @@
 }
 
 impl Inbox {
-    /// An inbox of an instance that has these values.
+    /// Creates an assembler for a subscriber that has these values.
     pub fn new(bases: Vec<Base>) -> Self {
         let bases = bases.into_iter().map(|base| (base.key.clone(), base));
         Self {
@@ -60,11 +60,11 @@
         }
     }
 
-    /// Takes a part in.
+    /// Adds a part; returns the value when the part completes it.
     ///
     /// # Errors
     ///
-    /// Says why it does not fit; the subscription has to begin anew then.
+    /// Returns why the part is rejected. The subscription must then start again.
     pub fn take(&mut self, part: Part) -> Result<Option<Complete>, Misfit> {
         let is_first = part.offset == 0;
         let is_same = |head: &Part| {
@@ -77,7 +77,8 @@
         } else if !follows || part.offset != self.packed.len() as u64 {
             return Err(Misfit::Gap);
         }
-        // Packed values are smaller than the values, but for some bytes.
+        // Compressed values are smaller than the values themselves, or only a few bytes
+        // larger.
         let most = LARGEST as u64;
         let held = self.packed.len() as u64 + part.bytes.len() as u64;
         if part.size > most || held > most {
@@ -127,7 +128,7 @@
     fn complete_copy(&mut self, value: Bytes, revision: u64) -> Result<Complete, Misfit> {
         let rows = Rows::decode(value).map_err(|error| Misfit::Unpacked(error.to_string()))?;
         let entries = rows.rows.into_iter().filter_map(|row| {
-            // A copy of its own: a part of the message would hold all of it.
+            // Copied, since a slice would keep the whole message in memory.
             let value = Bytes::copy_from_slice(&row.value?);
             let (key, mod_revision) = (row.key, row.mod_revision);
             Some(Entry {
--- a/src/replica/message.rs
+++ b/src/replica/message.rs
@@ -1,9 +1,10 @@
 //! Messages between an instance and its subscribers.
 //!
-//! Length-delimited over one connection: the subscriber says what it knows, and
-//! from then on only the other side speaks. Small rows go in messages of bounded size;
-//! large values and whole copies go in parts, between which small rows find their way.
-//! The derives need no generator.
+//! Messages are length-delimited on one connection. The subscriber sends what it has,
+//! and from then on only its reports of request outcomes, while the other side sends
+//! updates. Small rows are sent in messages of bounded size; large values and complete
+//! copies are sent in parts, with small rows in between. The prost derives need no code
+//! generator.
 
 use std::io;
 
@@ -20,25 +21,25 @@
 use crate::replica::pack;
 use crate::replica::pack::Base;
 
-/// Largest message that is read, in bytes: many times what one holds by [`PART`] and
-/// [`ROWS`], and little enough for a machine of 80 MB.
+/// Largest message that is read, in bytes: many times the size that [`MAX_PART_BYTES`]
+/// and [`MAX_ROWS_BYTES`] allow, and small enough for a machine with 80 MB.
 const LARGEST_MESSAGE: usize = 4 << 20;
 
-/// Largest value or whole copy, in bytes, unpacked: a copy of a store with 6,400
+/// Largest uncompressed value or complete copy, in bytes. A copy of a store with 6,400
 /// servers and 3,700 routes is 4 MB.
 pub(crate) const LARGEST: usize = 16 << 20;
 
-/// Bytes of a packed value in one message: 7 ms on a link of 10 Mbit/s, which is
-/// what a small row waits for at most.
+/// Maximum bytes of a compressed value in one message: 7 ms on a 10 Mbit/s link, which
+/// is the longest wait of a small row.
 pub(crate) const PART: usize = 8 << 10;
 
-/// Bytes of small rows in one message. Sixteen subscribers that share a link of
-/// 2 Mbit/s, the thinnest known, each hear something every 0.5 s with it; they leave
+/// Maximum bytes of small rows in one message. With it, 16 subscribers that share a
+/// link of 2 Mbit/s, the slowest in use, each receive a message every 0.5 s; they leave
 /// after 0.8 s of silence.
 pub(crate) const ROWS: usize = 8 << 10;
 
-/// Bytes of rows from which they are packed. Entries of servers are alike: forty of
-/// them take 709 bytes in place of 6,327. A few are not worth the compressor's time.
+/// Minimum bytes of rows that are compressed. Entries of servers are similar: 40 of
+/// them take 709 bytes instead of 6,327. A few are not worth the CPU time.
 const PACK_FROM: usize = 1 << 10;
 
 pub(crate) fn codec() -> LengthDelimitedCodec {
@@ -50,49 +51,49 @@
 /// A large value that the subscriber has.
 #[derive(Clone, PartialEq, Message)]
 pub struct Held {
-    /// Its key.
+    /// The key.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// Revision of the store at which it was written.
+    /// Revision of the store at which the value was written.
     #[prost(uint64, tag = "2")]
     pub mod_revision: u64,
 }
 
-/// What a subscriber knows.
+/// A subscriber's request, with what it already has.
 #[derive(Clone, PartialEq, Message)]
 pub struct Subscribe {
     /// Name of the subscriber.
     #[prost(string, tag = "1")]
     pub instance: String,
-    /// Revision up to which it knows everything; none when it knows nothing.
+    /// Revision up to which the subscriber has all changes; `None` without a copy.
     #[prost(uint64, optional, tag = "2")]
     pub horizon: Option<u64>,
-    /// Large values against which it can be told newer ones.
+    /// Large values against which newer versions can be compressed.
     #[prost(message, repeated, tag = "3")]
     pub held: Vec<Held>,
-    /// Where it takes subscriptions itself.
+    /// Address at which the subscriber itself accepts subscribers.
     #[prost(string, tag = "4")]
     pub address: String,
-    /// Whether one heartbeat is all that is asked for.
+    /// Whether the sender only wants a single heartbeat, as a liveness probe.
     #[prost(bool, tag = "5")]
     pub is_look: bool,
 }
 
-/// One key.
+/// The newest change of one key.
 #[derive(Clone, PartialEq, Message)]
 pub struct Row {
     /// The key.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// None when the key was deleted.
+    /// The value; `None` when the key was deleted.
     #[prost(bytes = "bytes", optional, tag = "2")]
     pub value: Option<Bytes>,
-    /// Revision of the store at which it changed.
+    /// Revision of the store at which the key changed.
     #[prost(uint64, tag = "3")]
     pub mod_revision: u64,
 }
 
-/// All rows of a copy, as they are packed.
+/// All rows of a copy, as input of the compression.
 #[derive(Clone, PartialEq, Message)]
 pub struct Rows {
     /// The rows.
@@ -100,78 +101,78 @@
     pub rows: Vec<Row>,
 }
 
-/// Rows packed together.
+/// Rows compressed together.
 #[derive(Clone, PartialEq, Message)]
 pub struct Packed {
-    /// Bytes of the rows, unpacked.
+    /// Size of the uncompressed rows, in bytes.
     #[prost(uint64, tag = "1")]
     pub size: u64,
-    /// The rows, packed.
+    /// The compressed rows.
     #[prost(bytes = "bytes", tag = "2")]
     pub bytes: Bytes,
 }
 
-/// A part of a packed value. Parts of one value follow each other.
+/// A part of a compressed value. The parts of a value are sent in order.
 #[derive(Clone, PartialEq, Message)]
 pub struct Part {
-    /// The value's key; empty for a whole copy.
+    /// The value's key; empty for a complete copy.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// Revision at which the value was written, or up to which the copy is whole.
+    /// Revision at which the value was written, or up to which the copy is complete.
     #[prost(uint64, tag = "2")]
     pub mod_revision: u64,
-    /// Revision of the subscriber's value that it was packed against; 0 for none.
+    /// Revision of the subscriber's value that it was compressed against; 0 for none.
     #[prost(uint64, tag = "3")]
     pub base_revision: u64,
-    /// Bytes of the value, unpacked.
+    /// Size of the uncompressed value, in bytes.
     #[prost(uint64, tag = "4")]
     pub size: u64,
-    /// Digest of the value, unpacked.
+    /// Digest of the uncompressed value.
     #[prost(fixed64, tag = "5")]
     pub digest: u64,
-    /// Where these bytes begin in the packed value.
+    /// Offset of these bytes in the compressed value.
     #[prost(uint64, tag = "6")]
     pub offset: u64,
-    /// Bytes of the packed value.
+    /// Bytes of the compressed value.
     #[prost(bytes = "bytes", tag = "7")]
     pub bytes: Bytes,
-    /// Whether the value is complete with them.
+    /// Whether this is the last part of the value.
     #[prost(bool, tag = "8")]
     pub is_last: bool,
 }
 
-/// News for a subscriber; a heartbeat when there is neither row nor part.
+/// An update for a subscriber; a heartbeat when it has neither rows nor a part.
 #[derive(Clone, PartialEq, Message)]
 pub struct News {
     /// Small rows.
     #[prost(message, repeated, tag = "2")]
     pub rows: Vec<Row>,
-    /// Revision up to which the subscriber knows everything with this message.
+    /// Revision up to which the subscriber has all changes after this message.
     #[prost(uint64, tag = "3")]
     pub revision: u64,
-    /// Time since the sender's last contact with the store, in milliseconds;
-    /// none when it never had any, and while the subscriber waits for a copy or rows.
+    /// Time since the sender's last contact with the store, in milliseconds; `None` when
+    /// there was none, and while the subscriber still lacks a copy or rows.
     #[prost(uint64, optional, tag = "4")]
     pub age_ms: Option<u64>,
-    /// Part of a large value or a whole copy.
+    /// Part of a large value or of a complete copy.
     #[prost(message, optional, tag = "5")]
     pub part: Option<Part>,
-    /// Whether a whole copy is on its way.
+    /// Whether a complete copy is being sent.
     #[prost(bool, tag = "6")]
     pub awaits_copy: bool,
-    /// What the zone's instances counted against servers.
+    /// Request outcomes counted by the zone's instances.
     #[prost(message, repeated, tag = "7")]
     pub remarks: Vec<Remark>,
     /// Whether more small rows follow at once.
     #[prost(bool, tag = "8")]
     pub has_more: bool,
-    /// Small rows beside the others, packed.
+    /// Further small rows, compressed.
     #[prost(message, optional, tag = "9")]
     pub packed: Option<Packed>,
-    /// Whether the sender follows an instance that is not above it.
+    /// Whether the sender follows a fallback upstream, which is not above it in the tree.
     #[prost(bool, tag = "10")]
     pub is_detour: bool,
-    /// Whether the sender is about to end.
+    /// Whether the sender is about to stop.
     #[prost(bool, tag = "11")]
     pub is_leaving: bool,
     /// Whether the sender has withdrawn from its routers.
@@ -180,11 +181,11 @@
 }
 
 impl News {
-    /// Packs the rows if there are many.
+    /// Compresses the rows if there are many.
     ///
     /// # Errors
     ///
-    /// Fails when the compressor does.
+    /// Returns an error if the compressor fails.
     pub fn pack_rows(&mut self) -> io::Result<()> {
         let size: usize = self.rows.iter().map(Message::encoded_len).sum();
         if size < PACK_FROM {
@@ -199,11 +200,11 @@
         Ok(())
     }
 
-    /// Unpacks the rows if they are packed.
+    /// Decompresses the rows if they are compressed.
     ///
     /// # Errors
     ///
-    /// Fails when they are none that were packed, or too many.
+    /// Returns an error if the data is not a valid compression of rows, or is too large.
     pub fn unpack_rows(&mut self) -> io::Result<()> {
         let Some(packed) = self.packed.take() else {
             return Ok(());
@@ -211,7 +212,7 @@
         let most = packed.size.min(LARGEST_MESSAGE as u64);
         let plain = pack::unpack(&packed.bytes, b"", most as usize)?;
         let packed = Rows::decode(plain).map_err(io::Error::other)?;
-        // A copy of their own: a part of the message would hold all of it.
+        // Copied, since a slice would keep the whole message in memory.
         let rows = packed.rows.into_iter().map(|row| Row {
             value: row.value.map(|value| Bytes::copy_from_slice(&value)),
             ..row
@@ -269,7 +270,7 @@
     }
 }
 
-/// Reads a message.
+/// Decodes a message.
 pub(crate) fn decode<T: Message + Default>(
     step: &'static str,
     peer: &str,
--- a/src/replica/outbox.rs
+++ b/src/replica/outbox.rs
@@ -1,10 +1,10 @@
-//! What one subscriber is told next.
+//! Decides what a subscriber is sent next.
 //!
-//! Load pattern: a configuration of hundreds of kilobytes changes many times a
-//! second while servers come and go, and sixteen subscribers share a thin link.
-//! So small rows go first, at once; a large value goes in parts beside them,
-//! as its newest version at the moment when its turn comes, packed against the
-//! version that the subscriber has; and versions in between are never sent.
+//! Load pattern: a configuration of hundreds of kilobytes changes many times a second
+//! while servers register and drain, and 16 subscribers share a slow link. So small
+//! rows are sent first and at once. A large value is sent in parts beside them, as the
+//! newest version at the time its turn comes, compressed against the version that the
+//! subscriber has. Intermediate versions are never sent.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -28,60 +28,63 @@
 use crate::replica::pack;
 use crate::replica::pack::Base;
 
-/// A packed value, or whole copy, that is being sent.
+/// A compressed value or complete copy that is being sent.
 #[derive(Clone, Debug)]
 struct Parcel {
-    /// Everything but offset, bytes and end.
+    /// Fields that all parts have in common; `offset`, `bytes` and `is_last` are set for
+    /// each part.
     head: Part,
     packed: Bytes,
     sent: usize,
-    /// What it brings, for the next one to be packed against.
+    /// The value that the subscriber has after the transfer, as a base for later ones;
+    /// `None` for a complete copy.
     base: Option<Base>,
 }
 
-/// How far what a subscriber lacks has been noted.
+/// Up to where the changes that the subscriber lacks have been queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Told {
-    /// Nothing that counts: it needs a whole copy.
+    /// The subscriber has nothing usable and needs a complete copy.
     Nothing,
-    /// Everything up to a revision, told before this subscription.
+    /// Everything up to a revision, which the subscriber had before this subscription.
     Revision(u64),
-    /// Nothing yet, but everything up to a place when its copy has been sent.
+    /// A copy is being sent, which brings everything up to a sequence number.
     Copying(Place),
-    /// Everything up to a place: told, or waiting to be.
+    /// Everything up to a sequence number has been sent or queued.
     Place(Place),
 }
 
-/// How a value is packed against what the subscriber has of it.
+/// Compresses a value against the subscriber's version of it, if any.
 pub type Packing<'a> = &'a dyn Fn(&Base, Option<&Base>) -> io::Result<Bytes>;
 
-/// What has not been sent to a subscriber.
+/// What is queued for a subscriber.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Waiting {
-    /// Small rows.
+    /// Number of small rows.
     pub(crate) rows: usize,
-    /// Bytes of what is on its way in parts.
+    /// Remaining bytes of the value that is being sent in parts.
     pub(crate) bytes: usize,
 }
 
-/// What a subscriber has been told, and what is on its way to it.
+/// What a subscriber has been sent and what is queued for it.
 #[derive(Debug)]
 pub struct Outbox {
     told: Told,
     /// Large values that the subscriber has.
     bases: HashMap<String, Base>,
-    /// Large keys whose newest change it lacks, with the first revision lacking.
+    /// Large keys whose newest change the subscriber lacks, each with the first revision
+    /// that it lacks.
     lacking: BTreeMap<String, u64>,
-    /// Small rows that it lacks.
+    /// Small rows that the subscriber lacks.
     backlog: Backlog,
     parcel: Option<Parcel>,
-    /// Revision that the subscriber came with.
+    /// Revision up to which the subscriber was complete when it subscribed.
     known: Option<u64>,
 }
 
 impl Outbox {
-    /// The outbox of a subscriber that comes with this; `bases` are those of the
-    /// values it holds that are known here.
+    /// Creates the outbox for a subscription; `bases` are those of the subscriber's large
+    /// values that are known here.
     pub fn new(subscribe: &Subscribe, bases: Vec<Base>) -> Self {
         let bases = bases.into_iter().map(|base| (base.key.clone(), base));
         Self {
@@ -94,17 +97,17 @@
         }
     }
 
-    /// Whether the subscriber waits for a whole copy.
+    /// Whether the subscriber needs a complete copy.
     pub fn awaits_copy(&self) -> bool {
         matches!(self.told, Told::Nothing | Told::Copying(_))
     }
 
-    /// Whether there is something to send in parts.
+    /// Whether there is anything to send in parts.
     pub fn has_parts(&self) -> bool {
         self.parcel.is_some() || !self.lacking.is_empty() || self.awaits_copy()
     }
 
-    /// What has not been sent.
+    /// What is queued for the subscriber.
     pub(crate) fn waiting(&self) -> Waiting {
         let parcel = self.parcel.as_ref();
         Waiting {
@@ -113,12 +116,12 @@
         }
     }
 
-    /// The next message: small rows that the subscriber lacks, and a part of what is
-    /// large if `may_send` allows its bytes.
+    /// Returns the next message: small rows that the subscriber lacks, and a part of a
+    /// large value if `may_send` allows its bytes.
     ///
     /// # Errors
     ///
-    /// Fails when a large value cannot be packed.
+    /// Returns an error if a large value cannot be compressed.
     pub fn compose(
         &mut self,
         copy: &Copy,
@@ -133,7 +136,7 @@
             Some(bytes) if may_send(bytes) => self.take_part(copy),
             _ => None,
         };
-        // With the last part of a copy goes what came after it.
+        // Changes after the snapshot go out with the last part of a copy.
         self.gather(copy);
         let rows = self.backlog.take(ROWS);
         let has_more = !self.backlog.is_empty();
@@ -141,7 +144,7 @@
         Ok(News {
             rows,
             revision: self.revision(copy),
-            // No age: whoever is told one believes that it lacks nothing.
+            // A subscriber that receives an age considers its copy complete.
             age_ms: age_ms.filter(|_| !awaits_copy && !has_more),
             part,
             awaits_copy: awaits_copy && copy.horizon().is_some(),
@@ -154,7 +157,7 @@
         })
     }
 
-    /// Notes what has changed since the last time; nothing while a copy is awaited.
+    /// Queues the changes since the last call; none while a copy is needed.
     fn gather(&mut self, copy: &Copy) {
         let (changes, place) = match self.told {
             Told::Nothing | Told::Copying(_) => return,
@@ -167,8 +170,8 @@
         }
     }
 
-    /// Begins anew with a whole copy when changes have been forgotten that the
-    /// subscriber was not told.
+    /// Starts again with a complete copy when deletions have been pruned that the
+    /// subscriber was not sent.
     fn check_history(&mut self, copy: &Copy) {
         let is_behind = match self.told {
             Told::Nothing => false,
@@ -183,7 +186,7 @@
         }
     }
 
-    /// A small change is told as a row, a large one in parts.
+    /// Queues a small change as a row, and a large one for sending in parts.
     fn sort(&mut self, change: Change) {
         let revision = change.mod_revision();
         match &change {
@@ -198,8 +201,8 @@
         }
     }
 
-    /// Revision up to which the subscriber knows everything: what is still to come
-    /// holds it back.
+    /// Revision up to which the subscriber has all changes, which is below that of any
+    /// queued change.
     fn revision(&self, copy: &Copy) -> u64 {
         if self.awaits_copy() {
             return self.known.unwrap_or_default();
@@ -210,7 +213,7 @@
         first.map_or(horizon, |first| horizon.min(first - 1))
     }
 
-    /// Prepares the next value to be sent in parts, if none is on its way.
+    /// Prepares the next value to be sent in parts, if none is being sent.
     fn prepare(&mut self, copy: &Copy, pack: Packing<'_>) -> io::Result<()> {
         if self.parcel.is_some() {
             return Ok(());
@@ -218,9 +221,9 @@
         if self.awaits_copy() {
             return self.prepare_copy(copy, pack);
         }
-        // One at a time, the first key first: there is hardly ever a second one.
+        // One key at a time, in order: there is hardly ever a second one.
         while let Some(key) = self.lacking.keys().next().cloned() {
-            // What has been deleted, or has become small, is told as a row.
+            // A key that was deleted, or whose value is small now, is sent as a row.
             let Some(entry) = copy.get(&key).filter(|entry| copy::is_large(entry)) else {
                 self.lacking.remove(&key);
                 continue;
@@ -262,13 +265,13 @@
         Ok(())
     }
 
-    /// Bytes of the next part; `None` when nothing is on its way.
+    /// Size of the next part in bytes; `None` when nothing is being sent.
     pub fn next_part(&self) -> Option<usize> {
         let parcel = self.parcel.as_ref()?;
         Some((parcel.packed.len() - parcel.sent).min(PART))
     }
 
-    /// Takes the next part of what is on its way.
+    /// Takes the next part of the value that is being sent.
     fn take_part(&mut self, copy: &Copy) -> Option<Part> {
         let parcel = self.parcel.as_mut()?;
         let part = parcel.next();
--- a/src/replica/pacer.rs
+++ b/src/replica/pacer.rs
@@ -1,8 +1,8 @@
-//! How many bytes a second go to all subscribers together.
+//! Limits the bytes per second sent to all subscribers together.
 //!
-//! Subscribers share this instance's link with callers. When a large value
-//! changes, sixteen of them want it at once; unpaced, they fill the queue of a
-//! thin link for seconds, and callers' packets and heartbeats wait behind it.
+//! Subscribers share this instance's link with callers. When a large value changes, 16
+//! subscribers need it at once. Without a limit they fill the queue of a slow link for
+//! seconds, and callers' packets and heartbeats wait behind it.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -16,12 +16,12 @@
 use crate::platform::allowance::Rate;
 use crate::replica::Bandwidth;
 
-/// Part of this instance's link that subscribers may fill. Callers' packets on
-/// the links known take a tenth of them, so that half leaves room for a burst.
+/// Share of this instance's link that subscribers may fill. Callers' packets take a
+/// tenth of the links in use, so that half leaves room for a burst.
 const SHARE: f64 = 0.5;
 
-/// Pause before the next look when the bucket is empty: on the thinnest link
-/// known, 2 Mbit/s, a part takes about this long.
+/// Pause before the budget is checked again when it is used up. On the slowest link in
+/// use, 2 Mbit/s, a part takes about this long.
 const LOOK_EVERY: Duration = Duration::from_millis(20);
 
 /// A byte budget, shared by the tasks of all subscribers.
@@ -42,17 +42,18 @@
         self.bucket.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether a part of this many bytes may go out now; it is counted if so.
+    /// Whether a part of this many bytes may be sent now; if so, it is charged to the
+    /// budget.
     pub(crate) fn may_send(&self, bytes: usize, now: Instant) -> bool {
         self.lock().borrow(bytes, now)
     }
 
-    /// Counts bytes that go out in any case.
+    /// Charges bytes that are sent in any case.
     pub(crate) fn count(&self, bytes: usize, now: Instant) {
         self.lock().drain(bytes, now);
     }
 
-    /// Waits until it is worth asking again.
+    /// Waits until the budget may allow another part.
     pub(crate) async fn rest(&self) {
         time::sleep(LOOK_EVERY).await;
     }
--- a/src/replica/pack.rs
+++ b/src/replica/pack.rs
@@ -1,9 +1,9 @@
-//! Large values on their way to subscribers: compressed, as what is new against
-//! a value that the subscriber has.
+//! Compression of large values for subscribers, as the difference from a value that the
+//! subscriber has.
 //!
-//! A configuration of 1,250 routes has 205 KB, of which a change touches some
-//! hundred bytes. Sent whole to sixteen subscribers over 10 Mbit/s, each version
-//! took 2.6 s; against the version before it has a few hundred bytes.
+//! A configuration of 1,250 routes has 205 KB, of which a change touches some hundred
+//! bytes. Sent whole to 16 subscribers over 10 Mbit/s, each version took 2.6 s.
+//! Compressed against the previous version, it has a few hundred bytes.
 
 use std::collections::VecDeque;
 use std::hash::Hasher;
@@ -19,24 +19,24 @@
 
 use crate::platform::Entry;
 
-/// Level of compression. For one route changed in a configuration of 196 KB it
-/// finds 42 bytes in 1.2 ms; the levels below find 3.9 KB in 0.6 ms, those above
-/// no less in twice the time.
+/// Compression level. For one changed route in a configuration of 196 KB it yields 42
+/// bytes in 1.2 ms. Lower levels yield 3.9 KB in 0.6 ms; higher ones yield no less in
+/// twice the time.
 const LEVEL: i32 = 3;
 
-/// Packed values kept for further subscribers.
+/// Maximum compressed values kept for further subscribers.
 const MOST_PACKED: usize = 8;
 
-/// Earlier values of large keys kept, against which later ones can be told to a
-/// subscriber that comes with one of them.
+/// Maximum earlier versions of large values kept as bases for subscribers that still
+/// have one of them.
 const MOST_EARLIER: usize = 4;
 
-/// A large value that somebody has.
+/// A large value that a subscriber has, as a base for newer versions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Base {
-    /// Its key.
+    /// The key.
     pub key: String,
-    /// Revision of the store at which it was written.
+    /// Revision of the store at which the value was written.
     pub mod_revision: u64,
     /// The value.
     pub value: Bytes,
@@ -52,42 +52,42 @@
     }
 }
 
-/// Identifies content: both ends compute it, and what was put together wrongly
-/// differs.
+/// Hash of a value, computed at both ends to detect values that were reassembled
+/// wrongly.
 pub fn digest(value: &[u8]) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write(value);
     hasher.finish()
 }
 
-/// Compresses a value against a base, which is empty when there is none.
+/// Compresses a value against a base; an empty base means none.
 ///
 /// # Errors
 ///
-/// Fails when the compressor does, which means that memory is used up.
+/// Returns an error if the compressor fails, which means that memory is exhausted.
 pub fn pack(value: &[u8], base: &[u8]) -> io::Result<Bytes> {
     let mut compressor = Compressor::with_dictionary(LEVEL, base)?;
     compressor.compress(value).map(Bytes::from)
 }
 
-/// The value again.
+/// Decompresses a value.
 ///
 /// # Errors
 ///
-/// Fails when the bytes are none that [`pack`] made against this base, or hold
+/// Returns an error if the bytes were not made by [`pack`] against this base, or yield
 /// more than `size` bytes.
 pub fn unpack(packed: &[u8], base: &[u8], size: usize) -> io::Result<Bytes> {
     let mut decompressor = Decompressor::with_dictionary(base)?;
     decompressor.decompress(packed, size).map(Bytes::from)
 }
 
-/// A packed value and what it was made of.
+/// A compressed value with its cache key.
 #[derive(Clone, Debug)]
 struct Packed {
     key: String,
     /// Revision of the base; 0 for none.
     from: u64,
-    /// Digest of the value.
+    /// Digest of the uncompressed value.
     to: u64,
     bytes: Bytes,
 }
@@ -98,10 +98,10 @@
     earlier: VecDeque<Base>,
 }
 
-/// Packed values and the bases of further ones, for all subscribers.
+/// Cache of compressed values, and of earlier versions as bases, for all subscribers.
 ///
-/// Its lock is a leaf. Packing happens under it, so that a value wanted by
-/// sixteen subscribers is packed once.
+/// Leaf lock: no other lock is taken while it is held. Values are compressed under the
+/// lock, so that a value that 16 subscribers need is compressed once.
 #[derive(Debug, Default)]
 pub(crate) struct Shelf {
     shelves: Mutex<Shelves>,
@@ -112,7 +112,7 @@
         self.shelves.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Keeps a value as a base for a while.
+    /// Keeps a version of a value as a base for a while.
     pub(crate) fn keep(&self, base: &Base) {
         let mut shelves = self.lock();
         let is_known =
@@ -126,7 +126,7 @@
         }
     }
 
-    /// A value kept earlier.
+    /// Returns an earlier version if it is still kept.
     pub(crate) fn earlier(&self, key: &str, mod_revision: u64) -> Option<Base> {
         let shelves = self.lock();
         let mut earlier = shelves.earlier.iter();
@@ -134,7 +134,7 @@
         found.cloned()
     }
 
-    /// The value packed against the base, from the shelf if it is there.
+    /// Returns the value compressed against the base, from the cache if it is there.
     pub(crate) fn pack(&self, value: &Base, base: Option<&Base>) -> io::Result<Bytes> {
         let from = base.map_or(0, |base| base.mod_revision);
         let to = digest(&value.value);
--- a/src/replica/publish.rs
+++ b/src/replica/publish.rs
@@ -1,4 +1,4 @@
-//! Serving subscribers.
+//! Serves subscribers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -33,18 +33,19 @@
 
 /// Time between two messages to a subscriber.
 ///
-/// Four a second let a subscriber notice in under a second that its upstream is
-/// gone, at about 60 bytes each, well within 2 KB/s.
+/// With four messages a second, a subscriber notices in less than a second that its
+/// upstream is gone. At about 60 bytes each, they stay well within 2 KB/s.
 pub(crate) const HEARTBEAT: Duration = Duration::from_millis(250);
 
-/// Time for a subscriber's first message, and for it to take one of ours.
+/// Time limit for a subscriber's first message, and for sending it a message.
 ///
-/// A subscriber that is frozen would otherwise hold its connection, and its
-/// place among [`MOST_SUBSCRIBERS`], for ever.
+/// Without it, a frozen subscriber would hold its connection, and its slot among
+/// [`MAX_SUBSCRIBERS`], forever.
 const PATIENCE: Duration = Duration::from_secs(2);
 
-/// Subscribers at most. Twice the tree's: ranks are seen differently while
-/// members come and go, and instances that start without the store ask anyone.
+/// Maximum subscribers. Twice the fan-out of the tree: instances see ranks differently
+/// while members join and leave, and an instance that starts without the store asks any
+/// other.
 const MOST_SUBSCRIBERS: usize = 2 * FAN_OUT;
 
 /// Accepts subscribers until the process ends.
@@ -57,7 +58,7 @@
             }
             Err(error) => {
                 warn!(log, "accepting subscriber failed"; "error" => %error);
-                // Out of descriptors, most likely; they come back with time.
+                // Most likely out of file descriptors, which become available again with time.
                 time::sleep(HEARTBEAT).await;
             }
         }
@@ -76,7 +77,7 @@
     }
 }
 
-/// Tells that this instance runs, to whoever wants to know just that.
+/// Answers a liveness probe.
 async fn answer_look(framed: &mut Stream, peer: SocketAddr, shared: &Shared) -> Result<()> {
     let news = News {
         is_leaving: shared.is_leaving(),
@@ -86,7 +87,7 @@
     send(framed, peer, &news).await
 }
 
-/// Serves a subscriber if there is room for it.
+/// Serves a subscriber if there is capacity for it.
 async fn admit(
     framed: &mut Stream,
     peer: SocketAddr,
@@ -124,18 +125,18 @@
     shared.board.leave(subscriber);
     let waiting = outbox.waiting();
     if waiting.rows > 0 || waiting.bytes > 0 {
-        // Tells a link that is too slow from a subscriber that is gone.
+        // Distinguishes a link that is too slow from a subscriber that is gone.
         info!(log, "subscriber left behind"; "subscriber" => &subscribe.instance,
             "rows_waiting" => waiting.rows, "bytes_waiting" => waiting.bytes);
     }
     outcome
 }
 
-/// Remembers whoever comes with a copy.
+/// Remembers the address of a subscriber that has a copy.
 ///
-/// An instance that has lost its own while the store is away knows its seeds only,
-/// which may have lost theirs, too. Those that followed it before come back to it, and
-/// have what it needs.
+/// An instance that loses its own copy while the store is unreachable only knows its
+/// seeds, which may have lost theirs as well. Instances that followed it before
+/// subscribe again and have the copy that it needs.
 fn introduce(subscribe: &Subscribe, shared: &Shared, log: &Logger) {
     if subscribe.horizon.is_none() {
         return;
@@ -166,11 +167,11 @@
         }
         let pause = if has_remarks { TELL_EVERY } else { HEARTBEAT };
         let next = Instant::now() + pause;
-        // What the subscriber tells is no cause to answer: each answer would be one
-        // for it to tell again, without end.
+        // A report from the subscriber must not trigger a message, since that message would
+        // in turn trigger a report, without end.
         loop {
-            // The copy outlives this task, so that the channel never closes; a change
-            // and a pause mean the same here.
+            // The copy outlives this task, so the channel never closes; a change and the end
+            // of the pause are handled alike.
             tokio::select! {
                 _ = changed.changed() => break,
                 () = shared.pacer.rest(), if outbox.next_part().is_some() => break,
@@ -183,7 +184,7 @@
     }
 }
 
-/// What the subscriber tells of servers.
+/// Receives a subscriber's report of request outcomes.
 async fn hear(framed: &mut Stream, peer: SocketAddr) -> Result<Remarks> {
     const STEP: &str = "remarks of subscriber";
     let frame = framed
@@ -198,7 +199,7 @@
     Ok(remarks)
 }
 
-/// The next message, of which parts are counted against the pace.
+/// Composes the next message; its parts are charged to the pacer.
 fn compose(shared: &Shared, outbox: &mut Outbox, peer: SocketAddr) -> Result<News> {
     let now = Instant::now();
     let age_ms = shared.age(now).map(|age| age.as_millis() as u64);
--- a/src/replica/register.rs
+++ b/src/replica/register.rs
@@ -1,4 +1,5 @@
-//! How instances find each other: entries under a lease in the store.
+//! Registration of instances in the store, by entries with a lease, through which they
+//! find each other.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -18,59 +19,61 @@
 use crate::platform::poll::Reader;
 use crate::replica::Bandwidth;
 
-/// Prefix of the instances' entries.
+/// Key prefix of the instances' entries.
 pub(crate) const PREFIX: &str = "godwitreel/entry/";
 
-/// Life of an entry without renewal.
+/// Lifetime of an entry without renewal.
 ///
-/// An instance that is gone costs the one below it one failed connection until
-/// then, so there is no hurry, and an outage of the store should not empty the
+/// Until the entry expires, a stopped instance costs the one below it one failed
+/// connection. So there is no hurry, and an outage of the store should not empty the
 /// list.
 const TTL: Duration = Duration::from_secs(30);
 
-/// Time between two renewals: a third of the life, so that two may fail.
+/// Time between two renewals: a third of the lifetime, so that two renewals may fail.
 const RENEW_EVERY: Duration = Duration::from_secs(10);
 
 /// An instance that others may subscribe to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// Name of the instance.
     pub instance: id::Instance,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: id::Zone,
-    /// Where it takes subscriptions.
+    /// Address at which it accepts subscribers.
     pub address: SocketAddrV4,
     /// Rate of its link, by which instances are ranked.
     #[serde(default = "default_link")]
     pub link_mbps: Bandwidth,
 }
 
-/// An instance that does not tell feeds nobody who has a choice.
+/// An instance that does not report its link rate ranks last, and feeds others only if
+/// no other instance can.
 fn default_link() -> Bandwidth {
     Bandwidth(0.0)
 }
 
-/// What an instance registers.
+/// Registration of an instance.
 pub(crate) struct Registration {
     pub(crate) reader: Reader,
     pub(crate) member: Member,
     pub(crate) log: Logger,
 }
 
-/// Where the members of a zone register.
+/// Key prefix of the members of a zone.
 ///
-/// Whoever starts needs to know its own zone's only: the list of three hundred has 80 KB,
-/// and as many times as much fills the store's link for a quarter of a second.
+/// An instance that starts only needs the members of its own zone: the list of 300
+/// members has 80 KB, and sent to as many instances it would fill the store's link for
+/// a quarter of a second.
 pub(crate) fn zone_prefix(zone: &id::Zone) -> String {
     format!("{PREFIX}{zone}/")
 }
 
-/// Where a member registers.
+/// Key of a member's entry.
 pub(crate) fn key(member: &Member) -> String {
     format!("{}{}", zone_prefix(&member.zone), member.instance)
 }
 
-/// The member that an entry names; `None` for other keys.
+/// Parses the member from an entry; `None` for other keys.
 pub(crate) fn member(key: &str, value: &[u8]) -> Option<serde_json::Result<Member>> {
     key.strip_prefix(PREFIX)?;
     Some(serde_json::from_slice(value))
@@ -83,7 +86,8 @@
     loop {
         match registration.hold(&mut backoff).await {
             Ok(never) => match never {},
-            // Leases vanish while their holders live: the entry is written anew.
+            // A lease can expire while its holder is running: the entry is then written
+            // again.
             Err(Error::Refused { reason, .. }) => {
                 info!(registration.log, "registration lapsed"; "reason" => reason);
             }
@@ -96,7 +100,7 @@
 }
 
 impl Registration {
-    /// Registers and renews until something fails.
+    /// Registers and renews the registration until an error occurs.
     async fn hold(&self, backoff: &mut Backoff) -> Result<std::convert::Infallible> {
         let lease = self.reader.grant(TTL).await?;
         let key = key(&self.member);
@@ -114,7 +118,8 @@
         }
     }
 
-    /// An unanswered renewal is repeated with the next one; the lease outlives two.
+    /// A renewal that got no response is retried at the next interval; the lease outlives
+    /// two failures.
     async fn renew(&self, lease: Lease) -> Result<()> {
         match self.reader.renew(lease).await {
             Err(refused @ Error::Refused { .. }) => Err(refused),
--- a/src/replica/store.rs
+++ b/src/replica/store.rs
@@ -1,7 +1,7 @@
-//! Following the store itself, by listings and long polls.
+//! Follows the store itself, by listings and long polls.
 //!
-//! A failed poll is repeated from the same revision, so that nothing is missed;
-//! only when the store has dropped that history is the prefix listed again.
+//! A failed poll is repeated from the same revision, so that no change is missed. Only
+//! when the store has dropped that part of its history is the prefix listed again.
 
 use std::time::Duration;
 
@@ -14,57 +14,58 @@
 use crate::platform::poll::Reader;
 use crate::platform::poll::Refusal;
 
-/// Where in the store everything lies.
+/// Prefixes and keys of the store's content.
 #[derive(Clone, Copy, Debug)]
 pub struct Keys {
     /// Prefix of all keys.
     pub all: &'static str,
-    /// Prefix under it of small values that are urgent.
+    /// Prefix of the small, urgent values.
     pub small: &'static str,
-    /// Prefix under it of all that operators write: orders and the large value.
+    /// Prefix of everything that operators write: orders and the large value.
     pub operators: &'static str,
-    /// Prefix under that of their orders, which are small and few.
+    /// Prefix of the operators' orders, which are small and few.
     pub orders: &'static str,
-    /// Key under it of the large value.
+    /// Key of the large value.
     pub large: &'static str,
 }
 
-/// Times of polling.
+/// Wait times and age limits of polling.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
-    /// Longest time that a poll of what changes seldom waits beside others.
+    /// Longest wait of a poll for keys that seldom change, when other polls run beside
+    /// it.
     ///
-    /// A connection that something in between has forgotten shows only by the
-    /// missing answer, so this bounds how old the copy can become unnoticed.
+    /// When a middlebox drops a connection, only the missing response shows it, so this
+    /// bounds how old the copy can become unnoticed.
     pub wait: Duration,
-    /// Longest time that a poll waits on which subscribers depend; shorter,
-    /// since what they need beside it adds up.
+    /// Longest wait of a poll whose results subscribers depend on. It is shorter, since
+    /// the other delays on the way to them add up.
     pub wait_for_others: Duration,
-    /// Pause after changes, in which further ones gather for the next poll.
+    /// Pause after changes, so that the next poll collects several of them.
     ///
-    /// Without it, each change of any server costs a call.
+    /// Without it, each change of any server costs one call.
     pub gather: Duration,
     /// Longest time that the first instance after the heads of a zone waits for another
-    /// one's copy, when it starts, before it reads the store as well.
+    /// instance's copy at the start, before it reads the store as well.
     pub copy_wait: Duration,
     /// Age of the last contact with the store at which an upstream is left.
     pub most_age: Duration,
-    /// Age below which an upstream is worth a subscription; lower than
-    /// `most_age`, or instances would come and go around it.
+    /// Age below which an upstream is worth a subscription. It is lower than `most_age`,
+    /// otherwise instances would join and leave an upstream whose age is near that limit.
     pub fresh: Duration,
 }
 
-/// A whole listing.
+/// A complete listing.
 pub(crate) struct Listing {
     pub(crate) entries: Vec<Entry>,
     pub(crate) refused: Vec<Refusal>,
     pub(crate) revision: u64,
-    /// When it was asked for: all that was written before is in it.
+    /// Time of the request: everything written before it is included.
     pub(crate) asked: Instant,
 }
 
-/// Reads all pages. They are no snapshot, so that polling goes on from the first
-/// page's revision: what changed since then is told again.
+/// Reads all pages. Together they are no snapshot, so polling continues from the
+/// revision of the first page, and changes since then are received again.
 pub(crate) async fn list(reader: &Reader, prefix: &str) -> Result<Listing> {
     let asked = Instant::now();
     let first = reader.page(prefix, None).await?;
@@ -84,9 +85,10 @@
     Ok(listing)
 }
 
-/// The pause before the next poll.
+/// Pauses before the next poll.
 ///
-/// A store that answers at once without a change would be asked without end.
+/// Without the pause, a store that responds at once without a change would be polled in
+/// a busy loop.
 pub(crate) async fn pause(pace: &Pace, started: Instant, wait: Duration, has_changes: bool) {
     if has_changes || started.elapsed() < wait / 2 {
         time::sleep(pace.gather).await;
--- a/src/replica/subscribe.rs
+++ b/src/replica/subscribe.rs
@@ -1,4 +1,4 @@
-//! Following another instance.
+//! The subscriber's side of a subscription to another instance.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -30,65 +30,66 @@
 use crate::replica::message::Subscribe;
 use crate::replica::pack::Base;
 
-/// Time for a connection and its first message.
+/// Time limit for a connection and its first message.
 ///
-/// Instances of a zone are a tenth of a millisecond apart, zones some
-/// milliseconds. While this is tried, the copy grows older.
+/// The round trip takes a tenth of a millisecond within a zone, and some milliseconds
+/// between zones. The copy grows older during the attempt.
 const JOIN_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time after which another connection is tried beside one that does not stand yet.
+/// Time after which a second connection is attempted in parallel with one that is not
+/// established yet.
 ///
-/// Load pattern: machines have their power back within 0.3 s of each other. The opening
-/// packet to one that is still without is lost, and the operating system repeats it
-/// only after a second.
+/// Load pattern: machines regain power within 0.3 s of each other. A SYN packet to one
+/// that has no power yet is lost, and the operating system retransmits it only after a
+/// second.
 const CONNECT_AGAIN: Duration = Duration::from_millis(50);
 
 /// Silence after which the upstream is left: three heartbeats.
 const SILENCE: Duration = Duration::from_millis(800);
 
-/// A large value or copy that has come in parts.
+/// A large value or complete copy that was received in parts.
 #[derive(Clone, Debug)]
 pub(crate) struct Received {
-    /// Revision at which it was written, or up to which the copy is whole.
+    /// Revision at which it was written, or up to which the copy is complete.
     pub(crate) revision: u64,
-    /// Bytes of its parts.
+    /// Total bytes of its parts.
     pub(crate) bytes: u64,
     /// Time from its first part to its last.
     pub(crate) took: Duration,
 }
 
-/// What an upstream tells at once.
+/// A decoded message, or several merged ones, from an upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct Report {
-    /// Whether the changes are all entries there are.
+    /// Whether `changes` is a complete copy.
     pub(crate) is_everything: bool,
     pub(crate) changes: Vec<Change>,
-    /// Revision up to which everything is known with them.
+    /// Revision up to which all changes are known with this update.
     pub(crate) revision: u64,
-    /// Time since the upstream's last contact with the store; `None` when it never
-    /// had any, and while a copy is on its way.
+    /// Time since the upstream's last contact with the store; `None` when there was none,
+    /// and while a copy is being sent.
     pub(crate) age: Option<Duration>,
-    /// Whether a whole copy is on its way.
+    /// Whether a complete copy is being sent.
     pub(crate) awaits_copy: bool,
     /// Whether more small changes follow at once.
     pub(crate) has_more: bool,
-    /// Whether the upstream follows one that is not above it.
+    /// Whether the upstream itself follows a fallback upstream, which is not above it.
     pub(crate) is_detour: bool,
-    /// Whether the upstream is about to end.
+    /// Whether the upstream is about to stop.
     pub(crate) is_leaving: bool,
-    /// What the zone's instances counted against servers.
+    /// Request outcomes counted by the zone's instances.
     pub(crate) remarks: Vec<Remark>,
-    /// The value that is complete with this.
+    /// The value whose last part came with this update.
     pub(crate) received: Option<Received>,
 }
 
 impl Report {
-    /// Whether what was announced with it has not all come.
+    /// Whether changes that it announces are still to come.
     fn is_partial(&self) -> bool {
         self.has_more || self.awaits_copy && !self.is_everything
     }
 
-    /// Adds the report that came after this one.
+    /// Merges the update that follows this one.
     fn extend(&mut self, next: Self) {
         let before = std::mem::replace(self, next);
         if self.is_everything {
@@ -105,19 +106,19 @@
     }
 }
 
-/// A subscription that stands.
+/// An established subscription.
 pub(crate) struct Subscription {
     framed: Framed<TcpStream, LengthDelimitedCodec>,
     inbox: Inbox,
     peer: SocketAddrV4,
-    /// When it was last heard.
+    /// When the last message arrived.
     heard: Instant,
-    /// When the first part of what is on its way came.
+    /// When the first part of the current value arrived.
     begun: Instant,
 }
 
 impl Subscription {
-    /// Connects, says what is known here, and waits for the first message.
+    /// Connects, sends what is known here, and waits for the first message.
     pub(crate) async fn join(
         peer: SocketAddrV4,
         me: &Member,
@@ -150,10 +151,10 @@
         joined.unwrap_or_else(|_| Err(lost(peer, "timed out")))
     }
 
-    /// Waits for everything that was announced with a report.
+    /// Waits for all changes that an update announces.
     ///
-    /// Whoever took a part of it only would know itself to be behind, leave, and begin
-    /// anew with the same part.
+    /// An instance that applied only some of them would consider itself outdated, leave,
+    /// and start again with the same ones.
     pub(crate) async fn complete(&mut self, mut report: Report) -> Result<Report> {
         while report.is_partial() {
             report.extend(self.next().await?);
@@ -167,7 +168,7 @@
         sent.map_err(|error| lost(self.peer, error))
     }
 
-    /// Tells the upstream of servers.
+    /// Sends request outcomes to the upstream.
     pub(crate) async fn tell(&mut self, remarks: &Remarks) -> Result<()> {
         let bytes: Bytes = remarks.encode_to_vec().into();
         let sent = time::timeout(SILENCE, self.framed.send(bytes)).await;
@@ -175,8 +176,8 @@
         sent.map_err(|error| lost(self.peer, error))
     }
 
-    /// The next message; an error when it stays away. A part of a large value is
-    /// a message like any other: a link that is slow is not silent.
+    /// Waits for the next message; returns an error when none arrives in time. A part of
+    /// a large value counts as a message, so a slow link is not taken for silence.
     pub(crate) async fn next(&mut self) -> Result<Report> {
         let next = time::timeout_at(self.heard + SILENCE, self.framed.next()).await;
         let next = next.map_err(|_| lost(self.peer, "silent"))?;
@@ -228,15 +229,15 @@
     }
 }
 
-/// What an instance answers to a look.
+/// Response to a liveness probe.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sign {
-    /// Whether it has withdrawn from its routers.
+    /// Whether the instance has withdrawn from its routers.
     pub(crate) is_withdrawn: bool,
 }
 
-/// Looks whether an instance runs: a process that stands still takes connections as
-/// before, and answers nothing.
+/// Probes whether an instance is running: a frozen process still accepts connections,
+/// but does not respond.
 pub(crate) async fn look(peer: SocketAddrV4, me: &Member) -> Result<Sign> {
     let looking = async {
         let stream = TcpStream::connect(peer).await;
@@ -261,7 +262,7 @@
     looked.unwrap_or_else(|_| Err(lost(peer, "timed out")))
 }
 
-/// A whole copy with the changes after it.
+/// Applies later changes to a complete copy.
 fn merge(copy: Vec<Change>, later: Vec<Change>) -> Vec<Change> {
     let mut merged: BTreeMap<String, Entry> = BTreeMap::new();
     for change in copy.into_iter().chain(later) {
--- a/src/replica/tree.rs
+++ b/src/replica/tree.rs
@@ -1,4 +1,4 @@
-//! Who is above whom.
+//! The subscription tree: ranks of instances and who follows whom.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -13,13 +13,13 @@
 
 /// Subscribers of one instance.
 ///
-/// With 16, two steps below the first instance hold 272 more, twice what a zone
-/// of the largest deployment planned has; a heartbeat to each every 250 ms is
-/// 64 small messages a second.
+/// With 16, the two levels below the first instance hold 272 more, twice the size of a
+/// zone in the largest planned deployment. A heartbeat to each every 250 ms makes 64
+/// small messages a second.
 pub(crate) const FAN_OUT: usize = 16;
 
-/// The instances above one, the nearest first; empty for the first of its zone
-/// and for an instance that is not among the members.
+/// The instances above this one, the nearest first. Empty for the first instance of its
+/// zone and for an instance that is not among the members.
 pub fn upstream<'a>(me: &id::Instance, zone: &id::Zone, members: &'a [Member]) -> Vec<&'a Member> {
     let ranked = ranked(zone, members);
     let Some(mut place) = ranked.iter().position(|member| member.instance == *me) else {
@@ -33,15 +33,16 @@
     above
 }
 
-/// Instances at the head of a zone that stand in for others above, and that read the
-/// store at once when they start. Three, so that two of them may be gone.
+/// Number of instances at the head of a zone. The heads replace other upstreams, and
+/// read the store at once when they start. Three, so that two of them may be gone.
 pub(crate) const HEADS: usize = 3;
 
-/// Whom to follow, the best first: the instances above, then the heads of the zone.
+/// The instances to follow, the best first: those above this one, then the heads of the
+/// zone.
 ///
-/// Where the first instance is cut off from the store, those below it each asked
-/// the store for themselves every two seconds; the head after it, which does so
-/// anyway, can feed them. All of these rank before the instance itself.
+/// If the first instance is cut off from the store, the instances below it each polled
+/// the store themselves every two seconds. The head after it polls the store anyway and
+/// can feed them. All candidates rank before the instance itself.
 pub fn candidates<'a>(
     me: &id::Instance,
     zone: &id::Zone,
@@ -59,19 +60,18 @@
     candidates
 }
 
-/// Share of the wait for a copy by which each instance waits longer than the one before
-/// it.
+/// Increase of the wait for a copy per rank, as a share of the first wait.
 const LONGER_BY_RANK: f64 = 0.5;
 
-/// Longest wait for a copy, when those that should have one are gone.
+/// Longest wait for a copy when the instances that should have one are gone.
 const MOST_COPY_WAIT: Duration = Duration::from_millis(1_500);
 
-/// How long an instance that starts waits for another one's copy before it reads the
-/// store as well; `first` is the wait of the first after the heads.
+/// How long an instance that starts waits for another instance's copy before it reads
+/// the store as well; `first` is the wait of the first instance after the heads.
 ///
-/// Load pattern: three hundred instances start at once. If all read the store after the
-/// same wait, they fill its link for most of a second, and the heads, whose copies they
-/// wait for, wait with them.
+/// Load pattern: 300 instances start at once. If all of them read the store after the
+/// same wait, they fill its link for most of a second, and delay the heads, for whose
+/// copies they wait.
 pub fn copy_wait(
     me: &id::Instance,
     zone: &id::Zone,
@@ -85,15 +85,16 @@
     wait.min(MOST_COPY_WAIT.max(first))
 }
 
-/// Instances of the own zone to turn to outside the order of ranks; as many as may be
-/// refused by the store beside this one where it refuses a third.
+/// Fallback upstreams in the own zone: as many as the store may refuse together with
+/// this instance, when it refuses a third of all instances.
 const NEIGHBOURS: usize = 8;
 
-/// The same of each other zone.
+/// Fallback upstreams in each other zone.
 const ABROAD: usize = 2;
 
-/// Whom to ask when the store does not answer and nobody above is of use: those that rank
-/// after this instance, then the first ones of the other zones, zones by name.
+/// Fallback upstreams, for when the store does not respond and no instance above is
+/// usable: instances that rank after this one, then the first ones of the other zones,
+/// with zones ordered by name.
 pub fn bystanders<'a>(
     me: &id::Instance,
     zone: &id::Zone,
@@ -112,7 +113,7 @@
     bystanders
 }
 
-/// Where all other members can be asked, those of the own zone first.
+/// Addresses of all other members, those of the own zone first.
 pub(crate) fn neighbours_first(me: &Member, members: &[Member]) -> Vec<SocketAddrV4> {
     let others = members.iter().filter(|other| other.instance != me.instance);
     let mut others: Vec<&Member> = others.collect();
@@ -120,19 +121,19 @@
     others.into_iter().map(|other| other.address).collect()
 }
 
-/// The members of a zone, the first by rank first.
+/// The members of a zone, ordered by rank.
 pub(crate) fn ranked<'a>(zone: &id::Zone, members: &'a [Member]) -> Vec<&'a Member> {
     let mut ranked: Vec<&Member> = members.iter().filter(|m| m.zone == *zone).collect();
     ranked.sort_by_key(|member| rank(member));
     ranked
 }
 
-/// Place among the others: wide links first, then spread evenly by name, so that
-/// machines added later do not all rank last.
+/// Rank of a member: fast links first, then spread evenly by name, so that machines
+/// added later do not all rank last.
 ///
-/// Who stands above feeds sixteen others beside its callers. On a deployment with
-/// two instances of 200 Mbit/s and 21 of 10 Mbit/s in a zone, ranks by name alone
-/// made thin links feed the zone, and copies grew 5 s old.
+/// An instance high in the tree feeds 16 others besides serving its callers. On a
+/// deployment with two instances of 200 Mbit/s and 21 of 10 Mbit/s in a zone, ranks by
+/// name alone made slow links feed the zone, and copies became 5 s old.
 fn rank(member: &Member) -> (Reverse<i32>, u64, &id::Instance) {
     let mut hasher = SipHasher13::new();
     hasher.write(member.instance.as_str().as_bytes());
--- a/tests/replication/board.rs
+++ b/tests/replication/board.rs
@@ -1,4 +1,4 @@
-//! What instances of a zone tell each other of servers.
+//! Aggregation of request outcomes per server among the instances of a zone.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// A sum of which one instance counted so many stalls.
+/// A sum in which one single instance counted `loudest_stalls` of the stalls.
 fn sum(serial: u64, answers: f32, stalls: f32, loudest_stalls: f32) -> Remark {
     Remark {
         loudest_stalls,
@@ -57,8 +57,8 @@
     assert_eq!(board.upward(now).remarks, vec![sum(1, 4.0, 1.0, 1.0)]);
 }
 
-// The instance above is frozen or gone, a subscriber is cut off: what they said
-// must not count for ever.
+// Guards against counts that outlive their sender: the upstream is frozen or gone, or a
+// subscriber is cut off.
 #[test]
 fn what_was_told_long_ago_is_forgotten() {
     let now = Instant::now();
@@ -71,8 +71,9 @@
     assert_eq!(board.upward(later), from(1, Vec::new()));
 }
 
-// One instance lies, or is confused. It can say no more than one instance can have
-// seen, for no more servers than a message holds, and rubbish counts nothing.
+// Guards against an instance that reports wrong counts. Its counts are limited to what
+// one instance can have seen and to the servers that fit in one message, and invalid
+// numbers count as zero.
 #[test]
 fn one_instance_moves_the_sum_little() {
     let now = Instant::now();
@@ -95,8 +96,9 @@
     assert_eq!(up.instances, 18, "itself and at most a whole branch");
 }
 
-// The loudest of all instances is known at the top, by whichever ways the sums came, and
-// counts no more than all others together.
+// The counts of the instance with the most failures are known at the top of the tree,
+// whichever path the sums took, and they weigh no more than those of all other
+// instances together.
 #[test]
 fn the_loudest_counts_no_more_than_all_others() {
     let now = Instant::now();
--- a/tests/replication/copy.rs
+++ b/tests/replication/copy.rs
@@ -1,4 +1,5 @@
-//! The copy: newest changes, whatever the order in which they come.
+//! The copy of the store keeps the newest change of each key, in whatever order changes
+//! arrive.
 
 use godwitreel::platform::Change;
 use godwitreel::replica::Copy;
@@ -6,8 +7,8 @@
 
 use crate::support::*;
 
-// A large value takes long on its way. What was written after it is known before,
-// and must neither be undone by it nor hide it.
+// A large value takes long to transfer, so changes written after it are applied first.
+// The large value must neither undo them nor be hidden by them.
 #[test]
 fn changes_may_come_out_of_order() {
     let mut copy = Copy::default();
@@ -26,15 +27,16 @@
     let mut copy = Copy::default();
     copy.apply(vec![put("servers/a", "1", 5), delete("servers/a", 8)], 8);
     assert!(copy.apply(vec![put("servers/a", "1", 5)], 8).is_empty());
-    // Nor when the deletion itself has been forgotten.
+    // The same holds after the deletion itself has been pruned.
     let deletions = (0..600).map(|number| delete(&format!("servers/{number}"), 9 + number));
     copy.apply(deletions.collect(), 700);
     assert!(copy.apply(vec![put("servers/a", "1", 5)], 700).is_empty());
     assert!(copy.get("servers/a").is_none());
 }
 
-// The store has dropped its history and is listed anew. Subscribers are told what
-// differs, not everything: a zone would send megabytes for a few changes missed.
+// The store has dropped its history and is listed again. Subscribers must be sent only
+// the difference: a complete listing would send megabytes through the zone for a few
+// missed changes.
 #[test]
 fn a_listing_is_told_as_its_difference() {
     let mut copy = Copy::default();
@@ -55,8 +57,8 @@
     assert_eq!(copy.reset(&entries, 120), None, "more is known already");
 }
 
-// A server's last word came ahead of a large value. A copy of somebody who has not
-// heard it yet must not undo it.
+// A server's last state arrived before a large value. A complete copy from an instance
+// that does not have that state yet must not undo it.
 #[test]
 fn a_listing_undoes_nothing_that_is_newer() {
     let mut copy = Copy::default();
@@ -71,8 +73,8 @@
     assert_eq!(copy.get("servers/a").unwrap().value, "draining");
 }
 
-// A listing names what exists, also what was written before the deletions that
-// have been forgotten.
+// A listing contains every key that exists, including those written before the
+// deletions that have been pruned.
 #[test]
 fn a_listing_brings_old_entries_that_were_missed() {
     let mut copy = Copy::default();
@@ -102,16 +104,16 @@
     ]
 }
 
-/// The revision of each key that exists.
+/// The revision of each existing key.
 fn revisions(copy: &Copy) -> Vec<(String, u64)> {
     let row = |entry: &godwitreel::platform::Entry| (entry.key.clone(), entry.mod_revision);
     copy.entries().map(row).collect()
 }
 
 proptest! {
-    // Whatever is written while a subscriber is told bit by bit, loses its
-    // upstream and comes back: no key of it ever goes back, its horizon claims
-    // nothing that it does not know, and in the end it has everything.
+    // While a subscriber receives updates in pieces, loses its upstream and subscribes
+    // again, no key may go back to an older revision, its synced revision may not cover a
+    // change that it lacks, and in the end it must have everything.
     #[test]
     fn a_subscriber_never_goes_back_and_ends_with_everything(
         steps in prop::collection::vec(step(), 1..120),
--- a/tests/replication/main.rs
+++ b/tests/replication/main.rs
@@ -1,4 +1,4 @@
-//! Copies of the store passed from instance to instance: what is sent, in which
+//! Replication of the store's content from instance to instance: what is sent, in which
 //! order, and what arrives.
 
 mod board;
--- a/tests/replication/parcels.rs
+++ b/tests/replication/parcels.rs
@@ -1,4 +1,5 @@
-//! Large values on their way: packed, in parts, and what does not fit.
+//! Transfer of large values: compression, splitting into parts, and rejection of
+//! invalid parts.
 
 use godwitreel::replica::Base;
 use godwitreel::replica::Copy;
@@ -12,7 +13,7 @@
 
 use crate::support::*;
 
-/// Routes of the largest configuration of a zone with links of 10 Mbit/s.
+/// Routes in the largest configuration of a zone with 10 Mbit/s links.
 const ROUTES: usize = 1_250;
 
 #[test]
@@ -29,7 +30,7 @@
     assert!(whole.len() * 8 < new.len(), "{} bytes", whole.len());
 }
 
-// A configuration grows by a thousand routes: the difference is large itself.
+// A configuration grows by a thousand routes, so that the difference itself is large.
 #[test]
 fn growth_is_sent_compressed() {
     let mut config = Config::new(250);
@@ -44,7 +45,7 @@
     );
 }
 
-// Changes of servers must not wait behind a configuration on a thin link.
+// Guards against changes of servers that wait behind a configuration on a slow link.
 #[test]
 fn small_changes_overtake_a_large_value() {
     let mut store = Copy::default();
@@ -69,7 +70,7 @@
     assert_eq!(content(&copy), content(&store));
 }
 
-// Ten versions come while one is on its way. The next one sent is the newest.
+// Ten versions arrive while one is being sent. The next one sent is the newest.
 #[test]
 fn versions_in_between_are_not_sent() {
     let mut config = Config::new(ROUTES);
@@ -103,8 +104,8 @@
     }
 }
 
-// What an upstream sends is not trusted: a part that does not fit ends the
-// subscription, and the copy stays as it was.
+// Data from an upstream is not trusted: an invalid part is rejected, which ends the
+// subscription and leaves the copy unchanged.
 #[test]
 fn parts_that_do_not_fit_are_refused() {
     let value = Config::new(20).text();
--- a/tests/replication/rows.rs
+++ b/tests/replication/rows.rs
@@ -1,8 +1,8 @@
 //! Many small rows that change at once.
 //!
-//! Load pattern: the store was away, every lease lapsed, and with its return all
-//! servers are registered anew within a second. A zone's first instance passes
-//! their entries on to sixteen others over a thin link, while servers drain.
+//! Load pattern: the store was unreachable, every lease expired, and when it returns
+//! all servers register again within a second. The first instance of a zone forwards
+//! their entries to 16 others over a slow link, while servers drain.
 
 use godwitreel::platform::Change;
 use godwitreel::replica::Copy;
@@ -17,7 +17,7 @@
 /// Silence, in milliseconds, after which a subscriber leaves its upstream.
 const SILENCE: usize = 800;
 
-/// Bytes of a message: 13 ms on a link of 10 Mbit/s.
+/// Upper bound of a message, in bytes: 13 ms on a 10 Mbit/s link.
 const MOST_BYTES: usize = 16 << 10;
 
 fn servers(count: usize, value: u8, revision: u64) -> Vec<Change> {
@@ -31,10 +31,10 @@
     (0..count as u64).map(server).collect()
 }
 
-// When entries come back at once, all of them stand in one message to each
-// subscriber. Sixteen that share a link of 10 Mbit/s hear nothing for six seconds
-// with 3,000 entries, leave after 0.8 s ("upstream lost", "silent"), subscribe again,
-// and are sent the same message.
+// Guards against one message that holds all entries that return at once. With 3,000
+// entries, 16 subscribers on a 10 Mbit/s link receive nothing for six seconds, leave
+// after 0.8 s ("upstream lost", "silent"), subscribe again, and are sent the same
+// message.
 #[test]
 fn entries_that_come_back_at_once_silence_no_upstream() {
     let mut store = Copy::default();
@@ -48,8 +48,8 @@
     assert!(tree.all_agree());
 }
 
-// The same, and a server drains right after: the 3,000 entries before it take six
-// seconds, which must not become the time in which new flows still go there.
+// As above, with a server that drains right afterwards. Sending the 3,000 entries
+// before it takes six seconds, during which new flows must not still go to that server.
 #[test]
 fn a_drain_overtakes_entries_that_come_back() {
     let mut store = Copy::default();
@@ -64,9 +64,9 @@
     assert!(tree.all_agree());
 }
 
-// A subscriber that comes back with an old copy is told 2,000 rows. Until it has
-// them all it must neither take its copy for up to date, nor ask for less than it
-// lacks when the connection ends half way.
+// A subscriber that returns with an old copy is sent 2,000 rows. Until it has all of
+// them it must not treat its copy as up to date, and it must not request less than it
+// lacks when the connection ends halfway.
 #[test]
 fn rows_are_told_in_messages_of_bounded_size() {
     let mut store = Copy::default();
@@ -87,7 +87,7 @@
     assert_eq!(copy.horizon(), store.horizon());
 }
 
-// More deletions than are remembered come while rows are waiting to be told.
+// More deletions than are kept happen while rows are waiting to be sent.
 #[test]
 fn a_deletion_that_waits_is_not_forgotten() {
     let mut store = Copy::default();
@@ -109,7 +109,8 @@
     assert_eq!(content(&copy), content(&store));
 }
 
-// Entries of servers are alike, and a thin link has better things to carry.
+// The entries of servers are similar and compress well, which saves capacity on slow
+// links.
 #[test]
 fn rows_are_packed_and_come_back() {
     let mut store = Copy::default();
@@ -170,8 +171,8 @@
 }
 
 proptest! {
-    // Whatever changes while rows wait, and wherever a connection ends, the copies
-    // agree in the end, and a copy that is told an age lacks nothing.
+    // Whatever changes while rows are waiting, and wherever a connection ends, the copies
+    // agree in the end, and a copy that is sent an age lacks nothing.
     #[test]
     fn copies_agree_whatever_waits(steps in prop::collection::vec(step(), 1..60)) {
         let mut store = Copy::default();
--- a/tests/replication/start.rs
+++ b/tests/replication/start.rs
@@ -1,4 +1,4 @@
-//! A whole fleet that starts at once.
+//! Simultaneous start of a whole fleet.
 
 use std::sync::atomic::AtomicUsize;
 use std::sync::atomic::Ordering;
@@ -12,19 +12,20 @@
 use tokio::time;
 use tokio::time::Instant;
 
-/// Instances of each of six zones.
+/// Instances in each of the six zones.
 const IN_ZONE: usize = 59;
 const ZONES: usize = 6;
-/// What the store sends for a whole listing, and for a member.
+/// Bytes that the store sends for a complete listing, and for one member.
 const LISTING: f64 = 700_000.0;
 const MEMBER: f64 = 280.0;
-/// What it sends in a millisecond.
+/// Bytes that the store sends per millisecond.
 const PER_MS: f64 = 125_000.0;
-/// Wait of the first after the heads, in milliseconds.
+/// Wait of the first instance after the heads, in milliseconds.
 const FIRST: u64 = 60;
-/// Machines have their power back within this time of each other, in milliseconds.
+/// Period within which all machines regain power, in milliseconds.
 const APART: usize = 300;
-/// Time in which a head sends its copy to one of its zone, in milliseconds.
+/// Time that a head takes to send its copy to one instance of its zone, in
+/// milliseconds.
 const COPY_MS: u64 = 3;
 
 fn zone(number: usize) -> Vec<Member> {
@@ -37,16 +38,16 @@
     (0..IN_ZONE).map(member).collect()
 }
 
-/// One that starts, reads who the members are, waits and reads the store.
+/// An instance that starts, reads the list of members, waits, and reads the store.
 struct Starter {
     zone: usize,
     is_head: bool,
     start: u64,
     wait: u64,
-    /// Bytes of the members' list, then of the listing, that are still to come.
+    /// Remaining bytes of the list of members, and of the listing that follows it.
     members: f64,
     listing: f64,
-    /// When the members were known.
+    /// When the list of members was complete.
     known: Option<u64>,
 }
 
@@ -68,7 +69,7 @@
     }
 }
 
-/// All instances, which read so many members and wait for a copy for so long.
+/// All instances; each reads `listed` members and then waits as given for a copy.
 fn fleet(listed: usize, wait: impl Fn(&Member, &[Member]) -> u64) -> Vec<Starter> {
     let mut fleet = Vec::new();
     for number in 0..ZONES {
@@ -90,7 +91,7 @@
     fleet
 }
 
-/// Lets the heads of a zone that have the listing send it to those that wait.
+/// Lets those heads of a zone that have the listing send it to the waiting instances.
 fn send_copies(fleet: &mut [Starter], zone: usize, credit: &mut u64) {
     let heads = fleet.iter().filter(|one| one.zone == zone && one.is_head);
     *credit += heads.filter(|head| head.listing <= 0.0).count() as u64;
@@ -105,7 +106,7 @@
     }
 }
 
-/// Time from its start to its copy, of the slowest, in milliseconds.
+/// Time in milliseconds from its start until the slowest instance has its copy.
 fn slowest(mut fleet: Vec<Starter>) -> u64 {
     let mut credits = [0_u64; ZONES];
     let mut slowest = 0;
@@ -128,9 +129,10 @@
     slowest
 }
 
-// All 354 instances of six zones get their power back together. With one wait for all
-// they read the store at once, its link is full for a second, and the heads' listings
-// are among them: callers wait for as long. By rank, heads are done first.
+// All 354 instances of six zones regain power together. With one fixed wait they all
+// read the store at once, its link is full for a second, and the heads' listings are
+// delayed as well, while callers wait. With waits that grow by rank, the heads finish
+// first.
 #[test]
 fn heads_are_not_held_up_by_those_that_wait_for_them() {
     let first = Duration::from_millis(FIRST);
@@ -147,8 +149,8 @@
     assert!(own_zone < 300, "with a list of the own zone: {own_zone} ms");
 }
 
-// The heads and all copies are gone: whoever starts reads the store after a bounded wait,
-// the last of a large zone, too.
+// The heads and all copies are gone. Every starting instance, including the last one of
+// a large zone, reads the store after a bounded wait.
 #[test]
 fn nobody_waits_for_long_where_all_are_gone() {
     let first = Duration::from_millis(FIRST);
@@ -160,8 +162,8 @@
     assert!(waits.iter().all(|wait| *wait >= first));
 }
 
-// Guards against an instance that comes back before those with a copy and waits for a
-// connection whose opening packet was lost while they had no power.
+// Guards against an instance that starts before those with a copy and then waits for a
+// connection whose SYN packet was lost while its peer had no power.
 #[tokio::test(start_paused = true)]
 async fn a_connection_stands_soon_after_its_peer_has_power() {
     let begin = Instant::now();
@@ -180,7 +182,7 @@
     );
 }
 
-// Guards against further connections to a peer that answers, if only by a refusal.
+// Guards against additional connections to a peer that responds, even by refusing.
 #[tokio::test(start_paused = true)]
 async fn a_peer_that_answers_is_asked_once() {
     let tries = AtomicUsize::new(0);
--- a/tests/replication/storm.rs
+++ b/tests/replication/storm.rs
@@ -1,8 +1,8 @@
-//! A tree of three levels on thin links while a large configuration changes.
+//! A three-level tree on slow links while a large configuration changes.
 //!
-//! Links carry so many bytes a millisecond in each direction, and a connection has
-//! one message under way. Sent whole, one version of 205 KB takes an instance
-//! 2.6 s to hand to sixteen others over 10 Mbit/s, and 25 versions a minute.
+//! Links carry a fixed number of bytes per millisecond in each direction, and each
+//! connection has one message in transit. Sent whole, one version of 205 KB takes an
+//! instance 2.6 s to send to 16 others over 10 Mbit/s, and 25 versions take a minute.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -21,13 +21,13 @@
 
 use crate::support::*;
 
-/// 10 Mbit/s, in bytes a millisecond.
+/// 10 Mbit/s, in bytes per millisecond.
 const LINK: usize = 1_250;
 
 /// Subscribers of one instance.
 const FAN_OUT: usize = 16;
 
-/// Bytes of a packet's heads on the way, for each message.
+/// Bytes of packet headers for each message.
 const HEADS: usize = 80;
 
 struct Sending {
@@ -40,27 +40,27 @@
     to: usize,
     subscription: Subscription,
     sending: Option<Sending>,
-    /// When messages arrived.
+    /// Arrival times of messages.
     arrivals: Vec<usize>,
 }
 
-/// Instances that pass on what the first one learns.
+/// A tree of instances that forward what the first one learns.
 pub(crate) struct Tree {
     begin: Instant,
-    /// Milliseconds since the begin.
+    /// Milliseconds since the start.
     pub(crate) now: usize,
     copies: Vec<Copy>,
     pacers: Vec<Bucket>,
     connections: Vec<Connection>,
-    /// Bytes that each instance has sent.
+    /// Bytes sent by each instance.
     sent: Vec<usize>,
-    /// When an instance first knew a key's revision.
+    /// When each instance first had a key at a revision.
     learned: HashMap<(usize, String, u64), usize>,
     packed: RefCell<HashMap<(u64, u64), Bytes>>,
 }
 
 impl Tree {
-    /// So many instances, each subscribed to the one above it.
+    /// Creates `count` instances, each subscribed to the one above it.
     pub(crate) fn new(count: usize, first: &Copy) -> Self {
         let begin = Instant::now();
         let mut tree = Self {
@@ -106,12 +106,12 @@
         });
     }
 
-    /// The first instance learns a change.
+    /// Gives the first instance a change.
     pub(crate) fn learn(&mut self, change: godwitreel::platform::Change) {
         self.learn_all(vec![change]);
     }
 
-    /// The first instance learns many changes at once.
+    /// Gives the first instance many changes at once.
     pub(crate) fn learn_all(&mut self, changes: Vec<godwitreel::platform::Change>) {
         let revisions = changes.iter().map(|change| change.mod_revision());
         let revision = revisions.max().unwrap_or_default();
@@ -167,14 +167,14 @@
         }
     }
 
-    /// One millisecond of all links.
+    /// Transfers one millisecond of data on all links.
     fn carry(&mut self) {
         let mut up = vec![LINK; self.copies.len()];
         let mut down = vec![LINK; self.copies.len()];
         let mut arrived = Vec::new();
         let count = self.connections.len();
         for step in 0..count {
-            // All get their turn at the head of the queue.
+            // Each connection takes its turn as the first in the queue.
             let index = (step + self.now) % count;
             let connection = &mut self.connections[index];
             let Some(sending) = &mut connection.sending else {
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Longest time from the first instance's knowledge to the last one's.
+    /// Longest time from when the first instance has a change until the last one has it.
     pub(crate) fn spread(&self, key: &str, revision: u64) -> usize {
         let at = |instance| self.learned.get(&(instance, key.to_owned(), revision));
         let begin = *at(0).expect("the first instance knows it");
@@ -212,8 +212,7 @@
         last.max().unwrap() - begin
     }
 
-    /// Longest time after a moment in which an instance waited for a message that
-    /// was due.
+    /// Longest gap after `begin` in which an instance waited for a message that was due.
     pub(crate) fn longest_silence(&self, begin: usize) -> usize {
         let gaps = self.connections.iter().flat_map(|connection| {
             let arrivals = std::iter::once(&begin).chain(&connection.arrivals);
@@ -239,7 +238,7 @@
     store
 }
 
-/// 25 versions in two seconds, and a server drains every 100 ms. Gives back the
+/// Writes 25 versions in two seconds and drains a server every 80 ms. Returns the
 /// revisions of the drains.
 fn storm(tree: &mut Tree, config: &mut Config, revision: &mut u64) -> Vec<(String, u64)> {
     let mut drains = Vec::new();
@@ -255,9 +254,9 @@
     drains
 }
 
-// The configuration has grown, then changes 25 times in two seconds while servers
-// drain. A drain must be known everywhere in far less than the bound of 3 s, and
-// the last version soon after it was written.
+// The configuration has grown and then changes 25 times in two seconds while servers
+// drain. Every instance must know of a drain well within the bound of 3 s, and have the
+// last version soon after it was written.
 #[test]
 fn a_storm_of_configurations_delays_no_drain() {
     let mut config = Config::new(250);
@@ -279,8 +278,8 @@
     assert!(most < 900_000, "{most} bytes by one instance");
 }
 
-// An instance starts in the middle of the storm with nothing, another one loses
-// its upstream while a value is on its way to it.
+// An instance without a copy starts while the configuration changes, and another one
+// loses its upstream during the transfer of a value.
 #[test]
 fn who_joins_in_the_storm_gets_everything() {
     let mut config = Config::new(1_250);
--- a/tests/replication/support.rs
+++ b/tests/replication/support.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// A configuration with so many routes, of 165 bytes each.
+/// A configuration of routes of 165 bytes each.
 pub(crate) struct Config {
     routes: Vec<String>,
     version: u64,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The next version: one route differs.
+    /// The next version, in which one route differs.
     pub(crate) fn next(&mut self) -> String {
         self.version += 1;
         let index = self.random.random_range(0..self.routes.len());
@@ -86,7 +86,7 @@
 }
 
 impl Subscription {
-    /// A subscriber that has this copy subscribes to the owner of another one.
+    /// Subscribes the owner of one copy to the owner of another.
     pub(crate) fn new(upstream: &Copy, subscriber: &Copy) -> Self {
         let large = subscriber
             .entries()
@@ -120,7 +120,7 @@
         news.unwrap()
     }
 
-    /// Takes a message in; the changes that were new to the copy.
+    /// Applies a message; returns the changes that were new to the copy.
     pub(crate) fn take(&mut self, copy: &mut Copy, news: News) -> Result<Vec<Change>, Misfit> {
         let mut changes: Vec<Change> = news.rows.into_iter().map(Change::from).collect();
         let complete = match news.part {
@@ -142,7 +142,7 @@
         Ok(copy.apply(changes, news.revision))
     }
 
-    /// Sends everything; the messages that it took.
+    /// Sends everything that is pending; returns the number of messages.
     pub(crate) fn settle(&mut self, upstream: &Copy, subscriber: &mut Copy) -> usize {
         for count in 1..10_000 {
             let news = self.compose(upstream, true);
@@ -156,7 +156,7 @@
     }
 }
 
-/// What a copy holds.
+/// Keys and values of a copy.
 pub(crate) fn content(copy: &Copy) -> Vec<(String, Bytes)> {
     let row = |entry: &Entry| (entry.key.clone(), entry.value.clone());
     copy.entries().map(row).collect()
