--- a/src/replica/inbox.rs
+++ b/src/replica/assembler.rs
@@ -7,15 +7,15 @@
 
 use crate::platform::Entry;
 use crate::replica::copy;
-use crate::replica::message::LARGEST;
-use crate::replica::message::Part;
+use crate::replica::message::MAX_VALUE_BYTES;
 use crate::replica::message::Rows;
+use crate::replica::message::ValuePart;
 use crate::replica::pack;
-use crate::replica::pack::Base;
+use crate::replica::pack::BaseValue;
 
 /// Why a part is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Misfit {
+pub enum PartError {
     /// It does not begin where the previous part ended.
     #[error("a part is missing")]
     Gap,
@@ -35,7 +35,7 @@
 
 /// A value whose parts are complete.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Complete {
+pub enum AssembledValue {
     /// All entries, and the revision up to which they are complete.
     Copy(Vec<Entry>, u64),
     /// One large entry.
@@ -44,15 +44,15 @@
 
 /// Joins the parts that a subscriber receives.
 #[derive(Debug, Default)]
-pub struct Inbox {
-    bases: HashMap<String, Base>,
-    head: Option<Part>,
+pub struct PartAssembler {
+    bases: HashMap<String, BaseValue>,
+    previous: Option<ValuePart>,
     packed: Vec<u8>,
 }
 
-impl Inbox {
+impl PartAssembler {
     /// Creates an assembler for a subscriber that has these values.
-    pub fn new(bases: Vec<Base>) -> Self {
+    pub fn new(bases: Vec<BaseValue>) -> Self {
         let bases = bases.into_iter().map(|base| (base.key.clone(), base));
         Self {
             bases: bases.collect(),
@@ -65,68 +65,68 @@
     /// # Errors
     ///
     /// Returns why the part is rejected. The subscription must then start again.
-    pub fn take(&mut self, part: Part) -> Result<Option<Complete>, Misfit> {
+    pub fn add(&mut self, part: ValuePart) -> Result<Option<AssembledValue>, PartError> {
         let is_first = part.offset == 0;
-        let is_same = |head: &Part| {
-            (&head.key, head.mod_revision, head.digest)
+        let is_same = |previous: &ValuePart| {
+            (&previous.key, previous.mod_revision, previous.digest)
                 == (&part.key, part.mod_revision, part.digest)
         };
-        let follows = self.head.as_ref().is_some_and(is_same);
+        let follows = self.previous.as_ref().is_some_and(is_same);
         if is_first {
             self.packed.clear();
         } else if !follows || part.offset != self.packed.len() as u64 {
-            return Err(Misfit::Gap);
+            return Err(PartError::Gap);
         }
         // Compressed values are smaller than the values themselves, or only a few bytes
         // larger.
-        let most = LARGEST as u64;
+        let max = MAX_VALUE_BYTES as u64;
         let held = self.packed.len() as u64 + part.bytes.len() as u64;
-        if part.size > most || held > most {
-            return Err(Misfit::TooLarge(part.size.max(held)));
+        if part.size > max || held > max {
+            return Err(PartError::TooLarge(part.size.max(held)));
         }
         self.packed.extend_from_slice(&part.bytes);
         if !part.is_last {
-            self.head = Some(part);
+            self.previous = Some(part);
             return Ok(None);
         }
-        self.head = None;
+        self.previous = None;
         self.complete(&part).map(Some)
     }
 
-    fn complete(&mut self, part: &Part) -> Result<Complete, Misfit> {
+    fn complete(&mut self, part: &ValuePart) -> Result<AssembledValue, PartError> {
         let base = match part.base_revision {
             0 => None,
             revision => {
                 let known = self.bases.get(&part.key);
                 let known = known.filter(|base| base.mod_revision == revision);
-                Some(known.ok_or(Misfit::UnknownBase(revision))?)
+                Some(known.ok_or(PartError::UnknownBase(revision))?)
             }
         };
         let base = base.map_or(&[][..], |base| &base.value);
         let packed = std::mem::take(&mut self.packed);
         let value = pack::unpack(&packed, base, part.size as usize);
-        let value = value.map_err(|error| Misfit::Unpacked(error.to_string()))?;
+        let value = value.map_err(|error| PartError::Unpacked(error.to_string()))?;
         if value.len() as u64 != part.size || pack::digest(&value) != part.digest {
-            return Err(Misfit::WrongDigest);
+            return Err(PartError::WrongDigest);
         }
         if part.key.is_empty() {
             return self.complete_copy(value, part.mod_revision);
         }
-        let base = Base {
+        let base = BaseValue {
             key: part.key.clone(),
             mod_revision: part.mod_revision,
             value: value.clone(),
         };
         self.bases.insert(part.key.clone(), base);
-        Ok(Complete::Entry(Entry {
+        Ok(AssembledValue::Entry(Entry {
             key: part.key.clone(),
             value,
             mod_revision: part.mod_revision,
         }))
     }
 
-    fn complete_copy(&mut self, value: Bytes, revision: u64) -> Result<Complete, Misfit> {
-        let rows = Rows::decode(value).map_err(|error| Misfit::Unpacked(error.to_string()))?;
+    fn complete_copy(&mut self, value: Bytes, revision: u64) -> Result<AssembledValue, PartError> {
+        let rows = Rows::decode(value).map_err(|error| PartError::Unpacked(error.to_string()))?;
         let entries = rows.rows.into_iter().filter_map(|row| {
             // Copied, since a slice would keep the whole message in memory.
             let value = Bytes::copy_from_slice(&row.value?);
@@ -139,8 +139,8 @@
         });
         let entries: Vec<Entry> = entries.collect();
         let large = entries.iter().filter(|entry| copy::is_large(entry));
-        let large = large.map(|entry| (entry.key.clone(), Base::from(entry)));
+        let large = large.map(|entry| (entry.key.clone(), BaseValue::from(entry)));
         self.bases = large.collect();
-        Ok(Complete::Copy(entries, revision))
+        Ok(AssembledValue::Copy(entries, revision))
     }
 }
--- a/src/replica/board.rs
+++ b/src/replica/board.rs
@@ -22,20 +22,20 @@
 pub(crate) const TELL_EVERY: Duration = Duration::from_millis(200);
 
 /// Age at which a report expires: five missed messages.
-const MOST_AGE: Duration = Duration::from_secs(1);
+const MAX_REPORT_AGE: Duration = Duration::from_secs(1);
 
 /// Maximum servers per message. At 30 bytes each and five messages a second to 16
 /// subscribers this is 40 KB/s, and only while servers fail.
-pub(crate) const MOST_REMARKS: usize = 16;
+pub(crate) const MAX_ENTRIES: usize = 16;
 
 /// Limits on the counts of a single instance, so that one that reports wrong counts, by
 /// fault or intent, has little effect on the others.
-const MOST_ANSWERS: f32 = 64.0;
-const MOST_HOLLOW: f32 = 4.0;
-const MOST_STALLS: f32 = 2.0;
+const MAX_ANSWERS: f32 = 64.0;
+const MAX_PREMATURE: f32 = 4.0;
+const MAX_STALLS: f32 = 2.0;
 
 /// Maximum instances that a subscriber may report for: itself and those below it.
-const MOST_INSTANCES: u32 = 1 + FAN_OUT as u32;
+const MAX_SUBTREE_INSTANCES: u32 = 1 + FAN_OUT as u32;
 
 /// Outcomes of requests at one server, counted by one or several instances.
 #[derive(Clone, Copy, PartialEq, Message)]
@@ -88,26 +88,26 @@
     /// When a sender reports for itself alone, all of its failures come from a single
     /// instance.
     fn limited(self, instances: u32) -> Self {
-        let limit = |count: f32, most: f32| {
-            let most = most * instances as f32;
+        let limit = |count: f32, max: f32| {
+            let max = max * instances as f32;
             if count.is_finite() {
-                count.clamp(0.0, most)
+                count.clamp(0.0, max)
             } else {
                 0.0
             }
         };
         let (hollow, stalls) = (
-            limit(self.hollow, MOST_HOLLOW),
-            limit(self.stalls, MOST_STALLS),
+            limit(self.hollow, MAX_PREMATURE),
+            limit(self.stalls, MAX_STALLS),
         );
-        let is_alone = instances == 1;
-        let loudest = |told: f32, all: f32| if is_alone { all } else { told.clamp(0.0, all) };
+        let is_single = instances == 1;
+        let worst = |told: f32, all: f32| if is_single { all } else { told.clamp(0.0, all) };
         Self {
-            answers: limit(self.answers, MOST_ANSWERS),
+            answers: limit(self.answers, MAX_ANSWERS),
             hollow,
             stalls,
-            loudest_hollow: loudest(self.loudest_hollow, hollow),
-            loudest_stalls: loudest(self.loudest_stalls, stalls),
+            loudest_hollow: worst(self.loudest_hollow, hollow),
+            loudest_stalls: worst(self.loudest_stalls, stalls),
             ..self
         }
     }
@@ -116,13 +116,13 @@
         self.answers += other.answers;
         self.hollow += other.hollow;
         self.stalls += other.stalls;
-        if other.loudness() > self.loudness() {
+        if other.worst_instance_failures() > self.worst_instance_failures() {
             self.loudest_hollow = other.loudest_hollow;
             self.loudest_stalls = other.loudest_stalls;
         }
     }
 
-    fn loudness(&self) -> f32 {
+    fn worst_instance_failures(&self) -> f32 {
         self.loudest_hollow + self.loudest_stalls
     }
 
@@ -136,9 +136,9 @@
     /// instance that has seen the server fail acts on its own counts; the others wait for
     /// a second report.
     fn confirmed(self) -> Self {
-        let confirmed = |all: f32, loudest: f32| {
-            let others = (all - loudest).max(0.0);
-            others + others.min(loudest)
+        let confirmed = |all: f32, worst: f32| {
+            let others = (all - worst).max(0.0);
+            others + others.min(worst)
         };
         Self {
             hollow: confirmed(self.hollow, self.loudest_hollow),
@@ -147,29 +147,29 @@
         }
     }
 
-    fn weight(&self) -> f32 {
+    fn failures(&self) -> f32 {
         self.hollow + self.stalls
     }
 }
 
 /// A report and the time of its arrival.
 #[derive(Debug)]
-struct Told {
+struct ReceivedReport {
     at: Instant,
     remarks: Remarks,
 }
 
-impl Told {
+impl ReceivedReport {
     fn is_fresh(&self, now: Instant) -> bool {
-        now < self.at + MOST_AGE
+        now < self.at + MAX_REPORT_AGE
     }
 }
 
 #[derive(Debug, Default)]
-struct Sides {
+struct Counts {
     own: Vec<Remark>,
-    below: HashMap<u64, Told>,
-    above: Option<Told>,
+    subscribers: HashMap<u64, ReceivedReport>,
+    above: Option<ReceivedReport>,
     next_subscriber: u64,
 }
 
@@ -178,12 +178,12 @@
 /// Leaf lock: no other lock is taken while it is held.
 #[derive(Debug, Default)]
 pub struct Board {
-    sides: Mutex<Sides>,
+    counts: Mutex<Counts>,
 }
 
 impl Board {
-    fn lock(&self) -> MutexGuard<'_, Sides> {
-        self.sides.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Counts> {
+        self.counts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Sets the counts of this instance, those of the worst server first.
@@ -193,34 +193,34 @@
 
     /// Returns an id for a new subscriber, under which its reports are stored.
     pub fn enter(&self) -> u64 {
-        let mut sides = self.lock();
-        sides.next_subscriber += 1;
-        sides.next_subscriber
+        let mut counts = self.lock();
+        counts.next_subscriber += 1;
+        counts.next_subscriber
     }
 
     /// Stores the report of a subscriber.
     pub fn hear_below(&self, now: Instant, subscriber: u64, remarks: Remarks) {
-        let told = Told { at: now, remarks };
-        self.lock().below.insert(subscriber, told);
+        let told = ReceivedReport { at: now, remarks };
+        self.lock().subscribers.insert(subscriber, told);
     }
 
     /// Drops the report of a subscriber that has left.
     pub fn leave(&self, subscriber: u64) {
-        self.lock().below.remove(&subscriber);
+        self.lock().subscribers.remove(&subscriber);
     }
 
     /// Stores the sum sent by the upstream.
     pub fn hear_above(&self, now: Instant, remarks: Vec<Remark>) {
         let remarks = Remarks {
             remarks,
-            instances: MOST_INSTANCES,
+            instances: MAX_SUBTREE_INSTANCES,
         };
-        self.lock().above = Some(Told { at: now, remarks });
+        self.lock().above = Some(ReceivedReport { at: now, remarks });
     }
 
     /// The report for the upstream: the counts of this instance and of those below it.
     pub fn upward(&self, now: Instant) -> Remarks {
-        let sides = self.lock();
+        let counts = self.lock();
         let mut sums: BTreeMap<Key, Remark> = BTreeMap::new();
         let mut add = |remark: Remark| {
             let sum = sums.entry(remark.key()).or_insert(Remark {
@@ -230,24 +230,27 @@
             });
             sum.add(&remark);
         };
-        for remark in &sides.own {
+        for remark in &counts.own {
             add(remark.limited(1));
         }
         let mut instances = 1;
-        let fresh = sides.below.values().filter(|told| told.is_fresh(now));
+        let fresh = counts
+            .subscribers
+            .values()
+            .filter(|told| told.is_fresh(now));
         for told in fresh {
-            let count = told.remarks.instances.clamp(1, MOST_INSTANCES);
+            let count = told.remarks.instances.clamp(1, MAX_SUBTREE_INSTANCES);
             instances += count;
             // A server that appears several times in one report counts once.
-            let remarks = told.remarks.remarks.iter().take(MOST_REMARKS);
+            let remarks = told.remarks.remarks.iter().take(MAX_ENTRIES);
             let remarks: BTreeMap<Key, &Remark> = remarks.map(|r| (r.key(), r)).collect();
             for remark in remarks.values() {
                 add(remark.limited(count));
             }
         }
         let mut remarks: Vec<Remark> = sums.into_values().collect();
-        remarks.sort_by(|a, b| b.weight().total_cmp(&a.weight()));
-        remarks.truncate(MOST_REMARKS);
+        remarks.sort_by(|a, b| b.failures().total_cmp(&a.failures()));
+        remarks.truncate(MAX_ENTRIES);
         Remarks { remarks, instances }
     }
 
@@ -261,13 +264,13 @@
     /// The zone's counts as known here: the sum received from the upstream, or without an
     /// upstream the sum of this instance and those below it.
     pub fn zone(&self, now: Instant) -> Vec<Remark> {
-        let sides = self.lock();
-        let above = sides.above.as_ref().filter(|told| told.is_fresh(now));
+        let counts = self.lock();
+        let above = counts.above.as_ref().filter(|told| told.is_fresh(now));
         if let Some(told) = above {
-            let remarks = told.remarks.remarks.iter().take(MOST_REMARKS);
-            return remarks.map(|r| r.limited(MOST_INSTANCES)).collect();
+            let remarks = told.remarks.remarks.iter().take(MAX_ENTRIES);
+            return remarks.map(|r| r.limited(MAX_SUBTREE_INSTANCES)).collect();
         }
-        drop(sides);
+        drop(counts);
         self.upward(now).remarks
     }
 }
--- a/src/replica/census.rs
+++ b/src/replica/census.rs
@@ -21,16 +21,16 @@
 
 /// Time between two rounds of probes. Frozen instances stay frozen for seconds, and
 /// routers notice it after one.
-const LOOK_EVERY: Duration = Duration::from_millis(400);
+const PROBE_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Maximum instances in a zone whose instances probe each other. The number of probes
 /// grows with its square: eight instances in three zones used 3.05 s of CPU time with
 /// probes and 2.86 s without, in runs of 53 s.
-const LARGEST_ZONE: usize = 8;
+const MAX_PROBED_ZONE_SIZE: usize = 8;
 
 /// Instances of each other zone that are probed to learn whether the zone can take
 /// callers.
-const ASKED_ABROAD: usize = 4;
+const PROBED_PER_OTHER_ZONE: usize = 4;
 
 /// How many instances of a zone respond.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -63,23 +63,23 @@
 /// Probes the fleet periodically until the receiver is dropped.
 pub(crate) async fn take(me: Member, shared: Arc<Shared>, sender: mpsc::Sender<Tally>) {
     loop {
-        time::sleep(LOOK_EVERY).await;
-        let tally = look(&me, &shared).await;
+        time::sleep(PROBE_INTERVAL).await;
+        let tally = probe_fleet(&me, &shared).await;
         if sender.send(tally).await.is_err() {
             return;
         }
     }
 }
 
-async fn look(me: &Member, shared: &Shared) -> Tally {
+async fn probe_fleet(me: &Member, shared: &Shared) -> Tally {
     let members = shared.members();
-    let (here, abroad): (Vec<Member>, Vec<Member>) = members
+    let (here, others): (Vec<Member>, Vec<Member>) = members
         .into_iter()
         .partition(|member| member.zone == me.zone);
-    if here.len() > LARGEST_ZONE {
+    if here.len() > MAX_PROBED_ZONE_SIZE {
         return Tally::default();
     }
-    let here = count(me, &here).await;
+    let here = probe_members(me, &here).await;
     if !here.is_minority() {
         return Tally {
             here,
@@ -87,13 +87,13 @@
         };
     }
     let mut zones: BTreeMap<id::Zone, Vec<Member>> = BTreeMap::new();
-    for member in abroad {
+    for member in others {
         let zone = zones.entry(member.zone.clone()).or_default();
-        if zone.len() < ASKED_ABROAD {
+        if zone.len() < PROBED_PER_OTHER_ZONE {
             zone.push(member);
         }
     }
-    let counts = zones.values().map(|zone| count(me, zone));
+    let counts = zones.values().map(|zone| probe_members(me, zone));
     Tally {
         here,
         elsewhere: future::join_all(counts).await,
@@ -101,19 +101,19 @@
 }
 
 /// Probes these instances, all at once.
-async fn count(me: &Member, members: &[Member]) -> Headcount {
-    let looks = members.iter().map(async |member| {
+async fn probe_members(me: &Member, members: &[Member]) -> Headcount {
+    let probes = members.iter().map(async |member| {
         if member.instance == me.instance {
             return Some(false);
         }
         // Any error means that the instance does not respond.
-        let sign = subscribe::look(member.address, me).await.ok();
-        sign.map(|sign| sign.is_withdrawn)
+        let response = subscribe::probe(member.address, me).await.ok();
+        response.map(|response| response.is_withdrawn)
     });
-    let signs = future::join_all(looks).await;
+    let responses = future::join_all(probes).await;
     Headcount {
-        answering: signs.iter().flatten().count(),
-        withdrawn: signs
+        answering: responses.iter().flatten().count(),
+        withdrawn: responses
             .iter()
             .flatten()
             .filter(|withdrawn| **withdrawn)
--- a/src/replica/copy.rs
+++ b/src/replica/copy.rs
@@ -31,21 +31,21 @@
 use crate::platform::poll::Refusal;
 use crate::replica::Member;
 use crate::replica::board::Board;
-use crate::replica::message::Held;
+use crate::replica::message::HeldValue;
 use crate::replica::pacer::Pacer;
-use crate::replica::pack::Base;
-use crate::replica::pack::Shelf;
-use crate::replica::publish::HEARTBEAT;
+use crate::replica::pack::BaseValue;
+use crate::replica::pack::PackCache;
+use crate::replica::publish::HEARTBEAT_INTERVAL;
 use crate::replica::register;
 
 /// Maximum deleted keys that are kept. A subscriber that lacks an earlier deletion is
 /// sent a complete copy. The limit is twice the number of servers that the largest
 /// planned deployment replaces in a minute.
-const MOST_DELETED: usize = 512;
+const MAX_DELETIONS: usize = 512;
 
 /// Maximum addresses kept of instances that have a copy: enough that some of them are
 /// alive, and few enough to ask all of them at once for a copy.
-const MOST_INTRODUCED: usize = 8;
+const MAX_COPY_HOLDERS: usize = 8;
 
 /// An event that the copy reports to its own instance.
 #[derive(Clone, Debug, PartialEq)]
@@ -83,12 +83,12 @@
 /// Local sequence number of a change, in the order of arrival; later changes have
 /// greater numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place(u64);
+pub struct SequenceNumber(u64);
 
 /// The newest change of a key.
 #[derive(Clone, Debug)]
-struct Newest {
-    place: Place,
+struct NewestChange {
+    sequence: SequenceNumber,
     change: Change,
 }
 
@@ -100,30 +100,30 @@
     /// Revision up to which the copy is complete.
     pub revision: u64,
     /// Sequence number up to which changes are included.
-    pub place: Place,
+    pub sequence: SequenceNumber,
 }
 
 /// The newest change of each key.
 #[derive(Debug, Default)]
-pub struct Copy {
-    keys: BTreeMap<String, Newest>,
+pub struct StoreCopy {
+    keys: BTreeMap<String, NewestChange>,
     /// Keys in the order of their newest changes.
-    order: BTreeMap<Place, String>,
+    keys_by_sequence: BTreeMap<SequenceNumber, String>,
     /// Sequence numbers and revisions of the deletions that are kept, oldest first.
-    deleted: BTreeSet<(Place, u64)>,
+    deletions: BTreeSet<(SequenceNumber, u64)>,
     /// Sequence number of the newest change.
-    last: Place,
+    last_sequence: SequenceNumber,
     /// Revision up to which all changes are known; `None` before the first listing.
-    horizon: Option<u64>,
+    synced_revision: Option<u64>,
     /// Deletions up to these have been pruned.
-    forgotten_place: Place,
-    forgotten_revision: u64,
+    pruned_sequence: SequenceNumber,
+    pruned_revision: u64,
 }
 
-impl Copy {
+impl StoreCopy {
     /// Revision up to which all changes are known; `None` before the first listing.
-    pub fn horizon(&self) -> Option<u64> {
-        self.horizon
+    pub fn synced_revision(&self) -> Option<u64> {
+        self.synced_revision
     }
 
     /// Applies a complete listing and returns the changes against the previous content,
@@ -132,11 +132,14 @@
     /// Subscribers are sent only the difference: after the store has dropped its history,
     /// the instance that follows it lists it again and has missed little.
     pub fn reset(&mut self, entries: &[Entry], revision: u64) -> Option<Vec<Change>> {
-        if self.horizon.is_some_and(|horizon| horizon > revision) {
+        if self
+            .synced_revision
+            .is_some_and(|synced_revision| synced_revision > revision)
+        {
             return None;
         }
         let listed: BTreeSet<&str> = entries.iter().map(|entry| entry.key.as_str()).collect();
-        let is_missing = |(key, newest): &(&String, &Newest)| {
+        let is_missing = |(key, newest): &(&String, &NewestChange)| {
             matches!(newest.change, Change::Put(_)) && !listed.contains(key.as_str())
         };
         let missing = self.keys.iter().filter(is_missing);
@@ -147,23 +150,23 @@
         let mut changes: Vec<Change> = deletions.collect();
         changes.extend(entries.iter().cloned().map(Change::Put));
         // Every listed key exists, however old its last change is.
-        self.forgotten_revision = 0;
-        let fresh = self.apply(changes, revision);
-        self.forgotten_revision = revision;
-        Some(fresh)
+        self.pruned_revision = 0;
+        let new_changes = self.apply(changes, revision);
+        self.pruned_revision = revision;
+        Some(new_changes)
     }
 
     /// Applies changes and returns those that were new.
     pub fn apply(&mut self, changes: Vec<Change>, revision: u64) -> Vec<Change> {
-        let mut fresh = Vec::new();
+        let mut new_changes = Vec::new();
         for change in changes {
             if self.is_new(&change) {
-                self.take(change.clone());
-                fresh.push(change);
+                self.insert(change.clone());
+                new_changes.push(change);
             }
         }
-        self.horizon = Some(self.horizon.unwrap_or_default().max(revision));
-        fresh
+        self.synced_revision = Some(self.synced_revision.unwrap_or_default().max(revision));
+        new_changes
     }
 
     /// Whether a change is newer than the known state of its key. If the key is not
@@ -172,74 +175,76 @@
         let revision = change.mod_revision();
         match self.keys.get(key(change)) {
             Some(newest) => revision > newest.change.mod_revision(),
-            None => revision > self.forgotten_revision,
+            None => revision > self.pruned_revision,
         }
     }
 
-    fn take(&mut self, change: Change) {
-        self.last.0 += 1;
-        let place = self.last;
+    fn insert(&mut self, change: Change) {
+        self.last_sequence.0 += 1;
+        let sequence = self.last_sequence;
         let key = key(&change).to_owned();
         if matches!(change, Change::Delete { .. }) {
-            self.deleted.insert((place, change.mod_revision()));
+            self.deletions.insert((sequence, change.mod_revision()));
         }
-        self.order.insert(place, key.clone());
-        if let Some(before) = self.keys.insert(key, Newest { place, change }) {
-            self.order.remove(&before.place);
-            let revision = before.change.mod_revision();
-            self.deleted.remove(&(before.place, revision));
+        self.keys_by_sequence.insert(sequence, key.clone());
+        if let Some(previous) = self.keys.insert(key, NewestChange { sequence, change }) {
+            self.keys_by_sequence.remove(&previous.sequence);
+            let revision = previous.change.mod_revision();
+            self.deletions.remove(&(previous.sequence, revision));
         }
-        if self.deleted.len() > MOST_DELETED {
-            self.forget_deletion();
+        if self.deletions.len() > MAX_DELETIONS {
+            self.prune_oldest_deletion();
         }
     }
 
-    fn forget_deletion(&mut self) {
-        let Some((place, revision)) = self.deleted.pop_first() else {
+    fn prune_oldest_deletion(&mut self) {
+        let Some((sequence, revision)) = self.deletions.pop_first() else {
             return;
         };
-        if let Some(key) = self.order.remove(&place) {
+        if let Some(key) = self.keys_by_sequence.remove(&sequence) {
             self.keys.remove(&key);
         }
-        self.forgotten_place = place;
-        self.forgotten_revision = self.forgotten_revision.max(revision);
+        self.pruned_sequence = sequence;
+        self.pruned_revision = self.pruned_revision.max(revision);
     }
 
     /// Whether a subscriber that has everything up to this revision needs a complete
     /// copy.
-    pub fn needs_whole(&self, known: Option<u64>) -> bool {
-        known.is_none_or(|known| known < self.forgotten_revision)
+    pub fn needs_full_copy(&self, revision: Option<u64>) -> bool {
+        revision.is_none_or(|revision| revision < self.pruned_revision)
     }
 
     /// Whether a subscriber that was sent everything up to this number needs a complete
     /// copy.
-    pub fn has_forgotten(&self, place: Place) -> bool {
-        place < self.forgotten_place
+    pub fn has_pruned_after(&self, sequence: SequenceNumber) -> bool {
+        sequence < self.pruned_sequence
     }
 
     /// The newest changes after a revision, and the sequence number up to which they are
     /// complete.
-    pub fn after_revision(&self, known: u64) -> (Vec<Change>, Place) {
+    pub fn changes_after_revision(&self, revision: u64) -> (Vec<Change>, SequenceNumber) {
         let newer = self.keys.values().map(|newest| &newest.change);
-        let newer = newer.filter(|change| change.mod_revision() > known);
-        (newer.cloned().collect(), self.last)
+        let newer = newer.filter(|change| change.mod_revision() > revision);
+        (newer.cloned().collect(), self.last_sequence)
     }
 
     /// The newest changes after a sequence number, and the number up to which they are
     /// complete.
-    pub fn after(&self, place: Place) -> (Vec<Change>, Place) {
-        let later = self.order.range(Place(place.0 + 1)..);
+    pub fn changes_after(&self, sequence: SequenceNumber) -> (Vec<Change>, SequenceNumber) {
+        let later = self
+            .keys_by_sequence
+            .range(SequenceNumber(sequence.0 + 1)..);
         let later = later.filter_map(|(_, key)| self.keys.get(key));
         let changes = later.map(|newest| newest.change.clone());
-        (changes.collect(), self.last)
+        (changes.collect(), self.last_sequence)
     }
 
     /// All entries; `None` before the first listing.
     pub fn snapshot(&self) -> Option<Snapshot> {
         Some(Snapshot {
             entries: self.entries().cloned().collect(),
-            revision: self.horizon?,
-            place: self.last,
+            revision: self.synced_revision?,
+            sequence: self.last_sequence,
         })
     }
 
@@ -271,7 +276,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    copy: Copy,
+    copy: StoreCopy,
     /// When the copy is last known to have matched the store.
     contact: Option<Instant>,
 }
@@ -286,14 +291,14 @@
     changed: watch::Sender<()>,
     subscribers: AtomicUsize,
     /// Addresses of instances with a copy that have subscribed here, the latest last.
-    introduced: watch::Sender<Vec<SocketAddrV4>>,
+    copy_holders: watch::Sender<Vec<SocketAddrV4>>,
     /// Whether changes come from a fallback upstream, which is not above this instance in
     /// the tree.
-    is_detour: AtomicBool,
+    is_on_fallback: AtomicBool,
     is_leaving: AtomicBool,
     is_withdrawn: AtomicBool,
     /// Values compressed for subscribers, once for all of them.
-    pub(crate) shelf: Shelf,
+    pub(crate) pack_cache: PackCache,
     /// Limits the bytes per second sent to all subscribers together.
     pub(crate) pacer: Pacer,
     /// Request outcomes per server, shared among the instances of the zone.
@@ -306,11 +311,11 @@
             state: Mutex::default(),
             changed: watch::Sender::new(()),
             subscribers: AtomicUsize::new(0),
-            introduced: watch::Sender::default(),
-            is_detour: AtomicBool::new(false),
+            copy_holders: watch::Sender::default(),
+            is_on_fallback: AtomicBool::new(false),
             is_leaving: AtomicBool::new(false),
             is_withdrawn: AtomicBool::new(false),
-            shelf: Shelf::default(),
+            pack_cache: PackCache::default(),
             pacer,
             board: Board::default(),
         }
@@ -324,8 +329,8 @@
         self.changed.subscribe()
     }
 
-    pub(crate) fn horizon(&self) -> Option<u64> {
-        self.lock().copy.horizon()
+    pub(crate) fn synced_revision(&self) -> Option<u64> {
+        self.lock().copy.synced_revision()
     }
 
     /// Time of the last contact with the store.
@@ -345,12 +350,12 @@
     /// never see a copy younger than a quarter of a second, and each level of the tree
     /// would add as much. Smaller steps are left to the heartbeat: two instances that
     /// follow each other would take the transfer time between them for later contact.
-    pub(crate) fn touch(&self, at: Instant) {
+    pub(crate) fn record_contact(&self, at: Instant) {
         let mut state = self.lock();
-        let before = state.contact;
-        state.contact = before.max(Some(at));
+        let previous = state.contact;
+        state.contact = previous.max(Some(at));
         drop(state);
-        if before.is_none_or(|before| at > before + HEARTBEAT) {
+        if previous.is_none_or(|previous| at > previous + HEARTBEAT_INTERVAL) {
             self.changed.send_replace(());
         }
     }
@@ -368,69 +373,71 @@
     /// Applies changes and returns those that were new.
     pub(crate) fn apply(&self, changes: Vec<Change>, revision: u64) -> Vec<Change> {
         let mut state = self.lock();
-        let earlier = changes
+        let replaced = changes
             .iter()
             .filter_map(|change| state.copy.get(key(change)));
-        let earlier = earlier.filter(|entry| is_large(entry)).map(Base::from);
-        let earlier: Vec<Base> = earlier.collect();
-        let fresh = state.copy.apply(changes, revision);
+        let replaced = replaced
+            .filter(|entry| is_large(entry))
+            .map(BaseValue::from);
+        let replaced: Vec<BaseValue> = replaced.collect();
+        let new_changes = state.copy.apply(changes, revision);
         drop(state);
-        for base in &earlier {
-            self.shelf.keep(base);
+        for base in &replaced {
+            self.pack_cache.keep_base(base);
         }
-        if !fresh.is_empty() {
+        if !new_changes.is_empty() {
             self.changed.send_replace(());
         }
-        fresh
+        new_changes
     }
 
     /// Those of a subscriber's values that are known here.
-    pub(crate) fn known(&self, held: &[Held]) -> Vec<Base> {
-        let find = |held: &Held| {
-            let newest = self.look(|copy| copy.get(&held.key).map(Base::from));
+    pub(crate) fn known_bases(&self, held: &[HeldValue]) -> Vec<BaseValue> {
+        let find = |held: &HeldValue| {
+            let newest = self.with_copy(|copy| copy.get(&held.key).map(BaseValue::from));
             let newest = newest.filter(|base| base.mod_revision == held.mod_revision);
-            newest.or_else(|| self.shelf.earlier(&held.key, held.mod_revision))
+            newest.or_else(|| self.pack_cache.earlier_base(&held.key, held.mod_revision))
         };
         held.iter().filter_map(find).collect()
     }
 
     /// Calls `ask` with the copy under the lock, so `ask` must be short.
-    pub(crate) fn look<T>(&self, ask: impl FnOnce(&Copy) -> T) -> T {
+    pub(crate) fn with_copy<T>(&self, ask: impl FnOnce(&StoreCopy) -> T) -> T {
         ask(&self.lock().copy)
     }
 
     /// The large values known here. A subscription with them is sent only the
     /// differences.
-    pub(crate) fn bases(&self) -> Vec<Base> {
+    pub(crate) fn bases(&self) -> Vec<BaseValue> {
         let state = self.lock();
         let large = state.copy.entries().filter(|entry| is_large(entry));
-        large.map(Base::from).collect()
+        large.map(BaseValue::from).collect()
     }
 
     /// Records the address of an instance that has a copy.
-    pub(crate) fn introduce(&self, address: SocketAddrV4) {
-        self.introduced.send_if_modified(|known| {
-            let is_new = !known.contains(&address);
+    pub(crate) fn add_copy_holder(&self, address: SocketAddrV4) {
+        self.copy_holders.send_if_modified(|addresses| {
+            let is_new = !addresses.contains(&address);
             if is_new {
-                known.push(address);
-                let excess = known.len().saturating_sub(MOST_INTRODUCED);
-                known.drain(..excess);
+                addresses.push(address);
+                let excess = addresses.len().saturating_sub(MAX_COPY_HOLDERS);
+                addresses.drain(..excess);
             }
             is_new
         });
     }
 
     /// Addresses of instances with a copy that have subscribed here.
-    pub(crate) fn introduced(&self) -> watch::Receiver<Vec<SocketAddrV4>> {
-        self.introduced.subscribe()
+    pub(crate) fn copy_holders(&self) -> watch::Receiver<Vec<SocketAddrV4>> {
+        self.copy_holders.subscribe()
     }
 
-    pub(crate) fn set_detour(&self, is_detour: bool) {
-        self.is_detour.store(is_detour, Ordering::Relaxed);
+    pub(crate) fn set_on_fallback(&self, is_on_fallback: bool) {
+        self.is_on_fallback.store(is_on_fallback, Ordering::Relaxed);
     }
 
-    pub(crate) fn is_detour(&self) -> bool {
-        self.is_detour.load(Ordering::Relaxed)
+    pub(crate) fn is_on_fallback(&self) -> bool {
+        self.is_on_fallback.load(Ordering::Relaxed)
     }
 
     /// Announces that this instance is about to stop, so that no other instance relies on
@@ -454,29 +461,29 @@
     /// All registered instances, including this one, whose entries can be read. The
     /// instance that follows the store reports the entries that cannot.
     pub(crate) fn members(&self) -> Vec<Member> {
-        self.look(|copy| {
+        self.with_copy(|copy| {
             let members = copy
                 .entries()
-                .filter_map(|entry| register::member(&entry.key, &entry.value)?.ok());
+                .filter_map(|entry| register::parse_member(&entry.key, &entry.value)?.ok());
             members.collect()
         })
     }
 
     /// Counts a new subscriber; returns the number of subscribers.
-    pub(crate) fn join(self: &Arc<Self>) -> usize {
+    pub(crate) fn increment_subscribers(self: &Arc<Self>) -> usize {
         self.subscribers.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    pub(crate) fn leave(&self) {
+    pub(crate) fn decrement_subscribers(&self) {
         self.subscribers.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// Largest value, in bytes, that is sent whole among other rows. A server's entry has
 /// about 150 bytes; larger values are sent in parts, after the small ones.
-const MOST_SMALL: usize = 4 << 10;
+const MAX_SMALL_VALUE_BYTES: usize = 4 << 10;
 
 /// Whether an entry is sent in parts.
 pub(crate) fn is_large(entry: &Entry) -> bool {
-    entry.value.len() > MOST_SMALL
+    entry.value.len() > MAX_SMALL_VALUE_BYTES
 }
--- a/src/replica/follow.rs
+++ b/src/replica/follow.rs
@@ -30,16 +30,16 @@
 use crate::replica::Shared;
 use crate::replica::Update;
 use crate::replica::copy;
-use crate::replica::follow::poll::Large;
-use crate::replica::follow::upstream::Rest;
+use crate::replica::follow::poll::LargeValueState;
+use crate::replica::follow::upstream::Cooldown;
 use crate::replica::register;
 use crate::replica::store;
 use crate::replica::store::Listing;
-use crate::replica::subscribe::Report;
+use crate::replica::subscribe::UpstreamUpdate;
 
 /// Longest pause between two polls while the store is unreachable and an upstream is
 /// connected, which reports the store's return at once.
-const SLOW_RETRY: Duration = Duration::from_millis(1_500);
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(1_500);
 
 /// Pause before the store is probed again while an upstream is followed that is cut off
 /// from the store as well. Load pattern: the store refuses requests or is silent for
@@ -64,33 +64,33 @@
 }
 
 /// Why following stopped.
-enum End {
+enum FollowEnd {
     Failed(Error),
-    Abandoned,
+    ReceiverClosed,
 }
 
-impl From<Error> for End {
+impl From<Error> for FollowEnd {
     fn from(error: Error) -> Self {
         Self::Failed(error)
     }
 }
 
-impl<T> From<mpsc::error::SendError<T>> for End {
+impl<T> From<mpsc::error::SendError<T>> for FollowEnd {
     fn from(_: mpsc::error::SendError<T>) -> Self {
-        Self::Abandoned
+        Self::ReceiverClosed
     }
 }
 
 /// Reachability of the store from this instance.
 #[derive(Clone, Copy, Debug)]
-enum Presence {
+enum StoreState {
     /// No failure is known.
-    Unknown,
+    Reachable,
     /// The store did not respond; it is not probed again until this time.
-    Away(Instant),
+    Unreachable(Instant),
     /// The store responds again; until this time the upstream may still report that
     /// itself.
-    Back(Instant),
+    Recovered(Instant),
 }
 
 struct Follower {
@@ -99,13 +99,13 @@
     sender: mpsc::Sender<Update>,
     members: HashMap<String, Member>,
     /// Addresses of the instances above this one; `None` after the members have changed.
-    above: Option<Vec<SocketAddrV4>>,
+    upstreams: Option<Vec<SocketAddrV4>>,
     /// Whether the members have changed since they were last reported.
     has_new_members: bool,
     /// Upstreams that failed.
-    resting: HashMap<SocketAddrV4, Rest>,
-    is_silent: bool,
-    presence: Presence,
+    cooldowns: HashMap<SocketAddrV4, Cooldown>,
+    is_store_silent: bool,
+    store_state: StoreState,
     /// [`PROBE_PAUSE`] plus up to a quarter, so that a fleet that loses the store at one
     /// moment does not probe it again at one moment.
     probe_pause: Duration,
@@ -114,12 +114,12 @@
     /// Whether the store has dropped the history after the synced revision.
     is_compacted: bool,
     /// Polling state of the large value.
-    large: Large,
+    large: LargeValueState,
     backoff: Backoff,
     /// When following started.
-    begun: Instant,
+    started_at: Instant,
     /// While a fallback upstream is followed: when the store is probed next.
-    detour_ends: Option<Instant>,
+    next_fallback_probe: Option<Instant>,
 }
 
 /// Keeps the copy up to date until the receiver is dropped.
@@ -130,32 +130,32 @@
         shared,
         sender,
         members: HashMap::new(),
-        above: None,
+        upstreams: None,
         has_new_members: false,
-        resting: HashMap::new(),
-        is_silent: true,
-        presence: Presence::Unknown,
+        cooldowns: HashMap::new(),
+        is_store_silent: true,
+        store_state: StoreState::Reachable,
         probe_pause: PROBE_PAUSE.mul_f64(1.0 + (options.seed % 100) as f64 / 400.0),
         had_changes: false,
         is_compacted: false,
-        large: Large::default(),
+        large: LargeValueState::default(),
         backoff: Backoff::new(options.backoff, options.seed),
-        begun: Instant::now(),
-        detour_ends: None,
+        started_at: Instant::now(),
+        next_fallback_probe: None,
     };
-    while !matches!(follower.round().await, Err(End::Abandoned)) {}
+    while !matches!(follower.round().await, Err(FollowEnd::ReceiverClosed)) {}
 }
 
 impl Follower {
     /// One poll of the store, or one subscription from start to end.
-    async fn round(&mut self) -> Result<(), End> {
+    async fn round(&mut self) -> Result<(), FollowEnd> {
         if let Some(peer) = self.candidate() {
             return self.subscribe(peer).await;
         }
         match self.ask_store().await {
-            Err(End::Failed(error)) => {
-                self.fail(&error).await?;
-                let pause = self.backoff.next_delay().min(SLOW_RETRY);
+            Err(FollowEnd::Failed(error)) => {
+                self.record_failure(&error).await?;
+                let pause = self.backoff.next_delay().min(MAX_RETRY_PAUSE);
                 time::sleep(pause).await;
                 Ok(())
             }
@@ -163,18 +163,18 @@
         }
     }
 
-    fn is_old(&self) -> bool {
+    fn is_copy_old(&self) -> bool {
         let age = self.shared.age(Instant::now());
         age.is_none_or(|age| age > self.sources.pace.most_age)
     }
 
     /// Polls the store without waiting for a change.
-    async fn catch_up(&mut self) -> Result<(), End> {
-        self.is_silent = true;
+    async fn catch_up(&mut self) -> Result<(), FollowEnd> {
+        self.is_store_silent = true;
         match self.ask_store().await {
-            Err(End::Failed(error)) => {
+            Err(FollowEnd::Failed(error)) => {
                 // The next round polls again, after its usual pauses.
-                self.note_away(&error);
+                self.mark_store_unreachable(&error);
                 Ok(())
             }
             other => other,
@@ -182,33 +182,33 @@
     }
 
     /// Marks the store as unreachable, unless the error is itself a response.
-    fn note_away(&mut self, error: &Error) {
+    fn mark_store_unreachable(&mut self, error: &Error) {
         if store::needs_listing(error) {
             return;
         }
-        self.presence = Presence::Away(Instant::now() + self.probe_pause);
+        self.store_state = StoreState::Unreachable(Instant::now() + self.probe_pause);
     }
 
     /// Whether the store is known not to respond here. Then an upstream with an old copy
     /// is as good as any other, and reports the store's return.
-    fn is_store_away(&self) -> bool {
-        match self.presence {
-            Presence::Unknown => false,
-            Presence::Away(until) | Presence::Back(until) => Instant::now() < until,
+    fn is_store_unreachable(&self) -> bool {
+        match self.store_state {
+            StoreState::Reachable => false,
+            StoreState::Unreachable(until) | StoreState::Recovered(until) => Instant::now() < until,
         }
     }
 
-    async fn take(&mut self, report: Report) -> Result<(), End> {
+    async fn apply_update(&mut self, update: UpstreamUpdate) -> Result<(), FollowEnd> {
         let now = Instant::now();
-        let contact = report.age.map(|age| now - age);
-        self.shared.board.hear_above(now, report.remarks);
-        if let Some(received) = report.received {
+        let contact = update.age.map(|age| now - age);
+        self.shared.board.hear_above(now, update.remarks);
+        if let Some(received) = update.received {
             info!(self.sources.log, "large value received"; "revision" => received.revision,
-                "bytes" => received.bytes, "took_ms" => received.took.as_millis() as u64);
+                "bytes" => received.bytes, "took_ms" => received.transfer_time.as_millis() as u64);
         }
-        let revision = report.revision;
-        if report.is_everything {
-            let entries = report
+        let revision = update.revision;
+        if update.is_full_copy {
+            let entries = update
                 .changes
                 .into_iter()
                 .filter_map(|change| match change {
@@ -217,50 +217,50 @@
                 });
             let refused = Vec::new();
             self.reset(entries.collect(), refused, revision).await?;
-        } else if !report.awaits_copy && self.shared.horizon().is_some() {
+        } else if !update.awaits_copy && self.shared.synced_revision().is_some() {
             // An instance without a copy takes no changes from another one without a copy,
             // such as itself: it would treat the empty copy as complete and ask no further
             // seeds while the store is unreachable.
-            self.apply(report.changes, revision).await?;
+            self.apply(update.changes, revision).await?;
         }
         let Some(contact) = contact else {
             return Ok(());
         };
-        self.shared.touch(contact);
-        if !self.is_old() {
-            self.is_silent = false;
-            self.presence = Presence::Unknown;
+        self.shared.record_contact(contact);
+        if !self.is_copy_old() {
+            self.is_store_silent = false;
+            self.store_state = StoreState::Reachable;
             let contact = Contact::at(contact);
             self.sender.send(Update::Contact(contact)).await?;
         }
         Ok(())
     }
 
-    async fn ask_store(&mut self) -> Result<(), End> {
-        match self.shared.horizon() {
-            None => self.begin().await,
+    async fn ask_store(&mut self) -> Result<(), FollowEnd> {
+        match self.shared.synced_revision() {
+            None => self.fetch_first_copy().await,
             Some(_) if self.is_compacted => {
                 let all = self.sources.keys.all;
                 let listing = store::list(&self.sources.reader, all).await?;
-                self.take_listing(listing).await
+                self.apply_listing(listing).await
             }
-            Some(horizon) => self.poll(horizon).await,
+            Some(synced_revision) => self.poll(synced_revision).await,
         }
     }
 
-    async fn take_listing(&mut self, listing: Listing) -> Result<(), End> {
+    async fn apply_listing(&mut self, listing: Listing) -> Result<(), FollowEnd> {
         self.is_compacted = false;
-        self.large = Large::default();
+        self.large = LargeValueState::default();
         self.reset(listing.entries, listing.refused, listing.revision)
             .await?;
-        self.answered(Contact::at(listing.asked)).await
+        self.record_answer(Contact::at(listing.requested_at)).await
     }
 
-    async fn answered(&mut self, contact: Contact) -> Result<(), End> {
-        self.is_silent = false;
-        self.presence = Presence::Unknown;
+    async fn record_answer(&mut self, contact: Contact) -> Result<(), FollowEnd> {
+        self.is_store_silent = false;
+        self.store_state = StoreState::Reachable;
         self.backoff.reset();
-        self.shared.touch(contact.until);
+        self.shared.record_contact(contact.until);
         Ok(self.sender.send(Update::Contact(contact)).await?)
     }
 
@@ -269,31 +269,33 @@
         entries: Vec<Entry>,
         refused: Vec<Refusal>,
         revision: u64,
-    ) -> Result<(), End> {
+    ) -> Result<(), FollowEnd> {
         if !self.shared.reset(&entries, revision) {
             return Ok(());
         }
         self.members.clear();
-        self.above = None;
+        self.upstreams = None;
         self.has_new_members = true;
         for entry in &entries {
-            self.enroll(&entry.key, &entry.value);
+            self.add_member(&entry.key, &entry.value);
         }
         // For some keys, newer changes than the listed ones may be known. Going back to the
         // listing, even briefly, would send new flows to servers that have announced that
         // they drain.
-        let known = self.shared.look(|copy| copy.entries().cloned().collect());
+        let known = self
+            .shared
+            .with_copy(|copy| copy.entries().cloned().collect());
         let reset = Update::Reset {
             entries: known,
             refused,
             revision,
         };
         self.sender.send(reset).await?;
-        self.tell_members().await
+        self.report_members().await
     }
 
     /// Reports the instances that share the callers, if they have changed.
-    async fn tell_members(&mut self) -> Result<(), End> {
+    async fn report_members(&mut self) -> Result<(), FollowEnd> {
         if !std::mem::take(&mut self.has_new_members) {
             return Ok(());
         }
@@ -301,31 +303,31 @@
         Ok(self.sender.send(Update::Members(members)).await?)
     }
 
-    async fn apply(&mut self, changes: Vec<Change>, revision: u64) -> Result<(), End> {
+    async fn apply(&mut self, changes: Vec<Change>, revision: u64) -> Result<(), FollowEnd> {
         for change in self.shared.apply(changes, revision) {
             if copy::key(&change) == self.sources.keys.large {
                 self.large.note_change(Instant::now());
             }
             match &change {
-                Change::Put(entry) => self.enroll(&entry.key, &entry.value),
+                Change::Put(entry) => self.add_member(&entry.key, &entry.value),
                 Change::Delete { key, .. } => {
                     if self.members.remove(key).is_some() {
-                        self.above = None;
+                        self.upstreams = None;
                         self.has_new_members = true;
                     }
                 }
             }
             self.sender.send(Update::Change(change)).await?;
         }
-        self.tell_members().await
+        self.report_members().await
     }
 
-    fn enroll(&mut self, key: &str, value: &[u8]) {
-        match register::member(key, value) {
+    fn add_member(&mut self, key: &str, value: &[u8]) {
+        match register::parse_member(key, value) {
             None => {}
             Some(Ok(member)) => {
                 self.members.insert(key.to_owned(), member);
-                self.above = None;
+                self.upstreams = None;
                 self.has_new_members = true;
             }
             Some(Err(error)) => {
@@ -334,13 +336,13 @@
         }
     }
 
-    async fn fail(&mut self, error: &Error) -> Result<(), End> {
+    async fn record_failure(&mut self, error: &Error) -> Result<(), FollowEnd> {
         self.is_compacted |= store::needs_listing(error);
-        self.note_away(error);
-        if self.is_silent && self.backoff.has_failed() {
+        self.mark_store_unreachable(error);
+        if self.is_store_silent && self.backoff.has_failed() {
             return Ok(());
         }
-        self.is_silent = true;
+        self.is_store_silent = true;
         let reason = error.to_string();
         Ok(self.sender.send(Update::Silent { reason }).await?)
     }
--- a/src/replica/follow/poll.rs
+++ b/src/replica/follow/poll.rs
@@ -26,7 +26,7 @@
 use crate::platform::poll::Page;
 use crate::platform::poll::Reader;
 use crate::replica::Update;
-use crate::replica::follow::End;
+use crate::replica::follow::FollowEnd;
 use crate::replica::follow::Follower;
 use crate::replica::register;
 use crate::replica::store;
@@ -34,117 +34,117 @@
 /// Transfer time on this instance's link above which the large value is polled
 /// separately. At the fastest rate of change, a poll collects five versions. At this
 /// transfer time each, they still take no longer than the pause between two polls.
-const MOST_TRANSFER: Duration = Duration::from_millis(60);
+const MAX_COMBINED_TRANSFER: Duration = Duration::from_millis(60);
 
 /// Bytes that the store sends per byte of a value, which it encodes in base64.
-const SPELLING: f64 = 4.0 / 3.0;
+const BASE64_OVERHEAD: f64 = 4.0 / 3.0;
 
 /// How long after a change of the large value further changes are expected.
-const CHANGING: Duration = Duration::from_secs(5);
+const CHANGE_WINDOW: Duration = Duration::from_secs(5);
 
 /// State of polling the large value separately.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Large {
+pub(super) struct LargeValueState {
     /// Revision up to which the large value is known, if it is later than the synced
     /// revision of the copy.
-    horizon: u64,
+    synced_revision: u64,
     /// Revision up to which the operators' orders are known, if it is later than that of
     /// the copy.
-    orders: u64,
+    orders_revision: u64,
     /// When the value last changed here, or a poll for it last failed.
     changed: Option<Instant>,
 }
 
-impl Large {
+impl LargeValueState {
     pub(super) fn note_change(&mut self, now: Instant) {
         self.changed = Some(now);
     }
 
     /// Whether only the newest version should be read.
     fn is_changing(&self, now: Instant) -> bool {
-        self.changed.is_some_and(|at| now < at + CHANGING)
+        self.changed.is_some_and(|at| now < at + CHANGE_WINDOW)
     }
 }
 
 /// Time for the response to a poll that found no changes, on a link with spare
 /// capacity.
-const ANSWER: Duration = Duration::from_millis(100);
+const RESPONSE_TIME: Duration = Duration::from_millis(100);
 
-type Outcome<T> = std::result::Result<T, End>;
+type FollowResult<T> = std::result::Result<T, FollowEnd>;
 
 /// Result of one of several polls.
-struct Polled {
+struct PollResult {
     /// The prefix or key that was polled.
     key: &'static str,
     /// Time up to which the result is known to be complete.
-    known: Instant,
+    known_until: Instant,
     /// Whether the poll waited its full time and found no changes.
-    is_vain: bool,
+    is_idle: bool,
     /// `None` when the poll was not sent.
     batch: Option<Result<Batch>>,
 }
 
 /// Results of the polls of one round so far, by polled prefix or key.
 #[derive(Default)]
-struct Round {
-    reached: BTreeMap<&'static str, u64>,
+struct PollRound {
+    revisions: BTreeMap<&'static str, u64>,
     /// The latest failure of each poll that has not succeeded since.
     failures: BTreeMap<&'static str, Error>,
     has_changes: bool,
-    is_large_over: bool,
+    is_large_done: bool,
     /// Whether the poll of the large value includes the orders.
-    has_orders: bool,
+    includes_orders: bool,
 }
 
 /// Polls of small values while the large value is polled separately.
-struct Again<'a> {
+struct SmallPolls<'a> {
     reader: &'a Reader,
     /// Prefix of the orders, which seldom change.
-    orders: &'static str,
+    orders_prefix: &'static str,
     /// Longest wait of a poll of the servers while the poll of the large value waits as
     /// well.
-    wait: Duration,
+    servers_wait: Duration,
     /// Longest wait of a poll of the orders during that time.
-    seldom: Duration,
+    orders_wait: Duration,
     /// Longest wait of a poll while the large value is being transferred.
-    short: Duration,
+    transfer_wait: Duration,
     /// When the poll of the large value ends if it finds no changes.
-    ends: Instant,
+    large_ends_at: Instant,
     /// Whether the poll of the large value has ended.
-    is_over: watch::Receiver<bool>,
+    is_large_done: watch::Receiver<bool>,
 }
 
 /// Whether reading the large value takes so long that it is polled separately.
-pub(crate) fn is_thin(large: usize, bytes_per_second: f64) -> bool {
-    let seconds = large as f64 * SPELLING / bytes_per_second;
-    seconds > MOST_TRANSFER.as_secs_f64()
+pub(crate) fn is_slow_link(large: usize, bytes_per_second: f64) -> bool {
+    let seconds = large as f64 * BASE64_OVERHEAD / bytes_per_second;
+    seconds > MAX_COMBINED_TRANSFER.as_secs_f64()
 }
 
 impl Follower {
     /// Polls for changes after the synced revision.
-    pub(super) async fn poll(&mut self, horizon: u64) -> Outcome<()> {
+    pub(super) async fn poll(&mut self, synced_revision: u64) -> FollowResult<()> {
         let key = self.sources.keys.large;
         let large = self
             .shared
-            .look(|copy| copy.get(key).map(|entry| entry.value.len()));
+            .with_copy(|copy| copy.get(key).map(|entry| entry.value.len()));
         let link = self.sources.me.link_mbps.bytes_per_second();
-        if is_thin(large.unwrap_or_default(), link) {
-            self.poll_apart(horizon).await
+        if is_slow_link(large.unwrap_or_default(), link) {
+            self.poll_separately(synced_revision).await
         } else {
-            self.poll_all(horizon).await
+            self.poll_all(synced_revision).await
         }
     }
 
     /// While the store is unreachable the poll does not wait, so that the first response
     /// after an outage arrives at once.
-    async fn poll_all(&mut self, horizon: u64) -> Outcome<()> {
-        let wait = self.wait();
+    async fn poll_all(&mut self, synced_revision: u64) -> FollowResult<()> {
+        let wait = self.next_wait();
         let asked = Instant::now();
         let all = self.sources.keys.all;
-        let batch = self.sources.reader.poll(all, horizon, wait).await?;
+        let batch = self.sources.reader.poll(all, synced_revision, wait).await?;
         let revision = batch.revision;
-        let has_changes = self.take_batch(batch, revision).await?;
-        self.end_poll(asked, wait, has_changes).await
+        let has_changes = self.apply_batch(batch, revision).await?;
+        self.finish_poll(asked, wait, has_changes).await
     }
 
     /// Polls servers, orders and members in parallel with the large value, and applies
@@ -156,94 +156,107 @@
     /// is being transferred. On a 1 Mbit/s link that takes 7.5 s for a configuration of
     /// 4,250 routes; without further polls, a server that drained meanwhile received new
     /// flows until the end of the transfer.
-    async fn poll_apart(&mut self, horizon: u64) -> Outcome<()> {
+    async fn poll_separately(&mut self, synced_revision: u64) -> FollowResult<()> {
         let asked = Instant::now();
         let reader = self.sources.reader.clone();
         let keys = self.sources.keys;
         // While nothing changes, one poll covers both.
-        let both_from = horizon.max(self.large.horizon.min(self.large.orders));
-        let newest = self.large.is_changing(asked);
+        let both_from =
+            synced_revision.max(self.large.synced_revision.min(self.large.orders_revision));
+        let reads_newest = self.large.is_changing(asked);
         let pace = self.sources.pace;
-        let short = pace.wait_for_others / 3;
-        let small_wait = self.wait();
+        let transfer_wait = pace.wait_for_others / 3;
+        let small_wait = self.next_wait();
         // Keys that seldom change are polled seldom: three polls of a third of a second
         // each made 2,400 calls a minute in an idle fleet of 24. All polls end before the
         // next round.
-        let wait = match (small_wait.is_zero(), newest) {
+        let wait = match (small_wait.is_zero(), reads_newest) {
             (true, _) => Duration::ZERO,
-            (false, true) => short,
+            (false, true) => transfer_wait,
             (false, false) => pace.wait,
         };
-        let (over, is_over) = watch::channel(false);
-        let again = Again {
+        let (large_done, is_large_done) = watch::channel(false);
+        let small_polls = SmallPolls {
             reader: &reader,
-            orders: keys.orders,
-            wait: small_wait,
-            seldom: wait,
-            short: short.min(small_wait),
-            ends: asked + wait,
-            is_over,
+            orders_prefix: keys.orders,
+            servers_wait: small_wait,
+            orders_wait: wait,
+            transfer_wait: transfer_wait.min(small_wait),
+            large_ends_at: asked + wait,
+            is_large_done,
         };
         let mut polls = FuturesUnordered::new();
-        polls.push(again.poll(keys.small, horizon, Duration::ZERO).boxed());
-        polls.push(poll_members(&reader, horizon, wait).boxed());
-        let orders_after = match newest {
+        polls.push(
+            small_polls
+                .poll(keys.small, synced_revision, Duration::ZERO)
+                .boxed(),
+        );
+        polls.push(poll_members(&reader, synced_revision, wait).boxed());
+        let orders_after = match reads_newest {
             true => Duration::ZERO,
-            false => wait + ANSWER,
+            false => wait + RESPONSE_TIME,
         };
-        polls.push(again.poll(keys.orders, horizon, orders_after).boxed());
+        polls.push(
+            small_polls
+                .poll(keys.orders, synced_revision, orders_after)
+                .boxed(),
+        );
         let large = async {
             let asked = Instant::now();
-            let batch = match newest {
+            let batch = match reads_newest {
                 true => read_newest(&reader, keys.large).await,
                 false => reader.poll(keys.operators, both_from, wait).await,
             };
-            Polled::new(keys.large, asked, wait, batch)
+            PollResult::new(keys.large, asked, wait, batch)
         };
         polls.push(large.boxed());
-        let mut round = Round {
-            has_orders: !newest,
-            ..Round::default()
+        let mut round = PollRound {
+            includes_orders: !reads_newest,
+            ..PollRound::default()
         };
         // A poll that is never sent advances no revision.
-        round
-            .reached
-            .extend([(keys.small, horizon), (keys.orders, horizon)]);
-        while let Some(polled) = polls.next().await {
-            let next = self.take_polled(polled, horizon, &mut round).await?;
-            if round.is_large_over {
-                over.send_replace(true);
+        round.revisions.extend([
+            (keys.small, synced_revision),
+            (keys.orders, synced_revision),
+        ]);
+        while let Some(result) = polls.next().await {
+            let next = self
+                .apply_result(result, synced_revision, &mut round)
+                .await?;
+            if round.is_large_done {
+                large_done.send_replace(true);
             } else if let Some((prefix, after, pause)) = next {
-                polls.push(again.poll(prefix, after, pause).boxed());
+                polls.push(small_polls.poll(prefix, after, pause).boxed());
             }
         }
         drop(polls);
         if let Some(error) = round.failures.into_values().next() {
-            return Err(End::Failed(error));
+            return Err(FollowEnd::Failed(error));
         }
-        let reached = round.reached.into_values().min();
-        self.apply(Vec::new(), reached.unwrap_or(horizon)).await?;
-        self.end_poll(asked, wait, round.has_changes).await
+        let lowest = round.revisions.into_values().min();
+        self.apply(Vec::new(), lowest.unwrap_or(synced_revision))
+            .await?;
+        self.finish_poll(asked, wait, round.has_changes).await
     }
 
     /// Applies the result of one poll; returns the prefix to poll again, from which
     /// revision, and after which pause.
-    async fn take_polled(
+    async fn apply_result(
         &mut self,
-        polled: Polled,
-        horizon: u64,
-        round: &mut Round,
-    ) -> Outcome<Option<(&'static str, u64, Duration)>> {
-        let Polled {
+        result: PollResult,
+        synced_revision: u64,
+        round: &mut PollRound,
+    ) -> FollowResult<Option<(&'static str, u64, Duration)>> {
+        let PollResult {
             key,
-            known,
-            is_vain,
+            known_until,
+            is_idle,
             batch,
-        } = polled;
+        } = result;
         let is_small = key == self.sources.keys.small;
         let is_repeated = is_small || key == self.sources.keys.orders;
         let is_large = key == self.sources.keys.large;
-        round.is_large_over |= is_large;
+        round.is_large_done |= is_large;
         let gather = self.sources.pace.gather;
         let batch = match batch {
             // The poll of the large value ended before this one was sent.
@@ -255,34 +268,34 @@
                     self.large.note_change(Instant::now());
                 }
                 round.failures.insert(key, error);
-                let after = round.reached.get(key).copied().unwrap_or(horizon);
+                let after = round.revisions.get(key).copied().unwrap_or(synced_revision);
                 return Ok(is_repeated.then_some((key, after, gather)));
             }
         };
         let revision = batch.revision;
         if is_large {
-            self.large.horizon = revision;
+            self.large.synced_revision = revision;
         }
         round.failures.remove(key);
-        round.reached.insert(key, revision);
+        round.revisions.insert(key, revision);
         let orders = self.sources.keys.orders;
-        if key == orders || is_large && round.has_orders {
-            self.large.orders = revision.max(self.large.orders);
-            round.reached.insert(orders, self.large.orders);
+        if key == orders || is_large && round.includes_orders {
+            self.large.orders_revision = revision.max(self.large.orders_revision);
+            round.revisions.insert(orders, self.large.orders_revision);
         }
-        round.has_changes |= self.take_batch(batch, horizon).await?;
+        round.has_changes |= self.apply_batch(batch, synced_revision).await?;
         if is_small && round.failures.is_empty() {
             // While the large value is being transferred, the small values are known as of
             // their last poll, which counts as contact. The large value arrives as fast as
             // the link allows: if subscribers left this instance for being slow with it, they
             // would all read it from the store over their own links.
-            self.shared.touch(known);
+            self.shared.record_contact(known_until);
         }
-        let pause = if is_vain { Duration::ZERO } else { gather };
+        let pause = if is_idle { Duration::ZERO } else { gather };
         Ok(is_repeated.then_some((key, revision, pause)))
     }
 
-    pub(super) async fn take_batch(&mut self, batch: Batch, revision: u64) -> Outcome<bool> {
+    pub(super) async fn apply_batch(&mut self, batch: Batch, revision: u64) -> FollowResult<bool> {
         for refusal in batch.refused {
             self.sender.send(Update::Refused(refusal)).await?;
         }
@@ -291,15 +304,20 @@
         Ok(has_changes)
     }
 
-    async fn end_poll(&mut self, asked: Instant, wait: Duration, has_changes: bool) -> Outcome<()> {
+    async fn finish_poll(
+        &mut self,
+        asked: Instant,
+        wait: Duration,
+        has_changes: bool,
+    ) -> FollowResult<()> {
         self.had_changes = has_changes;
         // A poll that found no changes was answered no earlier than the end of its wait.
         let waited = if has_changes { Duration::ZERO } else { wait };
         let until = asked + waited.min(asked.elapsed());
         // Small values may have been polled again while the large one was transferred.
         let until = self.shared.contact().map_or(until, |at| at.max(until));
-        self.answered(Contact { from: asked, until }).await?;
-        store::pause(&self.sources.pace, asked, wait, has_changes).await;
+        self.record_answer(Contact { from: asked, until }).await?;
+        store::pause_after_poll(&self.sources.pace, asked, wait, has_changes).await;
         Ok(())
     }
 
@@ -310,9 +328,9 @@
     /// [`crate::replica::Pace::most_age`], although polls without changes wait for half
     /// as long. It also applies without subscribers: an instance that subscribed in the
     /// middle of a longer poll would find the copy too old and leave again.
-    fn wait(&self) -> Duration {
+    fn next_wait(&self) -> Duration {
         let pace = self.sources.pace;
-        match self.is_silent {
+        match self.is_store_silent {
             true => Duration::ZERO,
             false if self.had_changes => pace.wait_for_others / 3,
             false => pace.wait_for_others,
@@ -320,15 +338,15 @@
     }
 }
 
-impl Polled {
+impl PollResult {
     fn new(key: &'static str, asked: Instant, wait: Duration, batch: Result<Batch>) -> Self {
-        let is_vain = batch.as_ref().is_ok_and(|batch| batch.changes.is_empty());
-        let waited = if is_vain { wait } else { Duration::ZERO };
+        let is_idle = batch.as_ref().is_ok_and(|batch| batch.changes.is_empty());
+        let waited = if is_idle { wait } else { Duration::ZERO };
         Self {
             key,
-            known: asked + waited.min(asked.elapsed()),
+            known_until: asked + waited.min(asked.elapsed()),
             // A store that responds at once without a change would be polled in a busy loop.
-            is_vain: is_vain && asked.elapsed() >= wait / 2 && !wait.is_zero(),
+            is_idle: is_idle && asked.elapsed() >= wait / 2 && !wait.is_zero(),
             batch: Some(batch),
         }
     }
@@ -336,49 +354,49 @@
     fn unsent(key: &'static str) -> Self {
         Self {
             key,
-            known: Instant::now(),
-            is_vain: false,
+            known_until: Instant::now(),
+            is_idle: false,
             batch: None,
         }
     }
 }
 
-impl Again<'_> {
+impl SmallPolls<'_> {
     /// Polls a prefix after a pause, unless the poll of the large value has ended by
     /// then.
-    async fn poll(&self, prefix: &'static str, after: u64, pause: Duration) -> Polled {
-        let mut is_over = self.is_over.clone();
-        let is_needless = tokio::select! {
+    async fn poll(&self, prefix: &'static str, after: u64, pause: Duration) -> PollResult {
+        let mut is_large_done = self.is_large_done.clone();
+        let is_unneeded = tokio::select! {
             biased;
             // The sender lives as long as the polls.
-            _ = is_over.wait_for(|is_over| *is_over) => true,
+            _ = is_large_done.wait_for(|is_large_done| *is_large_done) => true,
             () = time::sleep(pause) => false,
         };
-        if is_needless {
-            return Polled::unsent(prefix);
+        if is_unneeded {
+            return PollResult::unsent(prefix);
         }
         let asked = Instant::now();
-        let wait = self.wait_from(asked, prefix);
+        let wait = self.wait_at(asked, prefix);
         let batch = self.reader.poll(prefix, after, wait).await;
-        Polled::new(prefix, asked, wait, batch)
+        PollResult::new(prefix, asked, wait, batch)
     }
 
     /// Waits no longer than the poll of the large value, so that the next round is not
     /// delayed.
-    fn wait_from(&self, now: Instant, prefix: &str) -> Duration {
-        let left = self.ends.saturating_duration_since(now);
-        let longest = match prefix == self.orders {
-            true => self.seldom,
-            false => self.wait,
+    fn wait_at(&self, now: Instant, prefix: &str) -> Duration {
+        let left = self.large_ends_at.saturating_duration_since(now);
+        let longest = match prefix == self.orders_prefix {
+            true => self.orders_wait,
+            false => self.servers_wait,
         };
-        left.min(longest).max(self.short)
+        left.min(longest).max(self.transfer_wait)
     }
 }
 
-async fn poll_members(reader: &Reader, after: u64, wait: Duration) -> Polled {
+async fn poll_members(reader: &Reader, after: u64, wait: Duration) -> PollResult {
     let asked = Instant::now();
     let batch = reader.poll(register::PREFIX, after, wait).await;
-    Polled::new(register::PREFIX, asked, wait, batch)
+    PollResult::new(register::PREFIX, asked, wait, batch)
 }
 
 /// Reads the newest version and returns it as the result of a poll.
--- a/src/replica/follow/search.rs
+++ b/src/replica/follow/search.rs
@@ -25,77 +25,77 @@
 
 use crate::pacing::Bounds;
 use crate::replica::Member;
-use crate::replica::subscribe::Report;
 use crate::replica::subscribe::Subscription;
+use crate::replica::subscribe::UpstreamUpdate;
 
 /// Delay after the start until other instances are asked besides the store. The store
 /// responds within 4 ms, so a fleet that starts with a working store asks no other
 /// instances.
-const ASK_AFTER: Duration = Duration::from_millis(100);
+const ASK_OTHERS_AFTER: Duration = Duration::from_millis(100);
 
 /// Delay after the start from which an old copy is accepted: the response time of a
 /// slow store, 250 ms, plus the round trip.
-const TAKE_OLD_AFTER: Duration = Duration::from_millis(300);
+const ACCEPT_OLD_AFTER: Duration = Duration::from_millis(300);
 
 /// Pauses before an instance that returned no copy is asked again. The first is half of
 /// the time after which a caller repeats its first packet; the longest keeps a seed
 /// that is gone for good from filling the log.
-const RETRY: Bounds = Bounds {
+const RETRY_PAUSES: Bounds = Bounds {
     first: Duration::from_millis(100),
     most: Duration::from_millis(400),
 };
 
 /// A search for a copy.
-pub(super) struct Search {
+pub(super) struct CopySearch {
     pub(super) me: Member,
     pub(super) seeds: Vec<SocketAddrV4>,
     /// Age below which a copy is as good as the store's response.
     pub(super) fresh: Duration,
     /// When this instance started to follow.
-    pub(super) begun: Instant,
+    pub(super) started_at: Instant,
     /// Addresses of instances with a copy that have subscribed here.
-    pub(super) introduced: watch::Receiver<Vec<SocketAddrV4>>,
+    pub(super) copy_holders: watch::Receiver<Vec<SocketAddrV4>>,
     pub(super) log: Logger,
 }
 
-impl Search {
+impl CopySearch {
     /// Searches until an acceptable copy is found.
-    pub(super) async fn run(mut self) -> Report {
-        time::sleep_until(self.begun + ASK_AFTER).await;
-        let old_from = self.begun + TAKE_OLD_AFTER;
+    pub(super) async fn run(mut self) -> UpstreamUpdate {
+        time::sleep_until(self.started_at + ASK_OTHERS_AFTER).await;
+        let old_from = self.started_at + ACCEPT_OLD_AFTER;
         let mut asked = HashSet::from([self.me.address]);
         let mut copies = FuturesUnordered::new();
-        let mut newest: Option<Report> = None;
+        let mut newest: Option<UpstreamUpdate> = None;
         loop {
-            let introduced = self.introduced.borrow_and_update().clone();
-            for address in self.seeds.iter().copied().chain(introduced) {
+            let copy_holders = self.copy_holders.borrow_and_update().clone();
+            for address in self.seeds.iter().copied().chain(copy_holders) {
                 if asked.insert(address) {
-                    copies.push(await_copy(address, &self.me, RETRY, &self.log));
+                    copies.push(await_copy(address, &self.me, RETRY_PAUSES, &self.log));
                 }
             }
             if Instant::now() >= old_from
-                && let Some(report) = newest.take()
+                && let Some(update) = newest.take()
             {
-                return report;
+                return update;
             }
             tokio::select! {
-                Some(report) = copies.next() => {
-                    if report.age.is_some_and(|age| age < self.fresh) {
-                        return report;
+                Some(update) = copies.next() => {
+                    if update.age.is_some_and(|age| age < self.fresh) {
+                        return update;
                     }
-                    newest = Some(newer(newest.take(), report));
+                    newest = Some(newer(newest.take(), update));
                 }
-                _ = self.introduced.changed() => {}
+                _ = self.copy_holders.changed() => {}
                 () = time::sleep_until(old_from), if newest.is_some() => {}
             }
         }
     }
 }
 
-fn newer(known: Option<Report>, report: Report) -> Report {
+fn newer(known: Option<UpstreamUpdate>, update: UpstreamUpdate) -> UpstreamUpdate {
     match known {
-        Some(known) if known.revision >= report.revision => known,
-        _ => report,
+        Some(known) if known.revision >= update.revision => known,
+        _ => update,
     }
 }
 
@@ -105,11 +105,11 @@
     me: &Member,
     retry: Bounds,
     log: &Logger,
-) -> Report {
+) -> UpstreamUpdate {
     let mut pause = retry.first;
     loop {
         match ask_for_copy(peer, me).await {
-            Ok(report) => return report,
+            Ok(update) => return update,
             Err(error) => info!(log, "no copy from another instance"; "error" => %error),
         }
         time::sleep(pause).await;
@@ -117,11 +117,11 @@
     }
 }
 
-async fn ask_for_copy(peer: SocketAddrV4, me: &Member) -> crate::Result<Report> {
-    let joined = Subscription::join(peer, me, None, Vec::new()).await;
-    let (mut subscription, mut report) = joined?;
-    while !report.is_everything {
-        report = subscription.next().await?;
+async fn ask_for_copy(peer: SocketAddrV4, me: &Member) -> crate::Result<UpstreamUpdate> {
+    let opened = Subscription::open(peer, me, None, Vec::new()).await;
+    let (mut subscription, mut update) = opened?;
+    while !update.is_full_copy {
+        update = subscription.next_update().await?;
     }
-    subscription.complete(report).await
+    subscription.complete(update).await
 }
--- a/src/replica/follow/start.rs
+++ b/src/replica/follow/start.rs
@@ -22,27 +22,27 @@
 
 use crate::pacing::Bounds;
 use crate::replica::Member;
-use crate::replica::follow::End;
+use crate::replica::follow::FollowEnd;
 use crate::replica::follow::Follower;
-use crate::replica::follow::Presence;
-use crate::replica::follow::SLOW_RETRY;
+use crate::replica::follow::MAX_RETRY_PAUSE;
+use crate::replica::follow::StoreState;
 use crate::replica::follow::search;
-use crate::replica::follow::search::Search;
+use crate::replica::follow::search::CopySearch;
 use crate::replica::register;
 use crate::replica::store;
-use crate::replica::subscribe::Report;
+use crate::replica::subscribe::UpstreamUpdate;
 use crate::replica::tree;
-use crate::replica::tree::HEADS;
+use crate::replica::tree::HEAD_COUNT;
 
 /// Pause before an instance that does not respond yet is asked for a copy again. The
 /// store is read in parallel, so this does not go on for long.
-const RETRY: Bounds = Bounds {
+const RETRY_PAUSES: Bounds = Bounds {
     first: Duration::from_millis(25),
     most: Duration::from_millis(25),
 };
 
 /// Instances from which the first copy is requested.
-struct Feeders {
+struct CopySources {
     /// Their addresses; empty when this instance is a head of its zone.
     addresses: Vec<SocketAddrV4>,
     /// How long to wait for them before the store is read as well.
@@ -62,113 +62,113 @@
     /// well. One search continues across all attempts to reach the store: on a slow link,
     /// a copy may take longer than one attempt and its pause, and would never complete if
     /// each attempt started again.
-    pub(super) async fn begin(&mut self) -> Result<(), End> {
+    pub(super) async fn fetch_first_copy(&mut self) -> Result<(), FollowEnd> {
         let search = self.search().run();
         tokio::pin!(search);
         loop {
-            let feeders = tokio::select! {
-                feeders = self.feeders() => feeders,
-                report = &mut search => return self.take_found(report).await,
+            let copy_sources = tokio::select! {
+                copy_sources = self.copy_sources() => copy_sources,
+                update = &mut search => return self.take_found(update).await,
             };
-            match feeders {
-                Ok(feeders) => return self.begin_from(feeders).await,
-                Err(End::Failed(error)) => self.fail(&error).await?,
+            match copy_sources {
+                Ok(copy_sources) => return self.fetch_copy_from(copy_sources).await,
+                Err(FollowEnd::Failed(error)) => self.record_failure(&error).await?,
                 Err(abandoned) => return Err(abandoned),
             }
-            let pause = self.backoff.next_delay().min(SLOW_RETRY);
-            if let Ok(report) = time::timeout(pause, &mut search).await {
-                return self.take_found(report).await;
+            let pause = self.backoff.next_delay().min(MAX_RETRY_PAUSE);
+            if let Ok(update) = time::timeout(pause, &mut search).await {
+                return self.take_found(update).await;
             }
         }
     }
 
-    fn search(&self) -> Search {
-        Search {
+    fn search(&self) -> CopySearch {
+        CopySearch {
             me: self.sources.me.clone(),
             seeds: self.sources.seeds.clone(),
             fresh: self.sources.pace.fresh,
-            begun: self.begun,
-            introduced: self.shared.introduced(),
+            started_at: self.started_at,
+            copy_holders: self.shared.copy_holders(),
             log: self.sources.log.clone(),
         }
     }
 
     /// Applies the copy that a search has found while the store did not respond.
-    async fn take_found(&mut self, report: Report) -> Result<(), End> {
-        info!(self.sources.log, "copy of another instance taken"; "revision" => report.revision,
-            "age_ms" => report.age.map(|age| age.as_millis() as u64));
+    async fn take_found(&mut self, update: UpstreamUpdate) -> Result<(), FollowEnd> {
+        info!(self.sources.log, "copy of another instance taken"; "revision" => update.revision,
+            "age_ms" => update.age.map(|age| age.as_millis() as u64));
         // Until the store responds, an upstream with an old copy is as good as any other.
-        self.presence = Presence::Away(Instant::now() + self.probe_pause);
-        self.take(report).await
+        self.store_state = StoreState::Unreachable(Instant::now() + self.probe_pause);
+        self.apply_update(update).await
     }
 
     /// Gets the first copy while the store responds.
-    async fn begin_from(&mut self, feeders: Feeders) -> Result<(), End> {
+    async fn fetch_copy_from(&mut self, copy_sources: CopySources) -> Result<(), FollowEnd> {
         let reader = self.sources.reader.clone();
         let all = self.sources.keys.all;
-        if feeders.addresses.is_empty() {
+        if copy_sources.addresses.is_empty() {
             let listing = store::list(&reader, all).await?;
-            return self.take_listing(listing).await;
+            return self.apply_listing(listing).await;
         }
-        let copying = self.copy_from_first(&feeders.addresses);
+        let copying = self.first_copy_from(&copy_sources.addresses);
         let reading = async {
-            time::sleep(feeders.wait).await;
+            time::sleep(copy_sources.wait).await;
             store::list(&reader, all).await
         };
         let first = tokio::select! {
-            report = copying => Ok(report),
+            update = copying => Ok(update),
             listing = reading => Err(listing),
         };
         match first {
-            Ok(report) => self.take(report).await,
-            Err(listing) => self.take_listing(listing?).await,
+            Ok(update) => self.apply_update(update).await,
+            Err(listing) => self.apply_listing(listing?).await,
         }
     }
 
     /// Reads the list of members from the store and returns the instances to ask for a
     /// copy.
-    async fn feeders(&mut self) -> Result<Feeders, End> {
+    async fn copy_sources(&mut self) -> Result<CopySources, FollowEnd> {
         let reader = self.sources.reader.clone();
         let zone = register::zone_prefix(&self.sources.me.zone);
         let page = reader.page(&zone, None).await?;
         for entry in &page.entries {
-            self.enroll(&entry.key, &entry.value);
+            self.add_member(&entry.key, &entry.value);
         }
         // One page may not contain all members. This instance needs a rank even if it is
         // not on the page.
         let me = self.sources.me.clone();
         self.members.entry(register::key(&me)).or_insert(me);
-        self.above = None;
-        let above = self.above();
-        let is_head = above.len() < HEADS;
+        self.upstreams = None;
+        let upstreams = self.upstreams();
+        let is_head = upstreams.len() < HEAD_COUNT;
         let members: Vec<Member> = self.members.values().cloned().collect();
         let (me, first) = (&self.sources.me, self.sources.pace.copy_wait);
-        Ok(Feeders {
-            addresses: if is_head { Vec::new() } else { above },
+        Ok(CopySources {
+            addresses: if is_head { Vec::new() } else { upstreams },
             wait: tree::copy_wait(&me.instance, &me.zone, &members, first),
         })
     }
 
     /// The first copy that any of the instances returns. All are asked in parallel, since
     /// a machine without power does not even refuse a connection.
-    async fn copy_from_first(&self, feeders: &[SocketAddrV4]) -> Report {
-        let copies = feeders
+    async fn first_copy_from(&self, copy_sources: &[SocketAddrV4]) -> UpstreamUpdate {
+        let copies = copy_sources
             .iter()
-            .map(|feeder| Box::pin(self.copy_from(*feeder)));
-        let (report, _, _) = futures::future::select_all(copies).await;
-        report
+            .map(|source| Box::pin(self.copy_from(*source)));
+        let (update, _, _) = futures::future::select_all(copies).await;
+        update
     }
 
     /// Waits until an instance has a fresh copy and returns it.
-    async fn copy_from(&self, feeder: SocketAddrV4) -> Report {
+    async fn copy_from(&self, source: SocketAddrV4) -> UpstreamUpdate {
         let (me, log) = (&self.sources.me, &self.sources.log);
-        let report = search::await_copy(feeder, me, RETRY, log).await;
-        if self.is_fresh(&report) {
-            return report;
+        let update = search::await_copy(source, me, RETRY_PAUSES, log).await;
+        if self.is_fresh(&update) {
+            return update;
         }
         // The owner of the copy is cut off from the store. With this copy, routes would be
         // used that have been withdrawn since.
-        info!(log, "copy of upstream too old"; "peer" => %feeder);
+        info!(log, "copy of upstream too old"; "peer" => %source);
         std::future::pending().await
     }
 }
--- a/src/replica/handover.rs
+++ b/src/replica/handover.rs
@@ -25,22 +25,22 @@
 use crate::replica::Member;
 use crate::replica::Shared;
 use crate::replica::register;
-use crate::replica::subscribe::Report;
 use crate::replica::subscribe::Subscription;
+use crate::replica::subscribe::UpstreamUpdate;
 use crate::replica::tree;
 
 /// Time limit for a response of the store, which takes 4 ms, and up to 250 ms when the
 /// store is slow.
-const ANSWERS_WITHIN: Duration = Duration::from_millis(400);
+const STORE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Pause before the store and the other instances are asked again.
-const RETRY: Duration = Duration::from_millis(300);
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 /// Other instances that must have the copy.
-const KEEPERS: usize = 2;
+const REQUIRED_HOLDERS: usize = 2;
 
 /// Maximum other instances that are asked at once, those of the own zone first.
-const MOST_ASKED: usize = 12;
+const MAX_ASKED: usize = 12;
 
 /// Decides whether the copy may be discarded.
 pub(crate) struct Handover {
@@ -53,18 +53,22 @@
 impl Handover {
     /// Waits until the copy may be discarded; returns at once when there is none.
     pub(crate) async fn wait(&self) {
-        while let Some(horizon) = self.shared.horizon() {
-            if self.is_store_there(horizon).await || self.is_kept(horizon).await {
+        while let Some(synced_revision) = self.shared.synced_revision() {
+            if self.is_store_reachable(synced_revision).await
+                || self.has_enough_holders(synced_revision).await
+            {
                 return;
             }
-            time::sleep(RETRY).await;
+            time::sleep(RETRY_PAUSE).await;
         }
     }
 
-    async fn is_store_there(&self, horizon: u64) -> bool {
+    async fn is_store_reachable(&self, synced_revision: u64) -> bool {
         // Few keys change under this prefix, so the response is short.
-        let asked = self.reader.poll(register::PREFIX, horizon, Duration::ZERO);
-        match time::timeout(ANSWERS_WITHIN, asked).await {
+        let asked = self
+            .reader
+            .poll(register::PREFIX, synced_revision, Duration::ZERO);
+        match time::timeout(STORE_TIMEOUT, asked).await {
             Ok(Ok(_) | Err(Error::Compacted { .. })) => true,
             Ok(Err(error)) => {
                 info!(self.log, "store does not answer before the stop"; "error" => %error);
@@ -79,34 +83,40 @@
 
     /// Whether enough other instances, which are not stopping, have everything that is
     /// known here.
-    async fn is_kept(&self, horizon: u64) -> bool {
+    async fn has_enough_holders(&self, synced_revision: u64) -> bool {
         let others = self.others();
-        let asked = others.iter().map(|other| self.ask(*other, horizon));
-        let reports = future::join_all(asked).await;
-        let keeps = |report: &Report| {
-            report.age.is_some() && report.revision >= horizon && !report.is_leaving
+        let asked = others
+            .iter()
+            .map(|other| self.request_update(*other, synced_revision));
+        let updates = future::join_all(asked).await;
+        let holds_copy = |update: &UpstreamUpdate| {
+            update.age.is_some() && update.revision >= synced_revision && !update.is_leaving
         };
-        let keepers = reports
+        let holders = updates
             .iter()
             .flatten()
-            .filter(|report| keeps(report))
+            .filter(|update| holds_copy(update))
             .count();
-        info!(self.log, "copies that others keep"; "keepers" => keepers, "asked" => others.len());
-        keepers >= KEEPERS.min(others.len()).max(1)
+        info!(self.log, "copies that others keep"; "keepers" => holders, "asked" => others.len());
+        holders >= REQUIRED_HOLDERS.min(others.len()).max(1)
     }
 
     fn others(&self) -> Vec<SocketAddrV4> {
         let members = self.shared.members();
-        let others = tree::neighbours_first(&self.me, &members);
-        others.into_iter().take(MOST_ASKED).collect()
+        let others = tree::addresses_nearest_first(&self.me, &members);
+        others.into_iter().take(MAX_ASKED).collect()
     }
 
     /// Asks another instance for its newer changes, which also gives it the address of
     /// this instance.
-    async fn ask(&self, other: SocketAddrV4, horizon: u64) -> Option<Report> {
+    async fn request_update(
+        &self,
+        other: SocketAddrV4,
+        synced_revision: u64,
+    ) -> Option<UpstreamUpdate> {
         let bases = self.shared.bases();
-        let joined = Subscription::join(other, &self.me, Some(horizon), bases).await;
-        let (_, report) = joined.ok()?;
-        Some(report)
+        let opened = Subscription::open(other, &self.me, Some(synced_revision), bases).await;
+        let (_, update) = opened.ok()?;
+        Some(update)
     }
 }
--- a/src/replica/message.rs
+++ b/src/replica/message.rs
@@ -19,38 +19,38 @@
 use crate::platform::Change;
 use crate::replica::board::Remark;
 use crate::replica::pack;
-use crate::replica::pack::Base;
+use crate::replica::pack::BaseValue;
 
 /// Largest message that is read, in bytes: many times the size that [`MAX_PART_BYTES`]
 /// and [`MAX_ROWS_BYTES`] allow, and small enough for a machine with 80 MB.
-const LARGEST_MESSAGE: usize = 4 << 20;
+const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
 /// Largest uncompressed value or complete copy, in bytes. A copy of a store with 6,400
 /// servers and 3,700 routes is 4 MB.
-pub(crate) const LARGEST: usize = 16 << 20;
+pub(crate) const MAX_VALUE_BYTES: usize = 16 << 20;
 
 /// Maximum bytes of a compressed value in one message: 7 ms on a 10 Mbit/s link, which
 /// is the longest wait of a small row.
-pub(crate) const PART: usize = 8 << 10;
+pub(crate) const MAX_PART_BYTES: usize = 8 << 10;
 
 /// Maximum bytes of small rows in one message. With it, 16 subscribers that share a
 /// link of 2 Mbit/s, the slowest in use, each receive a message every 0.5 s; they leave
 /// after 0.8 s of silence.
-pub(crate) const ROWS: usize = 8 << 10;
+pub(crate) const MAX_ROWS_BYTES: usize = 8 << 10;
 
 /// Minimum bytes of rows that are compressed. Entries of servers are similar: 40 of
 /// them take 709 bytes instead of 6,327. A few are not worth the CPU time.
-const PACK_FROM: usize = 1 << 10;
+const MIN_PACKED_ROWS_BYTES: usize = 1 << 10;
 
 pub(crate) fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
-        .max_frame_length(LARGEST_MESSAGE)
+        .max_frame_length(MAX_MESSAGE_BYTES)
         .new_codec()
 }
 
 /// A large value that the subscriber has.
 #[derive(Clone, PartialEq, Message)]
-pub struct Held {
+pub struct HeldValue {
     /// The key.
     #[prost(string, tag = "1")]
     pub key: String,
@@ -61,22 +61,22 @@
 
 /// A subscriber's request, with what it already has.
 #[derive(Clone, PartialEq, Message)]
-pub struct Subscribe {
+pub struct SubscribeRequest {
     /// Name of the subscriber.
     #[prost(string, tag = "1")]
     pub instance: String,
     /// Revision up to which the subscriber has all changes; `None` without a copy.
     #[prost(uint64, optional, tag = "2")]
-    pub horizon: Option<u64>,
+    pub synced_revision: Option<u64>,
     /// Large values against which newer versions can be compressed.
     #[prost(message, repeated, tag = "3")]
-    pub held: Vec<Held>,
+    pub held: Vec<HeldValue>,
     /// Address at which the subscriber itself accepts subscribers.
     #[prost(string, tag = "4")]
     pub address: String,
     /// Whether the sender only wants a single heartbeat, as a liveness probe.
     #[prost(bool, tag = "5")]
-    pub is_look: bool,
+    pub is_probe: bool,
 }
 
 /// The newest change of one key.
@@ -103,7 +103,7 @@
 
 /// Rows compressed together.
 #[derive(Clone, PartialEq, Message)]
-pub struct Packed {
+pub struct PackedRows {
     /// Size of the uncompressed rows, in bytes.
     #[prost(uint64, tag = "1")]
     pub size: u64,
@@ -114,7 +114,7 @@
 
 /// A part of a compressed value. The parts of a value are sent in order.
 #[derive(Clone, PartialEq, Message)]
-pub struct Part {
+pub struct ValuePart {
     /// The value's key; empty for a complete copy.
     #[prost(string, tag = "1")]
     pub key: String,
@@ -143,7 +143,7 @@
 
 /// An update for a subscriber; a heartbeat when it has neither rows nor a part.
 #[derive(Clone, PartialEq, Message)]
-pub struct News {
+pub struct UpstreamMessage {
     /// Small rows.
     #[prost(message, repeated, tag = "2")]
     pub rows: Vec<Row>,
@@ -156,7 +156,7 @@
     pub age_ms: Option<u64>,
     /// Part of a large value or of a complete copy.
     #[prost(message, optional, tag = "5")]
-    pub part: Option<Part>,
+    pub part: Option<ValuePart>,
     /// Whether a complete copy is being sent.
     #[prost(bool, tag = "6")]
     pub awaits_copy: bool,
@@ -168,10 +168,10 @@
     pub has_more: bool,
     /// Further small rows, compressed.
     #[prost(message, optional, tag = "9")]
-    pub packed: Option<Packed>,
+    pub packed: Option<PackedRows>,
     /// Whether the sender follows a fallback upstream, which is not above it in the tree.
     #[prost(bool, tag = "10")]
-    pub is_detour: bool,
+    pub is_on_fallback: bool,
     /// Whether the sender is about to stop.
     #[prost(bool, tag = "11")]
     pub is_leaving: bool,
@@ -180,7 +180,7 @@
     pub is_withdrawn: bool,
 }
 
-impl News {
+impl UpstreamMessage {
     /// Compresses the rows if there are many.
     ///
     /// # Errors
@@ -188,12 +188,12 @@
     /// Returns an error if the compressor fails.
     pub fn pack_rows(&mut self) -> io::Result<()> {
         let size: usize = self.rows.iter().map(Message::encoded_len).sum();
-        if size < PACK_FROM {
+        if size < MIN_PACKED_ROWS_BYTES {
             return Ok(());
         }
         let rows = std::mem::take(&mut self.rows);
         let plain = Rows { rows }.encode_to_vec();
-        self.packed = Some(Packed {
+        self.packed = Some(PackedRows {
             size: plain.len() as u64,
             bytes: pack::pack(&plain, b"")?,
         });
@@ -209,7 +209,7 @@
         let Some(packed) = self.packed.take() else {
             return Ok(());
         };
-        let most = packed.size.min(LARGEST_MESSAGE as u64);
+        let most = packed.size.min(MAX_MESSAGE_BYTES as u64);
         let plain = pack::unpack(&packed.bytes, b"", most as usize)?;
         let packed = Rows::decode(plain).map_err(io::Error::other)?;
         // Copied, since a slice would keep the whole message in memory.
@@ -222,8 +222,8 @@
     }
 }
 
-impl From<&Base> for Held {
-    fn from(base: &Base) -> Self {
+impl From<&BaseValue> for HeldValue {
+    fn from(base: &BaseValue) -> Self {
         Self {
             key: base.key.clone(),
             mod_revision: base.mod_revision,
--- a/src/replica/pacer.rs
+++ b/src/replica/pacer.rs
@@ -18,11 +18,11 @@
 
 /// Share of this instance's link that subscribers may fill. Callers' packets take a
 /// tenth of the links in use, so that half leaves room for a burst.
-const SHARE: f64 = 0.5;
+const SUBSCRIBER_SHARE: f64 = 0.5;
 
 /// Pause before the budget is checked again when it is used up. On the slowest link in
 /// use, 2 Mbit/s, a part takes about this long.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A byte budget, shared by the tasks of all subscribers.
 #[derive(Debug)]
@@ -32,7 +32,7 @@
 
 impl Pacer {
     pub(crate) fn new(link: Bandwidth, now: Instant) -> Self {
-        let rate = (link.bytes_per_second() * SHARE) as u32;
+        let rate = (link.bytes_per_second() * SUBSCRIBER_SHARE) as u32;
         Self {
             bucket: Mutex::new(Bucket::new(Rate(rate.max(1)), now)),
         }
@@ -49,12 +49,12 @@
     }
 
     /// Charges bytes that are sent in any case.
-    pub(crate) fn count(&self, bytes: usize, now: Instant) {
+    pub(crate) fn charge(&self, bytes: usize, now: Instant) {
         self.lock().drain(bytes, now);
     }
 
     /// Waits until the budget may allow another part.
-    pub(crate) async fn rest(&self) {
-        time::sleep(LOOK_EVERY).await;
+    pub(crate) async fn wait_for_budget(&self) {
+        time::sleep(RETRY_INTERVAL).await;
     }
 }
--- a/src/replica/pack.rs
+++ b/src/replica/pack.rs
@@ -25,15 +25,15 @@
 const LEVEL: i32 = 3;
 
 /// Maximum compressed values kept for further subscribers.
-const MOST_PACKED: usize = 8;
+const MAX_CACHED_PACKS: usize = 8;
 
 /// Maximum earlier versions of large values kept as bases for subscribers that still
 /// have one of them.
-const MOST_EARLIER: usize = 4;
+const MAX_CACHED_BASES: usize = 4;
 
 /// A large value that a subscriber has, as a base for newer versions.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Base {
+pub struct BaseValue {
     /// The key.
     pub key: String,
     /// Revision of the store at which the value was written.
@@ -42,7 +42,7 @@
     pub value: Bytes,
 }
 
-impl From<&Entry> for Base {
+impl From<&Entry> for BaseValue {
     fn from(entry: &Entry) -> Self {
         Self {
             key: entry.key.clone(),
@@ -83,19 +83,19 @@
 
 /// A compressed value with its cache key.
 #[derive(Clone, Debug)]
-struct Packed {
+struct CachedPack {
     key: String,
     /// Revision of the base; 0 for none.
-    from: u64,
+    base_revision: u64,
     /// Digest of the uncompressed value.
-    to: u64,
+    value_digest: u64,
     bytes: Bytes,
 }
 
 #[derive(Debug, Default)]
-struct Shelves {
-    packed: VecDeque<Packed>,
-    earlier: VecDeque<Base>,
+struct CacheState {
+    packed: VecDeque<CachedPack>,
+    bases: VecDeque<BaseValue>,
 }
 
 /// Cache of compressed values, and of earlier versions as bases, for all subscribers.
@@ -103,57 +103,60 @@
 /// Leaf lock: no other lock is taken while it is held. Values are compressed under the
 /// lock, so that a value that 16 subscribers need is compressed once.
 #[derive(Debug, Default)]
-pub(crate) struct Shelf {
-    shelves: Mutex<Shelves>,
+pub(crate) struct PackCache {
+    cache: Mutex<CacheState>,
 }
 
-impl Shelf {
-    fn lock(&self) -> MutexGuard<'_, Shelves> {
-        self.shelves.lock().unwrap_or_else(PoisonError::into_inner)
+impl PackCache {
+    fn lock(&self) -> MutexGuard<'_, CacheState> {
+        self.cache.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Keeps a version of a value as a base for a while.
-    pub(crate) fn keep(&self, base: &Base) {
-        let mut shelves = self.lock();
+    pub(crate) fn keep_base(&self, base: &BaseValue) {
+        let mut cache = self.lock();
         let is_known =
-            |other: &Base| other.key == base.key && other.mod_revision == base.mod_revision;
-        if shelves.earlier.iter().any(is_known) {
+            |other: &BaseValue| other.key == base.key && other.mod_revision == base.mod_revision;
+        if cache.bases.iter().any(is_known) {
             return;
         }
-        shelves.earlier.push_back(base.clone());
-        if shelves.earlier.len() > MOST_EARLIER {
-            shelves.earlier.pop_front();
+        cache.bases.push_back(base.clone());
+        if cache.bases.len() > MAX_CACHED_BASES {
+            cache.bases.pop_front();
         }
     }
 
     /// Returns an earlier version if it is still kept.
-    pub(crate) fn earlier(&self, key: &str, mod_revision: u64) -> Option<Base> {
-        let shelves = self.lock();
-        let mut earlier = shelves.earlier.iter();
-        let found = earlier.find(|base| base.key == key && base.mod_revision == mod_revision);
+    pub(crate) fn earlier_base(&self, key: &str, mod_revision: u64) -> Option<BaseValue> {
+        let cache = self.lock();
+        let mut bases = cache.bases.iter();
+        let found = bases.find(|base| base.key == key && base.mod_revision == mod_revision);
         found.cloned()
     }
 
     /// Returns the value compressed against the base, from the cache if it is there.
-    pub(crate) fn pack(&self, value: &Base, base: Option<&Base>) -> io::Result<Bytes> {
-        let from = base.map_or(0, |base| base.mod_revision);
-        let to = digest(&value.value);
-        let mut shelves = self.lock();
-        let is_it =
-            |packed: &&Packed| packed.key == value.key && packed.from == from && packed.to == to;
-        if let Some(packed) = shelves.packed.iter().find(is_it) {
+    pub(crate) fn pack(&self, value: &BaseValue, base: Option<&BaseValue>) -> io::Result<Bytes> {
+        let base_revision = base.map_or(0, |base| base.mod_revision);
+        let value_digest = digest(&value.value);
+        let mut cache = self.lock();
+        let is_match = |packed: &&CachedPack| {
+            packed.key == value.key
+                && packed.base_revision == base_revision
+                && packed.value_digest == value_digest
+        };
+        if let Some(packed) = cache.packed.iter().find(is_match) {
             return Ok(packed.bytes.clone());
         }
         let base = base.map_or(&[][..], |base| &base.value);
         let bytes = pack(&value.value, base)?;
-        shelves.packed.push_back(Packed {
+        cache.packed.push_back(CachedPack {
             key: value.key.clone(),
-            from,
-            to,
+            base_revision,
+            value_digest,
             bytes: bytes.clone(),
         });
-        if shelves.packed.len() > MOST_PACKED {
-            shelves.packed.pop_front();
+        if cache.packed.len() > MAX_CACHED_PACKS {
+            cache.packed.pop_front();
         }
         Ok(bytes)
     }
--- a/src/replica/publish.rs
+++ b/src/replica/publish.rs
@@ -21,115 +21,115 @@
 use crate::error::Error;
 use crate::error::Result;
 use crate::replica::Shared;
-use crate::replica::board::MOST_REMARKS;
+use crate::replica::board::MAX_ENTRIES;
 use crate::replica::board::Remarks;
 use crate::replica::board::TELL_EVERY;
 use crate::replica::message;
-use crate::replica::message::News;
-use crate::replica::message::Subscribe;
+use crate::replica::message::SubscribeRequest;
+use crate::replica::message::UpstreamMessage;
 use crate::replica::outbox::Outbox;
-use crate::replica::pack::Base;
+use crate::replica::pack::BaseValue;
 use crate::replica::tree::FAN_OUT;
 
 /// Time between two messages to a subscriber.
 ///
 /// With four messages a second, a subscriber notices in less than a second that its
 /// upstream is gone. At about 60 bytes each, they stay well within 2 KB/s.
-pub(crate) const HEARTBEAT: Duration = Duration::from_millis(250);
+pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time limit for a subscriber's first message, and for sending it a message.
 ///
 /// Without it, a frozen subscriber would hold its connection, and its slot among
 /// [`MAX_SUBSCRIBERS`], forever.
-const PATIENCE: Duration = Duration::from_secs(2);
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Maximum subscribers. Twice the fan-out of the tree: instances see ranks differently
 /// while members join and leave, and an instance that starts without the store asks any
 /// other.
-const MOST_SUBSCRIBERS: usize = 2 * FAN_OUT;
+const MAX_SUBSCRIBERS: usize = 2 * FAN_OUT;
 
 /// Accepts subscribers until the process ends.
 pub(crate) async fn publish(listener: TcpListener, shared: Arc<Shared>, log: Logger) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                let task = serve(stream, peer, Arc::clone(&shared), log.clone());
+                let task = serve_connection(stream, peer, Arc::clone(&shared), log.clone());
                 tokio::spawn(task);
             }
             Err(error) => {
                 warn!(log, "accepting subscriber failed"; "error" => %error);
                 // Most likely out of file descriptors, which become available again with time.
-                time::sleep(HEARTBEAT).await;
+                time::sleep(HEARTBEAT_INTERVAL).await;
             }
         }
     }
 }
 
-async fn serve(stream: TcpStream, peer: SocketAddr, shared: Arc<Shared>, log: Logger) {
+async fn serve_connection(stream: TcpStream, peer: SocketAddr, shared: Arc<Shared>, log: Logger) {
     let mut framed = Framed::new(stream, message::codec());
-    let outcome = match read(&mut framed, peer).await {
-        Ok(subscribe) if subscribe.is_look => answer_look(&mut framed, peer, &shared).await,
+    let result = match read_request(&mut framed, peer).await {
+        Ok(subscribe) if subscribe.is_probe => answer_probe(&mut framed, peer, &shared).await,
         Ok(subscribe) => admit(&mut framed, peer, &subscribe, &shared, &log).await,
         Err(error) => Err(error),
     };
-    if let Err(error) = outcome {
+    if let Err(error) = result {
         info!(log, "subscriber lost"; "error" => %error);
     }
 }
 
 /// Answers a liveness probe.
-async fn answer_look(framed: &mut Stream, peer: SocketAddr, shared: &Shared) -> Result<()> {
-    let news = News {
+async fn answer_probe(framed: &mut Stream, peer: SocketAddr, shared: &Shared) -> Result<()> {
+    let message = UpstreamMessage {
         is_leaving: shared.is_leaving(),
         is_withdrawn: shared.is_withdrawn(),
-        ..News::default()
+        ..UpstreamMessage::default()
     };
-    send(framed, peer, &news).await
+    send(framed, peer, &message).await
 }
 
 /// Serves a subscriber if there is capacity for it.
 async fn admit(
     framed: &mut Stream,
     peer: SocketAddr,
-    subscribe: &Subscribe,
+    subscribe: &SubscribeRequest,
     shared: &Arc<Shared>,
     log: &Logger,
 ) -> Result<()> {
-    let count = shared.join();
-    let outcome = if count > MOST_SUBSCRIBERS {
+    let count = shared.increment_subscribers();
+    let result = if count > MAX_SUBSCRIBERS {
         Err(Error::Refused {
             step: "subscription",
             peer: peer.to_string(),
             reason: "too many subscribers".to_owned(),
         })
     } else {
-        tell(framed, peer, subscribe, shared, log).await
+        serve_subscriber(framed, peer, subscribe, shared, log).await
     };
-    shared.leave();
-    outcome
+    shared.decrement_subscribers();
+    result
 }
 
-async fn tell(
+async fn serve_subscriber(
     framed: &mut Stream,
     peer: SocketAddr,
-    subscribe: &Subscribe,
+    subscribe: &SubscribeRequest,
     shared: &Arc<Shared>,
     log: &Logger,
 ) -> Result<()> {
     info!(log, "subscriber joined"; "subscriber" => &subscribe.instance,
-        "peer" => %peer, "horizon" => subscribe.horizon, "held" => subscribe.held.len());
-    introduce(subscribe, shared, log);
+        "peer" => %peer, "horizon" => subscribe.synced_revision, "held" => subscribe.held.len());
+    remember_copy_holder(subscribe, shared, log);
     let subscriber = shared.board.enter();
-    let mut outbox = Outbox::new(subscribe, shared.known(&subscribe.held));
-    let outcome = feed(framed, peer, shared, &mut outbox, subscriber).await;
+    let mut outbox = Outbox::new(subscribe, shared.known_bases(&subscribe.held));
+    let result = send_updates(framed, peer, shared, &mut outbox, subscriber).await;
     shared.board.leave(subscriber);
-    let waiting = outbox.waiting();
-    if waiting.rows > 0 || waiting.bytes > 0 {
+    let pending = outbox.pending();
+    if pending.rows > 0 || pending.bytes > 0 {
         // Distinguishes a link that is too slow from a subscriber that is gone.
         info!(log, "subscriber left behind"; "subscriber" => &subscribe.instance,
-            "rows_waiting" => waiting.rows, "bytes_waiting" => waiting.bytes);
+            "rows_waiting" => pending.rows, "bytes_waiting" => pending.bytes);
     }
-    outcome
+    result
 }
 
 /// Remembers the address of a subscriber that has a copy.
@@ -137,35 +137,39 @@
 /// An instance that loses its own copy while the store is unreachable only knows its
 /// seeds, which may have lost theirs as well. Instances that followed it before
 /// subscribe again and have the copy that it needs.
-fn introduce(subscribe: &Subscribe, shared: &Shared, log: &Logger) {
-    if subscribe.horizon.is_none() {
+fn remember_copy_holder(subscribe: &SubscribeRequest, shared: &Shared, log: &Logger) {
+    if subscribe.synced_revision.is_none() {
         return;
     }
     match subscribe.address.parse() {
-        Ok(address) => shared.introduce(address),
+        Ok(address) => shared.add_copy_holder(address),
         Err(_) => info!(log, "subscriber without an address";
             "subscriber" => &subscribe.instance, "address" => &subscribe.address),
     }
 }
 
-async fn feed(
+async fn send_updates(
     framed: &mut Stream,
     peer: SocketAddr,
     shared: &Arc<Shared>,
     outbox: &mut Outbox,
     subscriber: u64,
 ) -> Result<()> {
-    let mut changed = shared.watch();
+    let mut changes = shared.watch();
     loop {
-        changed.mark_unchanged();
-        let news = compose(shared, outbox, peer)?;
-        let is_more = news.part.is_some();
-        let has_remarks = !news.remarks.is_empty();
-        send(framed, peer, &news).await?;
-        if news.has_more || is_more && outbox.has_parts() {
+        changes.mark_unchanged();
+        let message = compose(shared, outbox, peer)?;
+        let has_part = message.part.is_some();
+        let has_remarks = !message.remarks.is_empty();
+        send(framed, peer, &message).await?;
+        if message.has_more || has_part && outbox.has_parts() {
             continue;
         }
-        let pause = if has_remarks { TELL_EVERY } else { HEARTBEAT };
+        let pause = if has_remarks {
+            TELL_EVERY
+        } else {
+            HEARTBEAT_INTERVAL
+        };
         let next = Instant::now() + pause;
         // A report from the subscriber must not trigger a message, since that message would
         // in turn trigger a report, without end.
@@ -173,10 +177,10 @@
             // The copy outlives this task, so the channel never closes; a change and the end
             // of the pause are handled alike.
             tokio::select! {
-                _ = changed.changed() => break,
-                () = shared.pacer.rest(), if outbox.next_part().is_some() => break,
+                _ = changes.changed() => break,
+                () = shared.pacer.wait_for_budget(), if outbox.next_part_size().is_some() => break,
                 () = time::sleep_until(next) => break,
-                remarks = hear(framed, peer) => {
+                remarks = receive_report(framed, peer) => {
                     shared.board.hear_below(Instant::now(), subscriber, remarks?);
                 }
             }
@@ -185,42 +189,43 @@
 }
 
 /// Receives a subscriber's report of request outcomes.
-async fn hear(framed: &mut Stream, peer: SocketAddr) -> Result<Remarks> {
+async fn receive_report(framed: &mut Stream, peer: SocketAddr) -> Result<Remarks> {
     const STEP: &str = "remarks of subscriber";
     let frame = framed
         .next()
         .await
-        .ok_or_else(|| lost(STEP, peer, "closed"))?;
-    let frame = frame.map_err(|error| lost(STEP, peer, error))?;
+        .ok_or_else(|| subscriber_error(STEP, peer, "closed"))?;
+    let frame = frame.map_err(|error| subscriber_error(STEP, peer, error))?;
     let remarks: Remarks = message::decode(STEP, &peer.to_string(), frame)?;
-    if remarks.remarks.len() > MOST_REMARKS {
-        return Err(lost(STEP, peer, "too many"));
+    if remarks.remarks.len() > MAX_ENTRIES {
+        return Err(subscriber_error(STEP, peer, "too many"));
     }
     Ok(remarks)
 }
 
 /// Composes the next message; its parts are charged to the pacer.
-fn compose(shared: &Shared, outbox: &mut Outbox, peer: SocketAddr) -> Result<News> {
+fn compose(shared: &Shared, outbox: &mut Outbox, peer: SocketAddr) -> Result<UpstreamMessage> {
     let now = Instant::now();
     let age_ms = shared.age(now).map(|age| age.as_millis() as u64);
-    let pack = |value: &Base, base: Option<&Base>| shared.shelf.pack(value, base);
+    let pack = |value: &BaseValue, base: Option<&BaseValue>| shared.pack_cache.pack(value, base);
     let may_send = |bytes: usize| shared.pacer.may_send(bytes, now);
-    let news = shared.look(|copy| outbox.compose(copy, age_ms, &pack, may_send));
-    let mut news = news.map_err(|error| lost("packing for subscriber", peer, error))?;
-    news.remarks = shared.board.zone(now);
-    news.is_detour = shared.is_detour();
-    news.is_leaving = shared.is_leaving();
-    let packed = news.pack_rows();
-    packed.map_err(|error| lost("packing for subscriber", peer, error))?;
-    let rows: usize = news.rows.iter().map(Message::encoded_len).sum();
-    let packed = news.packed.as_ref().map_or(0, Message::encoded_len);
-    shared.pacer.count(rows + packed, now);
-    Ok(news)
+    let message = shared.with_copy(|copy| outbox.compose(copy, age_ms, &pack, may_send));
+    let mut message =
+        message.map_err(|error| subscriber_error("packing for subscriber", peer, error))?;
+    message.remarks = shared.board.zone(now);
+    message.is_on_fallback = shared.is_on_fallback();
+    message.is_leaving = shared.is_leaving();
+    let packed = message.pack_rows();
+    packed.map_err(|error| subscriber_error("packing for subscriber", peer, error))?;
+    let rows: usize = message.rows.iter().map(Message::encoded_len).sum();
+    let packed = message.packed.as_ref().map_or(0, Message::encoded_len);
+    shared.pacer.charge(rows + packed, now);
+    Ok(message)
 }
 
 type Stream = Framed<TcpStream, LengthDelimitedCodec>;
 
-fn lost(step: &'static str, peer: SocketAddr, reason: impl ToString) -> Error {
+fn subscriber_error(step: &'static str, peer: SocketAddr, reason: impl ToString) -> Error {
     Error::Unanswered {
         step,
         peer: peer.to_string(),
@@ -228,19 +233,19 @@
     }
 }
 
-async fn read(framed: &mut Stream, peer: SocketAddr) -> Result<Subscribe> {
+async fn read_request(framed: &mut Stream, peer: SocketAddr) -> Result<SubscribeRequest> {
     const STEP: &str = "subscription";
-    let first = time::timeout(PATIENCE, framed.next()).await;
-    let first = first.map_err(|_| lost(STEP, peer, "timed out"))?;
-    let frame = first.ok_or_else(|| lost(STEP, peer, "closed"))?;
-    let frame = frame.map_err(|error| lost(STEP, peer, error))?;
+    let first = time::timeout(MESSAGE_TIMEOUT, framed.next()).await;
+    let first = first.map_err(|_| subscriber_error(STEP, peer, "timed out"))?;
+    let frame = first.ok_or_else(|| subscriber_error(STEP, peer, "closed"))?;
+    let frame = frame.map_err(|error| subscriber_error(STEP, peer, error))?;
     message::decode(STEP, &peer.to_string(), frame)
 }
 
-async fn send(framed: &mut Stream, peer: SocketAddr, news: &News) -> Result<()> {
+async fn send(framed: &mut Stream, peer: SocketAddr, message: &UpstreamMessage) -> Result<()> {
     const STEP: &str = "news to subscriber";
-    let bytes = Bytes::from(news.encode_to_vec());
-    let sent = time::timeout(PATIENCE, framed.send(bytes)).await;
-    let sent = sent.map_err(|_| lost(STEP, peer, "timed out"))?;
-    sent.map_err(|error| lost(STEP, peer, error))
+    let bytes = Bytes::from(message.encode_to_vec());
+    let sent = time::timeout(MESSAGE_TIMEOUT, framed.send(bytes)).await;
+    let sent = sent.map_err(|_| subscriber_error(STEP, peer, "timed out"))?;
+    sent.map_err(|error| subscriber_error(STEP, peer, error))
 }
--- a/src/replica/register.rs
+++ b/src/replica/register.rs
@@ -27,10 +27,10 @@
 /// Until the entry expires, a stopped instance costs the one below it one failed
 /// connection. So there is no hurry, and an outage of the store should not empty the
 /// list.
-const TTL: Duration = Duration::from_secs(30);
+const LEASE_TTL: Duration = Duration::from_secs(30);
 
 /// Time between two renewals: a third of the lifetime, so that two renewals may fail.
-const RENEW_EVERY: Duration = Duration::from_secs(10);
+const RENEW_INTERVAL: Duration = Duration::from_secs(10);
 
 /// An instance that others may subscribe to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -74,7 +74,7 @@
 }
 
 /// Parses the member from an entry; `None` for other keys.
-pub(crate) fn member(key: &str, value: &[u8]) -> Option<serde_json::Result<Member>> {
+pub(crate) fn parse_member(key: &str, value: &[u8]) -> Option<serde_json::Result<Member>> {
     key.strip_prefix(PREFIX)?;
     Some(serde_json::from_slice(value))
 }
@@ -84,7 +84,7 @@
     let options = registration.reader.client().options().clone();
     let mut backoff = Backoff::new(options.backoff, options.seed);
     loop {
-        match registration.hold(&mut backoff).await {
+        match registration.register_and_renew(&mut backoff).await {
             Ok(never) => match never {},
             // A lease can expire while its holder is running: the entry is then written
             // again.
@@ -101,8 +101,8 @@
 
 impl Registration {
     /// Registers and renews the registration until an error occurs.
-    async fn hold(&self, backoff: &mut Backoff) -> Result<std::convert::Infallible> {
-        let lease = self.reader.grant(TTL).await?;
+    async fn register_and_renew(&self, backoff: &mut Backoff) -> Result<std::convert::Infallible> {
+        let lease = self.reader.grant(LEASE_TTL).await?;
         let key = key(&self.member);
         let value = serde_json::to_vec(&self.member).map_err(|error| Error::Decode {
             step: "registration",
@@ -113,7 +113,7 @@
         backoff.reset();
         info!(self.log, "registered"; "lease" => lease.0);
         loop {
-            time::sleep(RENEW_EVERY).await;
+            time::sleep(RENEW_INTERVAL).await;
             self.renew(lease).await?;
         }
     }
--- a/src/replica/store.rs
+++ b/src/replica/store.rs
@@ -61,19 +61,19 @@
     pub(crate) refused: Vec<Refusal>,
     pub(crate) revision: u64,
     /// Time of the request: everything written before it is included.
-    pub(crate) asked: Instant,
+    pub(crate) requested_at: Instant,
 }
 
 /// Reads all pages. Together they are no snapshot, so polling continues from the
 /// revision of the first page, and changes since then are received again.
 pub(crate) async fn list(reader: &Reader, prefix: &str) -> Result<Listing> {
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     let first = reader.page(prefix, None).await?;
     let mut listing = Listing {
         entries: first.entries,
         refused: first.refused,
         revision: first.revision,
-        asked,
+        requested_at,
     };
     let mut after = first.next;
     while let Some(key) = after {
@@ -89,7 +89,12 @@
 ///
 /// Without the pause, a store that responds at once without a change would be polled in
 /// a busy loop.
-pub(crate) async fn pause(pace: &Pace, started: Instant, wait: Duration, has_changes: bool) {
+pub(crate) async fn pause_after_poll(
+    pace: &Pace,
+    started: Instant,
+    wait: Duration,
+    has_changes: bool,
+) {
     if has_changes || started.elapsed() < wait / 2 {
         time::sleep(pace.gather).await;
     }
--- a/src/replica/subscribe.rs
+++ b/src/replica/subscribe.rs
@@ -20,21 +20,21 @@
 use crate::platform::Change;
 use crate::platform::Entry;
 use crate::replica::Member;
+use crate::replica::assembler::AssembledValue;
+use crate::replica::assembler::PartAssembler;
 use crate::replica::board::Remark;
 use crate::replica::board::Remarks;
-use crate::replica::inbox::Complete;
-use crate::replica::inbox::Inbox;
 use crate::replica::message;
-use crate::replica::message::Held;
-use crate::replica::message::News;
-use crate::replica::message::Subscribe;
-use crate::replica::pack::Base;
+use crate::replica::message::HeldValue;
+use crate::replica::message::SubscribeRequest;
+use crate::replica::message::UpstreamMessage;
+use crate::replica::pack::BaseValue;
 
 /// Time limit for a connection and its first message.
 ///
 /// The round trip takes a tenth of a millisecond within a zone, and some milliseconds
 /// between zones. The copy grows older during the attempt.
-const JOIN_TIMEOUT: Duration = Duration::from_millis(300);
+const SUBSCRIBE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Time after which a second connection is attempted in parallel with one that is not
 /// established yet.
@@ -42,27 +42,27 @@
 /// Load pattern: machines regain power within 0.3 s of each other. A SYN packet to one
 /// that has no power yet is lost, and the operating system retransmits it only after a
 /// second.
-const CONNECT_AGAIN: Duration = Duration::from_millis(50);
+const CONNECT_HEDGE_DELAY: Duration = Duration::from_millis(50);
 
 /// Silence after which the upstream is left: three heartbeats.
-const SILENCE: Duration = Duration::from_millis(800);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// A large value or complete copy that was received in parts.
 #[derive(Clone, Debug)]
-pub(crate) struct Received {
+pub(crate) struct ReceivedValue {
     /// Revision at which it was written, or up to which the copy is complete.
     pub(crate) revision: u64,
     /// Total bytes of its parts.
     pub(crate) bytes: u64,
     /// Time from its first part to its last.
-    pub(crate) took: Duration,
+    pub(crate) transfer_time: Duration,
 }
 
 /// A decoded message, or several merged ones, from an upstream.
 #[derive(Clone, Debug)]
-pub(crate) struct Report {
+pub(crate) struct UpstreamUpdate {
     /// Whether `changes` is a complete copy.
-    pub(crate) is_everything: bool,
+    pub(crate) is_full_copy: bool,
     pub(crate) changes: Vec<Change>,
     /// Revision up to which all changes are known with this update.
     pub(crate) revision: u64,
@@ -74,34 +74,34 @@
     /// Whether more small changes follow at once.
     pub(crate) has_more: bool,
     /// Whether the upstream itself follows a fallback upstream, which is not above it.
-    pub(crate) is_detour: bool,
+    pub(crate) is_on_fallback: bool,
     /// Whether the upstream is about to stop.
     pub(crate) is_leaving: bool,
     /// Request outcomes counted by the zone's instances.
     pub(crate) remarks: Vec<Remark>,
     /// The value whose last part came with this update.
-    pub(crate) received: Option<Received>,
+    pub(crate) received: Option<ReceivedValue>,
 }
 
-impl Report {
+impl UpstreamUpdate {
     /// Whether changes that it announces are still to come.
-    fn is_partial(&self) -> bool {
-        self.has_more || self.awaits_copy && !self.is_everything
+    fn is_incomplete(&self) -> bool {
+        self.has_more || self.awaits_copy && !self.is_full_copy
     }
 
     /// Merges the update that follows this one.
     fn extend(&mut self, next: Self) {
-        let before = std::mem::replace(self, next);
-        if self.is_everything {
+        let previous = std::mem::replace(self, next);
+        if self.is_full_copy {
             return;
         }
         let later = std::mem::take(&mut self.changes);
-        self.is_everything = before.is_everything;
-        self.received = self.received.take().or(before.received);
-        self.changes = if before.is_everything {
-            merge(before.changes, later)
+        self.is_full_copy = previous.is_full_copy;
+        self.received = self.received.take().or(previous.received);
+        self.changes = if previous.is_full_copy {
+            apply_to_copy(previous.changes, later)
         } else {
-            before.changes.into_iter().chain(later).collect()
+            previous.changes.into_iter().chain(later).collect()
         };
     }
 }
@@ -109,161 +109,166 @@
 /// An established subscription.
 pub(crate) struct Subscription {
     framed: Framed<TcpStream, LengthDelimitedCodec>,
-    inbox: Inbox,
+    assembler: PartAssembler,
     peer: SocketAddrV4,
     /// When the last message arrived.
-    heard: Instant,
+    last_received: Instant,
     /// When the first part of the current value arrived.
-    begun: Instant,
+    transfer_started: Instant,
 }
 
 impl Subscription {
     /// Connects, sends what is known here, and waits for the first message.
-    pub(crate) async fn join(
+    pub(crate) async fn open(
         peer: SocketAddrV4,
         me: &Member,
-        horizon: Option<u64>,
-        bases: Vec<Base>,
-    ) -> Result<(Self, Report)> {
-        let joining = async {
-            let stream = pacing::hedge(CONNECT_AGAIN, || TcpStream::connect(peer)).await;
-            let stream = stream.map_err(|error| unreachable(peer, &error))?;
+        synced_revision: Option<u64>,
+        bases: Vec<BaseValue>,
+    ) -> Result<(Self, UpstreamUpdate)> {
+        let opening = async {
+            let stream = pacing::hedge(CONNECT_HEDGE_DELAY, || TcpStream::connect(peer)).await;
+            let stream = stream.map_err(|error| connect_error(peer, &error))?;
             let framed = Framed::new(stream, message::codec());
-            let subscribe = Subscribe {
+            let subscribe = SubscribeRequest {
                 instance: me.instance.to_string(),
-                horizon,
-                held: bases.iter().map(Held::from).collect(),
+                synced_revision,
+                held: bases.iter().map(HeldValue::from).collect(),
                 address: me.address.to_string(),
-                is_look: false,
+                is_probe: false,
             };
             let mut subscription = Self {
                 framed,
-                inbox: Inbox::new(bases),
+                assembler: PartAssembler::new(bases),
                 peer,
-                heard: Instant::now(),
-                begun: Instant::now(),
+                last_received: Instant::now(),
+                transfer_started: Instant::now(),
             };
-            subscription.ask(&subscribe).await?;
-            let report = subscription.next().await?;
-            Ok((subscription, report))
+            subscription.send_request(&subscribe).await?;
+            let update = subscription.next_update().await?;
+            Ok((subscription, update))
         };
-        let joined = time::timeout(JOIN_TIMEOUT, joining).await;
-        joined.unwrap_or_else(|_| Err(lost(peer, "timed out")))
+        let opened = time::timeout(SUBSCRIBE_TIMEOUT, opening).await;
+        opened.unwrap_or_else(|_| Err(subscription_error(peer, "timed out")))
     }
 
     /// Waits for all changes that an update announces.
     ///
     /// An instance that applied only some of them would consider itself outdated, leave,
     /// and start again with the same ones.
-    pub(crate) async fn complete(&mut self, mut report: Report) -> Result<Report> {
-        while report.is_partial() {
-            report.extend(self.next().await?);
+    pub(crate) async fn complete(&mut self, mut update: UpstreamUpdate) -> Result<UpstreamUpdate> {
+        while update.is_incomplete() {
+            update.extend(self.next_update().await?);
         }
-        Ok(report)
+        Ok(update)
     }
 
-    async fn ask(&mut self, subscribe: &Subscribe) -> Result<()> {
+    async fn send_request(&mut self, subscribe: &SubscribeRequest) -> Result<()> {
         let bytes: Bytes = subscribe.encode_to_vec().into();
         let sent = self.framed.send(bytes).await;
-        sent.map_err(|error| lost(self.peer, error))
+        sent.map_err(|error| subscription_error(self.peer, error))
     }
 
     /// Sends request outcomes to the upstream.
-    pub(crate) async fn tell(&mut self, remarks: &Remarks) -> Result<()> {
+    pub(crate) async fn send_report(&mut self, remarks: &Remarks) -> Result<()> {
         let bytes: Bytes = remarks.encode_to_vec().into();
-        let sent = time::timeout(SILENCE, self.framed.send(bytes)).await;
-        let sent = sent.map_err(|_| lost(self.peer, "takes nothing"))?;
-        sent.map_err(|error| lost(self.peer, error))
+        let sent = time::timeout(SILENCE_TIMEOUT, self.framed.send(bytes)).await;
+        let sent = sent.map_err(|_| subscription_error(self.peer, "takes nothing"))?;
+        sent.map_err(|error| subscription_error(self.peer, error))
     }
 
     /// Waits for the next message; returns an error when none arrives in time. A part of
     /// a large value counts as a message, so a slow link is not taken for silence.
-    pub(crate) async fn next(&mut self) -> Result<Report> {
-        let next = time::timeout_at(self.heard + SILENCE, self.framed.next()).await;
-        let next = next.map_err(|_| lost(self.peer, "silent"))?;
-        let frame = next.ok_or_else(|| lost(self.peer, "closed"))?;
-        let frame = frame.map_err(|error| lost(self.peer, error))?;
-        self.heard = Instant::now();
-        let mut news: News = message::decode("news from upstream", &self.peer.to_string(), frame)?;
-        let unpacked = news.unpack_rows();
-        unpacked.map_err(|error| lost(self.peer, error))?;
-        self.read(news)
+    pub(crate) async fn next_update(&mut self) -> Result<UpstreamUpdate> {
+        let next = time::timeout_at(self.last_received + SILENCE_TIMEOUT, self.framed.next()).await;
+        let next = next.map_err(|_| subscription_error(self.peer, "silent"))?;
+        let frame = next.ok_or_else(|| subscription_error(self.peer, "closed"))?;
+        let frame = frame.map_err(|error| subscription_error(self.peer, error))?;
+        self.last_received = Instant::now();
+        let mut message: UpstreamMessage =
+            message::decode("news from upstream", &self.peer.to_string(), frame)?;
+        let unpacked = message.unpack_rows();
+        unpacked.map_err(|error| subscription_error(self.peer, error))?;
+        self.decode(message)
     }
 
-    fn read(&mut self, news: News) -> Result<Report> {
-        let mut report = Report {
-            is_everything: false,
-            changes: news.rows.into_iter().map(Change::from).collect(),
-            revision: news.revision,
-            age: news.age_ms.map(Duration::from_millis),
-            awaits_copy: news.awaits_copy,
-            has_more: news.has_more,
-            is_detour: news.is_detour,
-            is_leaving: news.is_leaving,
-            remarks: news.remarks,
+    fn decode(&mut self, message: UpstreamMessage) -> Result<UpstreamUpdate> {
+        let mut update = UpstreamUpdate {
+            is_full_copy: false,
+            changes: message.rows.into_iter().map(Change::from).collect(),
+            revision: message.revision,
+            age: message.age_ms.map(Duration::from_millis),
+            awaits_copy: message.awaits_copy,
+            has_more: message.has_more,
+            is_on_fallback: message.is_on_fallback,
+            is_leaving: message.is_leaving,
+            remarks: message.remarks,
             received: None,
         };
-        let Some(part) = news.part else {
-            return Ok(report);
+        let Some(part) = message.part else {
+            return Ok(update);
         };
         if part.offset == 0 {
-            self.begun = self.heard;
+            self.transfer_started = self.last_received;
         }
-        report.received = part.is_last.then(|| Received {
+        update.received = part.is_last.then(|| ReceivedValue {
             revision: part.mod_revision,
             bytes: part.offset + part.bytes.len() as u64,
-            took: self.heard - self.begun,
+            transfer_time: self.last_received - self.transfer_started,
         });
-        let complete = self.inbox.take(part);
-        match complete.map_err(|misfit| lost(self.peer, misfit))? {
+        let complete = self.assembler.add(part);
+        match complete.map_err(|error| subscription_error(self.peer, error))? {
             None => {}
-            Some(Complete::Entry(entry)) => report.changes.push(Change::Put(entry)),
-            Some(Complete::Copy(entries, revision)) => {
-                report.is_everything = true;
-                report.revision = report.revision.max(revision);
+            Some(AssembledValue::Entry(entry)) => update.changes.push(Change::Put(entry)),
+            Some(AssembledValue::Copy(entries, revision)) => {
+                update.is_full_copy = true;
+                update.revision = update.revision.max(revision);
                 let entries = entries.into_iter().map(Change::Put);
-                report.changes = merge(entries.collect(), report.changes);
+                update.changes = apply_to_copy(entries.collect(), update.changes);
             }
         }
-        Ok(report)
+        Ok(update)
     }
 }
 
 /// Response to a liveness probe.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Sign {
+pub(crate) struct ProbeResponse {
     /// Whether the instance has withdrawn from its routers.
     pub(crate) is_withdrawn: bool,
 }
 
 /// Probes whether an instance is running: a frozen process still accepts connections,
 /// but does not respond.
-pub(crate) async fn look(peer: SocketAddrV4, me: &Member) -> Result<Sign> {
-    let looking = async {
+pub(crate) async fn probe(peer: SocketAddrV4, me: &Member) -> Result<ProbeResponse> {
+    let probing = async {
         let stream = TcpStream::connect(peer).await;
-        let stream = stream.map_err(|error| unreachable(peer, &error))?;
+        let stream = stream.map_err(|error| connect_error(peer, &error))?;
         let mut framed = Framed::new(stream, message::codec());
-        let subscribe = Subscribe {
+        let subscribe = SubscribeRequest {
             instance: me.instance.to_string(),
-            is_look: true,
-            ..Subscribe::default()
+            is_probe: true,
+            ..SubscribeRequest::default()
         };
         let bytes: Bytes = subscribe.encode_to_vec().into();
         let sent = framed.send(bytes).await;
-        sent.map_err(|error| lost(peer, error))?;
-        let frame = framed.next().await.ok_or_else(|| lost(peer, "closed"))?;
-        let frame = frame.map_err(|error| lost(peer, error))?;
-        let news: News = message::decode("answer to a look", &peer.to_string(), frame)?;
-        Ok(Sign {
-            is_withdrawn: news.is_withdrawn,
+        sent.map_err(|error| subscription_error(peer, error))?;
+        let frame = framed
+            .next()
+            .await
+            .ok_or_else(|| subscription_error(peer, "closed"))?;
+        let frame = frame.map_err(|error| subscription_error(peer, error))?;
+        let message: UpstreamMessage =
+            message::decode("answer to a look", &peer.to_string(), frame)?;
+        Ok(ProbeResponse {
+            is_withdrawn: message.is_withdrawn,
         })
     };
-    let looked = time::timeout(JOIN_TIMEOUT, looking).await;
-    looked.unwrap_or_else(|_| Err(lost(peer, "timed out")))
+    let probed = time::timeout(SUBSCRIBE_TIMEOUT, probing).await;
+    probed.unwrap_or_else(|_| Err(subscription_error(peer, "timed out")))
 }
 
 /// Applies later changes to a complete copy.
-fn merge(copy: Vec<Change>, later: Vec<Change>) -> Vec<Change> {
+fn apply_to_copy(copy: Vec<Change>, later: Vec<Change>) -> Vec<Change> {
     let mut merged: BTreeMap<String, Entry> = BTreeMap::new();
     for change in copy.into_iter().chain(later) {
         match change {
@@ -278,7 +283,7 @@
     merged.into_values().map(Change::Put).collect()
 }
 
-pub(crate) fn lost(peer: SocketAddrV4, reason: impl ToString) -> Error {
+pub(crate) fn subscription_error(peer: SocketAddrV4, reason: impl ToString) -> Error {
     Error::Unanswered {
         step: "subscription",
         peer: peer.to_string(),
@@ -286,7 +291,7 @@
     }
 }
 
-fn unreachable(peer: SocketAddrV4, error: &std::io::Error) -> Error {
+fn connect_error(peer: SocketAddrV4, error: &std::io::Error) -> Error {
     Error::Unreachable {
         step: "subscription",
         peer: peer.to_string(),
--- a/src/replica/tree.rs
+++ b/src/replica/tree.rs
@@ -22,20 +22,20 @@
 /// zone and for an instance that is not among the members.
 pub fn upstream<'a>(me: &id::Instance, zone: &id::Zone, members: &'a [Member]) -> Vec<&'a Member> {
     let ranked = ranked(zone, members);
-    let Some(mut place) = ranked.iter().position(|member| member.instance == *me) else {
+    let Some(mut position) = ranked.iter().position(|member| member.instance == *me) else {
         return Vec::new();
     };
     let mut above = Vec::new();
-    while place > 0 {
-        place = (place - 1) / FAN_OUT;
-        above.push(ranked[place]);
+    while position > 0 {
+        position = (position - 1) / FAN_OUT;
+        above.push(ranked[position]);
     }
     above
 }
 
 /// Number of instances at the head of a zone. The heads replace other upstreams, and
 /// read the store at once when they start. Three, so that two of them may be gone.
-pub(crate) const HEADS: usize = 3;
+pub(crate) const HEAD_COUNT: usize = 3;
 
 /// The instances to follow, the best first: those above this one, then the heads of the
 /// zone.
@@ -50,7 +50,9 @@
 ) -> Vec<&'a Member> {
     let ranked = ranked(zone, members);
     let before = ranked.iter().position(|member| member.instance == *me);
-    let heads = ranked.iter().take(before.unwrap_or_default().min(HEADS));
+    let heads = ranked
+        .iter()
+        .take(before.unwrap_or_default().min(HEAD_COUNT));
     let mut candidates = upstream(me, zone, members);
     for head in heads {
         if !candidates.contains(head) {
@@ -61,10 +63,10 @@
 }
 
 /// Increase of the wait for a copy per rank, as a share of the first wait.
-const LONGER_BY_RANK: f64 = 0.5;
+const WAIT_INCREASE_PER_RANK: f64 = 0.5;
 
 /// Longest wait for a copy when the instances that should have one are gone.
-const MOST_COPY_WAIT: Duration = Duration::from_millis(1_500);
+const MAX_COPY_WAIT: Duration = Duration::from_millis(1_500);
 
 /// How long an instance that starts waits for another instance's copy before it reads
 /// the store as well; `first` is the wait of the first instance after the heads.
@@ -79,23 +81,23 @@
     first: Duration,
 ) -> Duration {
     let ranked = ranked(zone, members);
-    let place = ranked.iter().position(|member| member.instance == *me);
-    let behind = place.unwrap_or_default().saturating_sub(HEADS);
-    let wait = first.mul_f64(1.0 + behind as f64 * LONGER_BY_RANK);
-    wait.min(MOST_COPY_WAIT.max(first))
+    let position = ranked.iter().position(|member| member.instance == *me);
+    let ranks_after_heads = position.unwrap_or_default().saturating_sub(HEAD_COUNT);
+    let wait = first.mul_f64(1.0 + ranks_after_heads as f64 * WAIT_INCREASE_PER_RANK);
+    wait.min(MAX_COPY_WAIT.max(first))
 }
 
 /// Fallback upstreams in the own zone: as many as the store may refuse together with
 /// this instance, when it refuses a third of all instances.
-const NEIGHBOURS: usize = 8;
+const OWN_ZONE_FALLBACKS: usize = 8;
 
 /// Fallback upstreams in each other zone.
-const ABROAD: usize = 2;
+const OTHER_ZONE_FALLBACKS: usize = 2;
 
 /// Fallback upstreams, for when the store does not respond and no instance above is
 /// usable: instances that rank after this one, then the first ones of the other zones,
 /// with zones ordered by name.
-pub fn bystanders<'a>(
+pub fn fallback_candidates<'a>(
     me: &id::Instance,
     zone: &id::Zone,
     members: &'a [Member],
@@ -105,16 +107,20 @@
         .into_iter()
         .skip_while(|member| member.instance != *me)
         .skip(1);
-    let mut bystanders: Vec<&Member> = after.take(NEIGHBOURS).collect();
+    let mut fallback_candidates: Vec<&Member> = after.take(OWN_ZONE_FALLBACKS).collect();
     let zones: BTreeSet<&id::Zone> = members.iter().map(|member| &member.zone).collect();
     for other in zones.into_iter().filter(|other| *other != zone) {
-        bystanders.extend(ranked(other, members).into_iter().take(ABROAD));
+        fallback_candidates.extend(
+            ranked(other, members)
+                .into_iter()
+                .take(OTHER_ZONE_FALLBACKS),
+        );
     }
-    bystanders
+    fallback_candidates
 }
 
 /// Addresses of all other members, those of the own zone first.
-pub(crate) fn neighbours_first(me: &Member, members: &[Member]) -> Vec<SocketAddrV4> {
+pub(crate) fn addresses_nearest_first(me: &Member, members: &[Member]) -> Vec<SocketAddrV4> {
     let others = members.iter().filter(|other| other.instance != me.instance);
     let mut others: Vec<&Member> = others.collect();
     others.sort_by_key(|other| (other.zone != me.zone, rank(other)));
--- a/tests/replication/copy.rs
+++ b/tests/replication/copy.rs
@@ -2,7 +2,7 @@
 //! arrive.
 
 use godwitreel::platform::Change;
-use godwitreel::replica::Copy;
+use godwitreel::replica::StoreCopy;
 use proptest::prelude::*;
 
 use crate::support::*;
@@ -11,20 +11,20 @@
 // The large value must neither undo them nor be hidden by them.
 #[test]
 fn changes_may_come_out_of_order() {
-    let mut copy = Copy::default();
+    let mut copy = StoreCopy::default();
     copy.apply(vec![put("servers/a", "2", 12)], 9);
     let late = copy.apply(
         vec![put("op/config", "big", 10), put("servers/a", "1", 11)],
         12,
     );
     assert_eq!(late, vec![put("op/config", "big", 10)]);
-    assert_eq!(copy.horizon(), Some(12));
+    assert_eq!(copy.synced_revision(), Some(12));
     assert_eq!(copy.get("servers/a").unwrap().mod_revision, 12);
 }
 
 #[test]
 fn an_old_write_does_not_bring_back_what_was_deleted() {
-    let mut copy = Copy::default();
+    let mut copy = StoreCopy::default();
     copy.apply(vec![put("servers/a", "1", 5), delete("servers/a", 8)], 8);
     assert!(copy.apply(vec![put("servers/a", "1", 5)], 8).is_empty());
     // The same holds after the deletion itself has been pruned.
@@ -38,8 +38,8 @@
 // the difference: a complete listing would send megabytes through the zone for a few
 // missed changes.
 #[test]
-fn a_listing_is_told_as_its_difference() {
-    let mut copy = Copy::default();
+fn a_listing_is_sent_as_its_difference() {
+    let mut copy = StoreCopy::default();
     let rows = (0..100).map(|number| put(&format!("servers/{number}"), "x", 1 + number));
     copy.apply(rows.collect(), 100);
     let mut entries: Vec<_> = copy.entries().cloned().collect();
@@ -53,15 +53,15 @@
         changes,
         vec![delete("servers/7", 140), put("servers/new", "y", 130)]
     );
-    assert_eq!(copy.horizon(), Some(140));
-    assert_eq!(copy.reset(&entries, 120), None, "more is known already");
+    assert_eq!(copy.synced_revision(), Some(140));
+    assert_eq!(copy.reset(&entries, 120), None, "the copy is newer already");
 }
 
 // A server's last state arrived before a large value. A complete copy from an instance
 // that does not have that state yet must not undo it.
 #[test]
 fn a_listing_undoes_nothing_that_is_newer() {
-    let mut copy = Copy::default();
+    let mut copy = StoreCopy::default();
     copy.apply(vec![put("servers/a", "ready", 5)], 8);
     copy.apply(vec![put("servers/a", "draining", 20)], 8);
     let Change::Put(older) = put("servers/a", "ready", 5) else {
@@ -77,7 +77,7 @@
 // deletions that have been pruned.
 #[test]
 fn a_listing_brings_old_entries_that_were_missed() {
-    let mut copy = Copy::default();
+    let mut copy = StoreCopy::default();
     let deletions = (0..600).map(|number| delete(&format!("servers/{number}"), 100 + number));
     copy.apply(deletions.collect(), 700);
     let missed = put("servers/old", "x", 3);
@@ -91,21 +91,21 @@
 enum Step {
     Put(u8, bool),
     Delete(u8),
-    Tell,
-    Rejoin,
+    Send,
+    Resubscribe,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0..6_u8, any::<bool>()).prop_map(|(key, is_large)| Step::Put(key, is_large)),
         2 => (0..6_u8).prop_map(Step::Delete),
-        4 => Just(Step::Tell),
-        1 => Just(Step::Rejoin),
+        4 => Just(Step::Send),
+        1 => Just(Step::Resubscribe),
     ]
 }
 
 /// The revision of each existing key.
-fn revisions(copy: &Copy) -> Vec<(String, u64)> {
+fn revisions(copy: &StoreCopy) -> Vec<(String, u64)> {
     let row = |entry: &godwitreel::platform::Entry| (entry.key.clone(), entry.mod_revision);
     copy.entries().map(row).collect()
 }
@@ -118,9 +118,9 @@
     fn a_subscriber_never_goes_back_and_ends_with_everything(
         steps in prop::collection::vec(step(), 1..120),
     ) {
-        let mut store = Copy::default();
+        let mut store = StoreCopy::default();
         store.apply(vec![put(CONFIG, "first", 1)], 1);
-        let mut copy = Copy::default();
+        let mut copy = StoreCopy::default();
         let mut subscription = Subscription::new(&store, &copy);
         let mut revision = 1;
         for step in steps {
@@ -135,25 +135,25 @@
                     revision += 1;
                     store.apply(vec![delete(&format!("k{key}"), revision)], revision);
                 }
-                Step::Tell => {
+                Step::Send => {
                     let before = revisions(&copy);
-                    let news = subscription.compose(&store, revision % 3 != 0);
-                    subscription.take(&mut copy, news).unwrap();
+                    let message = subscription.compose(&store, revision % 3 != 0);
+                    subscription.apply(&mut copy, message).unwrap();
                     for (key, old) in before {
                         let now = copy.get(&key).map(|entry| entry.mod_revision);
                         prop_assert!(now.is_none_or(|now| now >= old), "{key} went back");
                     }
                     for entry in store.entries() {
-                        let claimed = copy.horizon().unwrap_or_default() >= entry.mod_revision;
+                        let claimed = copy.synced_revision().unwrap_or_default() >= entry.mod_revision;
                         let known = copy.get(&entry.key).map(|known| known.mod_revision);
                         prop_assert!(!claimed || known == Some(entry.mod_revision));
                     }
                 }
-                Step::Rejoin => subscription = Subscription::new(&store, &copy),
+                Step::Resubscribe => subscription = Subscription::new(&store, &copy),
             }
         }
-        subscription.settle(&store, &mut copy);
+        subscription.send_all(&store, &mut copy);
         prop_assert_eq!(content(&copy), content(&store));
-        prop_assert_eq!(copy.horizon(), store.horizon());
+        prop_assert_eq!(copy.synced_revision(), store.synced_revision());
     }
 }
--- a/tests/replication/parcels.rs
+++ b/tests/replication/parcels.rs
@@ -1,11 +1,11 @@
 //! Transfer of large values: compression, splitting into parts, and rejection of
 //! invalid parts.
 
-use godwitreel::replica::Base;
-use godwitreel::replica::Copy;
-use godwitreel::replica::Inbox;
-use godwitreel::replica::Misfit;
-use godwitreel::replica::Part;
+use godwitreel::replica::BaseValue;
+use godwitreel::replica::PartAssembler;
+use godwitreel::replica::PartError;
+use godwitreel::replica::StoreCopy;
+use godwitreel::replica::ValuePart;
 use godwitreel::replica::digest;
 use godwitreel::replica::pack;
 use godwitreel::replica::unpack;
@@ -48,25 +48,25 @@
 // Guards against changes of servers that wait behind a configuration on a slow link.
 #[test]
 fn small_changes_overtake_a_large_value() {
-    let mut store = Copy::default();
+    let mut store = StoreCopy::default();
     store.apply(vec![put("servers/a", "ready", 1)], 1);
-    let mut copy = Copy::default();
+    let mut copy = StoreCopy::default();
     let mut subscription = Subscription::new(&store, &copy);
-    subscription.settle(&store, &mut copy);
+    subscription.send_all(&store, &mut copy);
     store.apply(vec![put(CONFIG, Config::new(ROUTES).text(), 2)], 2);
     subscription.compose(&store, false);
     store.apply(vec![put("servers/a", "draining", 3)], 3);
-    let news = subscription.compose(&store, true);
-    assert!(news.part.as_ref().is_some_and(|part| !part.is_last));
-    subscription.take(&mut copy, news).unwrap();
+    let message = subscription.compose(&store, true);
+    assert!(message.part.as_ref().is_some_and(|part| !part.is_last));
+    subscription.apply(&mut copy, message).unwrap();
     assert_eq!(copy.get("servers/a").unwrap().value, "draining");
     assert_eq!(
-        copy.horizon(),
+        copy.synced_revision(),
         Some(1),
         "the configuration is still to come"
     );
-    subscription.settle(&store, &mut copy);
-    assert_eq!(copy.horizon(), Some(3));
+    subscription.send_all(&store, &mut copy);
+    assert_eq!(copy.synced_revision(), Some(3));
     assert_eq!(content(&copy), content(&store));
 }
 
@@ -74,15 +74,15 @@
 #[test]
 fn versions_in_between_are_not_sent() {
     let mut config = Config::new(ROUTES);
-    let mut store = Copy::default();
+    let mut store = StoreCopy::default();
     store.apply(vec![put(CONFIG, config.text(), 1)], 1);
-    let mut copy = Copy::default();
+    let mut copy = StoreCopy::default();
     let mut subscription = Subscription::new(&store, &copy);
-    subscription.settle(&store, &mut copy);
+    subscription.send_all(&store, &mut copy);
     for revision in 2..12 {
         store.apply(vec![put(CONFIG, config.next(), revision)], revision);
     }
-    let messages = subscription.settle(&store, &mut copy);
+    let messages = subscription.send_all(&store, &mut copy);
     assert!(
         messages <= 2,
         "{messages} messages for one small difference"
@@ -90,16 +90,16 @@
     assert_eq!(copy.get(CONFIG).unwrap().mod_revision, 11);
 }
 
-fn part(value: &[u8], base: Option<&Base>) -> Part {
-    let against = base.map_or(&[][..], |base| &base.value);
-    Part {
+fn part(value: &[u8], base: Option<&BaseValue>) -> ValuePart {
+    let base_value = base.map_or(&[][..], |base| &base.value);
+    ValuePart {
         key: CONFIG.to_owned(),
         mod_revision: 9,
         base_revision: base.map_or(0, |base| base.mod_revision),
         size: value.len() as u64,
         digest: digest(value),
         offset: 0,
-        bytes: pack(value, against).unwrap(),
+        bytes: pack(value, base_value).unwrap(),
         is_last: true,
     }
 }
@@ -109,60 +109,65 @@
 #[test]
 fn parts_that_do_not_fit_are_refused() {
     let value = Config::new(20).text();
-    let good = part(value.as_bytes(), None);
-    let refused = |part: Part| Inbox::new(Vec::new()).take(part).unwrap_err();
-    assert!(Inbox::new(Vec::new()).take(good.clone()).unwrap().is_some());
-    let late = Part {
+    let valid = part(value.as_bytes(), None);
+    let rejection = |part: ValuePart| PartAssembler::new(Vec::new()).add(part).unwrap_err();
+    assert!(
+        PartAssembler::new(Vec::new())
+            .add(valid.clone())
+            .unwrap()
+            .is_some()
+    );
+    let misplaced = ValuePart {
         offset: 5,
-        ..good.clone()
+        ..valid.clone()
     };
-    assert_eq!(refused(late), Misfit::Gap);
-    let huge = Part {
+    assert_eq!(rejection(misplaced), PartError::Gap);
+    let oversized = ValuePart {
         size: 1 << 40,
-        ..good.clone()
+        ..valid.clone()
     };
-    assert_eq!(refused(huge), Misfit::TooLarge(1 << 40));
-    let other = Part {
+    assert_eq!(rejection(oversized), PartError::TooLarge(1 << 40));
+    let wrong_digest = ValuePart {
         digest: 1,
-        ..good.clone()
+        ..valid.clone()
     };
-    assert_eq!(refused(other), Misfit::WrongDigest);
-    let short = Part {
+    assert_eq!(rejection(wrong_digest), PartError::WrongDigest);
+    let truncated = ValuePart {
         size: 3,
-        ..good.clone()
+        ..valid.clone()
     };
-    assert!(matches!(refused(short), Misfit::Unpacked(_)));
-    let rubbish = Part {
+    assert!(matches!(rejection(truncated), PartError::Unpacked(_)));
+    let garbage = ValuePart {
         bytes: "rubbish".into(),
-        ..good.clone()
+        ..valid.clone()
     };
-    assert!(matches!(refused(rubbish), Misfit::Unpacked(_)));
-    let base = Base {
+    assert!(matches!(rejection(garbage), PartError::Unpacked(_)));
+    let base = BaseValue {
         key: CONFIG.to_owned(),
         mod_revision: 4,
         value: value.clone().into(),
     };
-    let against = part(b"next", Some(&base));
-    assert_eq!(refused(against), Misfit::UnknownBase(4));
+    let base_value = part(b"next", Some(&base));
+    assert_eq!(rejection(base_value), PartError::UnknownBase(4));
 }
 
 #[test]
 fn parts_of_another_value_are_no_continuation() {
-    let mut inbox = Inbox::new(Vec::new());
+    let mut assembler = PartAssembler::new(Vec::new());
     let value = Config::new(ROUTES).text();
     let whole = part(value.as_bytes(), None);
-    let first = Part {
+    let first = ValuePart {
         bytes: whole.bytes.slice(..1_000),
         is_last: false,
         ..whole.clone()
     };
-    assert_eq!(inbox.take(first), Ok(None));
-    let stranger = Part {
+    assert_eq!(assembler.add(first), Ok(None));
+    let other_value = ValuePart {
         mod_revision: 10,
         offset: 1_000,
         ..whole
     };
-    assert_eq!(inbox.take(stranger), Err(Misfit::Gap));
+    assert_eq!(assembler.add(other_value), Err(PartError::Gap));
 }
 
 proptest! {
@@ -174,7 +179,7 @@
         is_last in any::<bool>(),
         key in "[a-z]{0,2}",
     ) {
-        let part = Part { key, size: size.into(), offset, is_last, bytes: bytes.into(), ..Part::default() };
-        let _ = Inbox::new(Vec::new()).take(part);
+        let part = ValuePart { key, size: size.into(), offset, is_last, bytes: bytes.into(), ..ValuePart::default() };
+        let _ = PartAssembler::new(Vec::new()).add(part);
     }
 }
--- a/tests/replication/rows.rs
+++ b/tests/replication/rows.rs
@@ -5,9 +5,9 @@
 //! their entries to 16 others over a slow link, while servers drain.
 
 use godwitreel::platform::Change;
-use godwitreel::replica::Copy;
-use godwitreel::replica::News;
-use godwitreel::replica::Packed;
+use godwitreel::replica::PackedRows;
+use godwitreel::replica::StoreCopy;
+use godwitreel::replica::UpstreamMessage;
 use proptest::prelude::*;
 use prost::Message;
 
@@ -15,10 +15,10 @@
 use crate::support::*;
 
 /// Silence, in milliseconds, after which a subscriber leaves its upstream.
-const SILENCE: usize = 800;
+const SILENCE_LIMIT_MS: usize = 800;
 
 /// Upper bound of a message, in bytes: 13 ms on a 10 Mbit/s link.
-const MOST_BYTES: usize = 16 << 10;
+const MAX_MESSAGE_BYTES: usize = 16 << 10;
 
 fn servers(count: usize, value: u8, revision: u64) -> Vec<Change> {
     let server = |number| {
@@ -37,14 +37,14 @@
 // message.
 #[test]
 fn entries_that_come_back_at_once_silence_no_upstream() {
-    let mut store = Copy::default();
+    let mut store = StoreCopy::default();
     store.apply(servers(3_000, 0, 1), 3_001);
     let mut tree = Tree::new(1 + 16, &store);
     let begin = tree.now;
-    tree.learn_all(servers(3_000, 1, 10_000));
+    tree.update_many(servers(3_000, 1, 10_000));
     tree.run(9_000);
-    let silence = tree.longest_silence(begin);
-    assert!(silence < SILENCE, "nothing heard for {silence} ms");
+    let gap = tree.longest_gap(begin);
+    assert!(gap < SILENCE_LIMIT_MS, "nothing received for {gap} ms");
     assert!(tree.all_agree());
 }
 
@@ -52,15 +52,15 @@
 // before it takes six seconds, during which new flows must not still go to that server.
 #[test]
 fn a_drain_overtakes_entries_that_come_back() {
-    let mut store = Copy::default();
+    let mut store = StoreCopy::default();
     store.apply(servers(3_000, 0, 1), 3_001);
     let mut tree = Tree::new(1 + 16, &store);
-    tree.learn_all(servers(3_000, 1, 10_000));
+    tree.update_many(servers(3_000, 1, 10_000));
     tree.run(300);
-    tree.learn(put("servers/0007", [2; 140], 20_000));
+    tree.update(put("servers/0007", [2; 140], 20_000));
     tree.run(9_000);
-    let spread = tree.spread("servers/0007", 20_000);
-    assert!(spread < 600, "the drain took {spread} ms");
+    let propagation_ms = tree.propagation_ms("servers/0007", 20_000);
+    assert!(propagation_ms < 600, "the drain took {propagation_ms} ms");
     assert!(tree.all_agree());
 }
 
@@ -68,44 +68,44 @@
 // them it must not treat its copy as up to date, and it must not request less than it
 // lacks when the connection ends halfway.
 #[test]
-fn rows_are_told_in_messages_of_bounded_size() {
-    let mut store = Copy::default();
+fn rows_are_sent_in_messages_of_bounded_size() {
+    let mut store = StoreCopy::default();
     store.apply(servers(2_000, 0, 1), 2_001);
-    let mut copy = Copy::default();
+    let mut copy = StoreCopy::default();
     copy.reset(&store.entries().cloned().collect::<Vec<_>>(), 2_001);
     store.apply(servers(2_000, 1, 10_000), 12_000);
     let mut subscription = Subscription::new(&store, &copy);
     for _ in 0..5 {
-        let news = subscription.compose(&store, true);
-        assert!(news.encoded_len() < MOST_BYTES);
-        assert_eq!(news.age_ms, None, "rows are still to come");
-        subscription.take(&mut copy, news).unwrap();
+        let message = subscription.compose(&store, true);
+        assert!(message.encoded_len() < MAX_MESSAGE_BYTES);
+        assert_eq!(message.age_ms, None, "rows are still to come");
+        subscription.apply(&mut copy, message).unwrap();
     }
     let mut again = Subscription::new(&store, &copy);
-    again.settle(&store, &mut copy);
+    again.send_all(&store, &mut copy);
     assert_eq!(content(&copy), content(&store));
-    assert_eq!(copy.horizon(), store.horizon());
+    assert_eq!(copy.synced_revision(), store.synced_revision());
 }
 
 // More deletions than are kept happen while rows are waiting to be sent.
 #[test]
 fn a_deletion_that_waits_is_not_forgotten() {
-    let mut store = Copy::default();
+    let mut store = StoreCopy::default();
     store.apply(servers(3_000, 0, 1), 3_001);
-    let mut copy = Copy::default();
+    let mut copy = StoreCopy::default();
     let mut subscription = Subscription::new(&store, &copy);
-    subscription.settle(&store, &mut copy);
+    subscription.send_all(&store, &mut copy);
     let mut revision = 10_000;
     for number in 0..1_200 {
         revision += 1;
         let key = format!("servers/{number:04}");
         store.apply(vec![delete(&key, revision)], revision);
         if number % 100 == 0 {
-            let news = subscription.compose(&store, true);
-            subscription.take(&mut copy, news).unwrap();
+            let message = subscription.compose(&store, true);
+            subscription.apply(&mut copy, message).unwrap();
         }
     }
-    subscription.settle(&store, &mut copy);
+    subscription.send_all(&store, &mut copy);
     assert_eq!(content(&copy), content(&store));
 }
 
@@ -113,7 +113,7 @@
 // links.
 #[test]
 fn rows_are_packed_and_come_back() {
-    let mut store = Copy::default();
+    let mut store = StoreCopy::default();
     let server = |number: u64| {
         let entry = format!(
             r#"{{"service":"booking","addr":"10.1.64.{number}:8125","zone":"kh-eros","version":"v1","slots":2,"state":"ready","coldLeftMs":0,"seq":{}}}"#,
@@ -126,7 +126,7 @@
         )
     };
     store.apply((0..40).map(server).collect(), 40);
-    let mut copy = Copy::default();
+    let mut copy = StoreCopy::default();
     copy.apply(Vec::new(), 0);
     let mut subscription = Subscription::new(&store, &copy);
     let plain = subscription.compose(&store, true);
@@ -140,33 +140,33 @@
 
 #[test]
 fn rows_that_were_not_packed_are_refused() {
-    let packed = Packed {
+    let packed = PackedRows {
         size: u64::MAX,
         bytes: vec![7; 40].into(),
     };
-    let mut news = News {
+    let mut message = UpstreamMessage {
         packed: Some(packed),
-        ..News::default()
+        ..UpstreamMessage::default()
     };
-    assert!(news.unpack_rows().is_err());
+    assert!(message.unpack_rows().is_err());
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Put(u16),
     Delete(u16),
-    Flood(u16),
-    Tell,
-    Rejoin,
+    PutMany(u16),
+    Send,
+    Resubscribe,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         3 => (0..400u16).prop_map(Step::Put),
         1 => (0..400u16).prop_map(Step::Delete),
-        1 => (1..400u16).prop_map(Step::Flood),
-        6 => Just(Step::Tell),
-        1 => Just(Step::Rejoin),
+        1 => (1..400u16).prop_map(Step::PutMany),
+        6 => Just(Step::Send),
+        1 => Just(Step::Resubscribe),
     ]
 }
 
@@ -175,9 +175,9 @@
     // agree in the end, and a copy that is sent an age lacks nothing.
     #[test]
     fn copies_agree_whatever_waits(steps in prop::collection::vec(step(), 1..60)) {
-        let mut store = Copy::default();
+        let mut store = StoreCopy::default();
         store.apply(servers(400, 0, 1), 400);
-        let mut copy = Copy::default();
+        let mut copy = StoreCopy::default();
         let mut subscription = Subscription::new(&store, &copy);
         let mut revision = 1_000;
         for step in steps {
@@ -190,23 +190,23 @@
                 Step::Delete(number) => {
                     store.apply(vec![delete(&name(number), revision)], revision);
                 }
-                Step::Flood(count) => {
+                Step::PutMany(count) => {
                     store.apply(servers(count.into(), 4, revision), revision + 400);
                     revision += 400;
                 }
-                Step::Tell => {
-                    let news = subscription.compose(&store, true);
-                    let is_told_age = news.age_ms.is_some();
-                    subscription.take(&mut copy, news).unwrap();
-                    if is_told_age {
+                Step::Send => {
+                    let message = subscription.compose(&store, true);
+                    let has_age = message.age_ms.is_some();
+                    subscription.apply(&mut copy, message).unwrap();
+                    if has_age {
                         prop_assert_eq!(content(&copy), content(&store));
                     }
                 }
-                Step::Rejoin => subscription = Subscription::new(&store, &copy),
+                Step::Resubscribe => subscription = Subscription::new(&store, &copy),
             }
         }
-        subscription.settle(&store, &mut copy);
+        subscription.send_all(&store, &mut copy);
         prop_assert_eq!(content(&copy), content(&store));
-        prop_assert_eq!(copy.horizon(), store.horizon());
+        prop_assert_eq!(copy.synced_revision(), store.synced_revision());
     }
 }
--- a/tests/replication/start.rs
+++ b/tests/replication/start.rs
@@ -13,33 +13,33 @@
 use tokio::time::Instant;
 
 /// Instances in each of the six zones.
-const IN_ZONE: usize = 59;
+const INSTANCES_PER_ZONE: usize = 59;
 const ZONES: usize = 6;
 /// Bytes that the store sends for a complete listing, and for one member.
-const LISTING: f64 = 700_000.0;
-const MEMBER: f64 = 280.0;
+const LISTING_BYTES: f64 = 700_000.0;
+const MEMBER_BYTES: f64 = 280.0;
 /// Bytes that the store sends per millisecond.
-const PER_MS: f64 = 125_000.0;
+const STORE_BYTES_PER_MS: f64 = 125_000.0;
 /// Wait of the first instance after the heads, in milliseconds.
-const FIRST: u64 = 60;
+const FIRST_WAIT_MS: u64 = 60;
 /// Period within which all machines regain power, in milliseconds.
-const APART: usize = 300;
+const POWER_SPREAD_MS: usize = 300;
 /// Time that a head takes to send its copy to one instance of its zone, in
 /// milliseconds.
 const COPY_MS: u64 = 3;
 
 fn zone(number: usize) -> Vec<Member> {
-    let member = |place: usize| Member {
-        instance: format!("entry-{number}-{place}").parse().unwrap(),
+    let member = |index: usize| Member {
+        instance: format!("entry-{number}-{index}").parse().unwrap(),
         zone: format!("zone-{number}").parse().unwrap(),
-        address: format!("10.{number}.0.{place}:9000").parse().unwrap(),
-        link_mbps: Bandwidth(if place < 3 { 200.0 } else { 20.0 }),
+        address: format!("10.{number}.0.{index}:9000").parse().unwrap(),
+        link_mbps: Bandwidth(if index < 3 { 200.0 } else { 20.0 }),
     };
-    (0..IN_ZONE).map(member).collect()
+    (0..INSTANCES_PER_ZONE).map(member).collect()
 }
 
 /// An instance that starts, reads the list of members, waits, and reads the store.
-struct Starter {
+struct StartingInstance {
     zone: usize,
     is_head: bool,
     start: u64,
@@ -48,43 +48,45 @@
     members: f64,
     listing: f64,
     /// When the list of members was complete.
-    known: Option<u64>,
+    members_known_at: Option<u64>,
 }
 
-impl Starter {
+impl StartingInstance {
     fn is_reading(&self, at: u64) -> bool {
-        let has_waited = self.known.is_some_and(|known| at >= known + self.wait);
-        at >= self.start && self.listing > 0.0 && (self.known.is_none() || has_waited)
+        let has_waited = self
+            .members_known_at
+            .is_some_and(|known_at| at >= known_at + self.wait);
+        at >= self.start && self.listing > 0.0 && (self.members_known_at.is_none() || has_waited)
     }
 
     fn read(&mut self, at: u64, bytes: f64) {
-        if self.known.is_some() {
+        if self.members_known_at.is_some() {
             self.listing -= bytes;
             return;
         }
         self.members -= bytes;
         if self.members <= 0.0 {
-            self.known = Some(at);
+            self.members_known_at = Some(at);
         }
     }
 }
 
 /// All instances; each reads `listed` members and then waits as given for a copy.
-fn fleet(listed: usize, wait: impl Fn(&Member, &[Member]) -> u64) -> Vec<Starter> {
+fn fleet(listed: usize, wait: impl Fn(&Member, &[Member]) -> u64) -> Vec<StartingInstance> {
     let mut fleet = Vec::new();
     for number in 0..ZONES {
         let members = zone(number);
-        for (place, member) in members.iter().enumerate() {
+        for (index, member) in members.iter().enumerate() {
             let above = candidates(&member.instance, &member.zone, &members);
             let is_head = above.len() < 3;
-            fleet.push(Starter {
+            fleet.push(StartingInstance {
                 zone: number,
                 is_head,
-                start: ((number * IN_ZONE + place) * 7_919 % APART) as u64,
+                start: ((number * INSTANCES_PER_ZONE + index) * 7_919 % POWER_SPREAD_MS) as u64,
                 wait: if is_head { 0 } else { wait(member, &members) },
-                members: listed as f64 * MEMBER,
-                listing: LISTING,
-                known: None,
+                members: listed as f64 * MEMBER_BYTES,
+                listing: LISTING_BYTES,
+                members_known_at: None,
             });
         }
     }
@@ -92,35 +94,45 @@
 }
 
 /// Lets those heads of a zone that have the listing send it to the waiting instances.
-fn send_copies(fleet: &mut [Starter], zone: usize, credit: &mut u64) {
-    let heads = fleet.iter().filter(|one| one.zone == zone && one.is_head);
+fn send_copies(fleet: &mut [StartingInstance], zone: usize, credit: &mut u64) {
+    let heads = fleet
+        .iter()
+        .filter(|instance| instance.zone == zone && instance.is_head);
     *credit += heads.filter(|head| head.listing <= 0.0).count() as u64;
     while *credit >= COPY_MS {
         *credit -= COPY_MS;
-        let waits = |one: &&mut Starter| {
-            one.zone == zone && !one.is_head && one.known.is_some() && one.listing > 0.0
+        let waits = |instance: &&mut StartingInstance| {
+            instance.zone == zone
+                && !instance.is_head
+                && instance.members_known_at.is_some()
+                && instance.listing > 0.0
         };
-        if let Some(one) = fleet.iter_mut().find(waits) {
-            one.listing = 0.0;
+        if let Some(instance) = fleet.iter_mut().find(waits) {
+            instance.listing = 0.0;
         }
     }
 }
 
 /// Time in milliseconds from its start until the slowest instance has its copy.
-fn slowest(mut fleet: Vec<Starter>) -> u64 {
+fn slowest(mut fleet: Vec<StartingInstance>) -> u64 {
     let mut credits = [0_u64; ZONES];
     let mut slowest = 0;
     for at in 0..5_000 {
-        let reading = fleet.iter().filter(|one| one.is_reading(at)).count();
-        let share = PER_MS / reading.max(1) as f64;
-        for one in fleet.iter_mut().filter(|one| one.is_reading(at)) {
-            one.read(at, share);
+        let reading = fleet
+            .iter()
+            .filter(|instance| instance.is_reading(at))
+            .count();
+        let share = STORE_BYTES_PER_MS / reading.max(1) as f64;
+        for instance in fleet.iter_mut().filter(|instance| instance.is_reading(at)) {
+            instance.read(at, share);
         }
         for (zone, credit) in credits.iter_mut().enumerate() {
             send_copies(&mut fleet, zone, credit);
         }
-        let waiting = fleet.iter().filter(|one| one.listing > 0.0);
-        let longest = waiting.map(|one| (at + 1).saturating_sub(one.start)).max();
+        let waiting = fleet.iter().filter(|instance| instance.listing > 0.0);
+        let longest = waiting
+            .map(|instance| (at + 1).saturating_sub(instance.start))
+            .max();
         match longest {
             Some(longest) => slowest = slowest.max(longest),
             None => break,
@@ -135,16 +147,16 @@
 // first.
 #[test]
 fn heads_are_not_held_up_by_those_that_wait_for_them() {
-    let first = Duration::from_millis(FIRST);
+    let first = Duration::from_millis(FIRST_WAIT_MS);
     let by_rank = |member: &Member, members: &[Member]| {
         let wait = copy_wait(&member.instance, &member.zone, members, first);
         wait.as_millis() as u64
     };
-    let all = IN_ZONE * ZONES;
-    let before = slowest(fleet(all, |_, _| FIRST));
+    let all = INSTANCES_PER_ZONE * ZONES;
+    let fixed_wait = slowest(fleet(all, |_, _| FIRST_WAIT_MS));
     let ranked = slowest(fleet(all, by_rank));
-    let own_zone = slowest(fleet(IN_ZONE, by_rank));
-    assert!(before > 500, "the load as it was: {before} ms");
+    let own_zone = slowest(fleet(INSTANCES_PER_ZONE, by_rank));
+    assert!(fixed_wait > 500, "with one wait for all: {fixed_wait} ms");
     assert!(ranked < 500, "by rank: {ranked} ms");
     assert!(own_zone < 300, "with a list of the own zone: {own_zone} ms");
 }
@@ -153,7 +165,7 @@
 // a large zone, reads the store after a bounded wait.
 #[test]
 fn nobody_waits_for_long_where_all_are_gone() {
-    let first = Duration::from_millis(FIRST);
+    let first = Duration::from_millis(FIRST_WAIT_MS);
     let members = zone(1);
     let wait = |member: &Member| copy_wait(&member.instance, &member.zone, &members, first);
     let waits: Vec<Duration> = members.iter().map(wait).collect();
--- a/tests/replication/storm.rs
+++ b/tests/replication/storm.rs
@@ -12,9 +12,9 @@
 use bytes::Bytes;
 use godwitreel::allowance::Bucket;
 use godwitreel::allowance::Rate;
-use godwitreel::replica::Base;
-use godwitreel::replica::Copy;
-use godwitreel::replica::News;
+use godwitreel::replica::BaseValue;
+use godwitreel::replica::StoreCopy;
+use godwitreel::replica::UpstreamMessage;
 use godwitreel::replica::pack;
 use prost::Message;
 use tokio::time::Instant;
@@ -22,61 +22,61 @@
 use crate::support::*;
 
 /// 10 Mbit/s, in bytes per millisecond.
-const LINK: usize = 1_250;
+const LINK_BYTES_PER_MS: usize = 1_250;
 
 /// Subscribers of one instance.
 const FAN_OUT: usize = 16;
 
 /// Bytes of packet headers for each message.
-const HEADS: usize = 80;
+const HEADER_BYTES: usize = 80;
 
 struct Sending {
-    news: News,
-    left: usize,
+    message: UpstreamMessage,
+    remaining: usize,
 }
 
 struct Connection {
-    from: usize,
-    to: usize,
+    upstream: usize,
+    subscriber: usize,
     subscription: Subscription,
     sending: Option<Sending>,
     /// Arrival times of messages.
-    arrivals: Vec<usize>,
+    arrival_times: Vec<usize>,
 }
 
 /// A tree of instances that forward what the first one learns.
 pub(crate) struct Tree {
-    begin: Instant,
+    start: Instant,
     /// Milliseconds since the start.
     pub(crate) now: usize,
-    copies: Vec<Copy>,
+    copies: Vec<StoreCopy>,
     pacers: Vec<Bucket>,
     connections: Vec<Connection>,
     /// Bytes sent by each instance.
     sent: Vec<usize>,
     /// When each instance first had a key at a revision.
-    learned: HashMap<(usize, String, u64), usize>,
+    first_known: HashMap<(usize, String, u64), usize>,
     packed: RefCell<HashMap<(u64, u64), Bytes>>,
 }
 
 impl Tree {
     /// Creates `count` instances, each subscribed to the one above it.
-    pub(crate) fn new(count: usize, first: &Copy) -> Self {
-        let begin = Instant::now();
+    pub(crate) fn new(count: usize, first: &StoreCopy) -> Self {
+        let start = Instant::now();
         let mut tree = Self {
-            begin,
+            start,
             now: 0,
             copies: Vec::new(),
             pacers: Vec::new(),
             connections: Vec::new(),
             sent: Vec::new(),
-            learned: HashMap::new(),
+            first_known: HashMap::new(),
             packed: RefCell::default(),
         };
         for number in 0..count {
-            let mut copy = Copy::default();
+            let mut copy = StoreCopy::default();
             let entries: Vec<_> = first.entries().cloned().collect();
-            copy.reset(&entries, first.horizon().unwrap());
+            copy.reset(&entries, first.synced_revision().unwrap());
             tree.add(copy);
             if number > 0 {
                 tree.subscribe(number, (number - 1) / FAN_OUT);
@@ -85,45 +85,45 @@
         tree
     }
 
-    fn add(&mut self, copy: Copy) -> usize {
+    fn add(&mut self, copy: StoreCopy) -> usize {
         // Half of the link is for subscribers.
-        let rate = Rate(LINK as u32 * 1_000 / 2);
-        self.pacers.push(Bucket::new(rate, self.begin));
+        let rate = Rate(LINK_BYTES_PER_MS as u32 * 1_000 / 2);
+        self.pacers.push(Bucket::new(rate, self.start));
         self.copies.push(copy);
         self.sent.push(0);
         self.copies.len() - 1
     }
 
-    fn subscribe(&mut self, from_below: usize, above: usize) {
+    fn subscribe(&mut self, subscriber: usize, upstream: usize) {
         self.connections
-            .retain(|connection| connection.to != from_below);
+            .retain(|connection| connection.subscriber != subscriber);
         self.connections.push(Connection {
-            from: above,
-            to: from_below,
-            subscription: Subscription::new(&self.copies[above], &self.copies[from_below]),
+            upstream,
+            subscriber,
+            subscription: Subscription::new(&self.copies[upstream], &self.copies[subscriber]),
             sending: None,
-            arrivals: Vec::new(),
+            arrival_times: Vec::new(),
         });
     }
 
     /// Gives the first instance a change.
-    pub(crate) fn learn(&mut self, change: godwitreel::platform::Change) {
-        self.learn_all(vec![change]);
+    pub(crate) fn update(&mut self, change: godwitreel::platform::Change) {
+        self.update_many(vec![change]);
     }
 
     /// Gives the first instance many changes at once.
-    pub(crate) fn learn_all(&mut self, changes: Vec<godwitreel::platform::Change>) {
+    pub(crate) fn update_many(&mut self, changes: Vec<godwitreel::platform::Change>) {
         let revisions = changes.iter().map(|change| change.mod_revision());
         let revision = revisions.max().unwrap_or_default();
-        let fresh = self.copies[0].apply(changes, revision);
-        self.note(0, &fresh);
+        let new_changes = self.copies[0].apply(changes, revision);
+        self.record(0, &new_changes);
     }
 
-    fn note(&mut self, instance: usize, fresh: &[godwitreel::platform::Change]) {
-        for change in fresh {
+    fn record(&mut self, instance: usize, new_changes: &[godwitreel::platform::Change]) {
+        for change in new_changes {
             if let godwitreel::platform::Change::Put(entry) = change {
                 let key = (instance, entry.key.clone(), entry.mod_revision);
-                self.learned.entry(key).or_insert(self.now);
+                self.first_known.entry(key).or_insert(self.now);
             }
         }
     }
@@ -132,12 +132,12 @@
         for _ in 0..milliseconds {
             self.now += 1;
             self.compose();
-            self.carry();
+            self.transfer();
         }
     }
 
     fn compose(&mut self) {
-        let now = self.begin + Duration::from_millis(self.now as u64);
+        let now = self.start + Duration::from_millis(self.now as u64);
         let Self {
             copies,
             pacers,
@@ -145,7 +145,7 @@
             packed,
             ..
         } = self;
-        let packing = |value: &Base, base: Option<&Base>| -> io::Result<Bytes> {
+        let pack_value = |value: &BaseValue, base: Option<&BaseValue>| -> io::Result<Bytes> {
             let key = (base.map_or(0, |base| base.mod_revision), value.mod_revision);
             if let Some(bytes) = packed.borrow().get(&key).filter(|_| !value.key.is_empty()) {
                 return Ok(bytes.clone());
@@ -155,22 +155,23 @@
             Ok(bytes)
         };
         for connection in connections.iter_mut().filter(|c| c.sending.is_none()) {
-            let pacer = &mut pacers[connection.from];
+            let pacer = &mut pacers[connection.upstream];
             let outbox = &mut connection.subscription.outbox;
             let may_send = |bytes| pacer.borrow(bytes, now);
-            let news = outbox.compose(&copies[connection.from], Some(0), &packing, may_send);
-            let news = news.unwrap();
-            if !news.rows.is_empty() || news.part.is_some() {
-                let left = news.encoded_len() + HEADS;
-                connection.sending = Some(Sending { news, left });
+            let message =
+                outbox.compose(&copies[connection.upstream], Some(0), &pack_value, may_send);
+            let message = message.unwrap();
+            if !message.rows.is_empty() || message.part.is_some() {
+                let remaining = message.encoded_len() + HEADER_BYTES;
+                connection.sending = Some(Sending { message, remaining });
             }
         }
     }
 
     /// Transfers one millisecond of data on all links.
-    fn carry(&mut self) {
-        let mut up = vec![LINK; self.copies.len()];
-        let mut down = vec![LINK; self.copies.len()];
+    fn transfer(&mut self) {
+        let mut up = vec![LINK_BYTES_PER_MS; self.copies.len()];
+        let mut down = vec![LINK_BYTES_PER_MS; self.copies.len()];
         let mut arrived = Vec::new();
         let count = self.connections.len();
         for step in 0..count {
@@ -180,13 +181,13 @@
             let Some(sending) = &mut connection.sending else {
                 continue;
             };
-            let most = up[connection.from].min(down[connection.to]);
-            let bytes = sending.left.min(most);
-            up[connection.from] -= bytes;
-            down[connection.to] -= bytes;
-            self.sent[connection.from] += bytes;
-            sending.left -= bytes;
-            if sending.left == 0 {
+            let max = up[connection.upstream].min(down[connection.subscriber]);
+            let bytes = sending.remaining.min(max);
+            up[connection.upstream] -= bytes;
+            down[connection.subscriber] -= bytes;
+            self.sent[connection.upstream] += bytes;
+            sending.remaining -= bytes;
+            if sending.remaining == 0 {
                 arrived.push(index);
             }
         }
@@ -195,29 +196,32 @@
             let Some(sending) = connection.sending.take() else {
                 continue;
             };
-            connection.arrivals.push(self.now);
-            let to = connection.to;
-            let copy = &mut self.copies[to];
-            let fresh = connection.subscription.take(copy, sending.news).unwrap();
-            self.note(to, &fresh);
+            connection.arrival_times.push(self.now);
+            let subscriber = connection.subscriber;
+            let copy = &mut self.copies[subscriber];
+            let new_changes = connection
+                .subscription
+                .apply(copy, sending.message)
+                .unwrap();
+            self.record(subscriber, &new_changes);
         }
     }
 
     /// Longest time from when the first instance has a change until the last one has it.
-    pub(crate) fn spread(&self, key: &str, revision: u64) -> usize {
-        let at = |instance| self.learned.get(&(instance, key.to_owned(), revision));
-        let begin = *at(0).expect("the first instance knows it");
+    pub(crate) fn propagation_ms(&self, key: &str, revision: u64) -> usize {
+        let at = |instance| self.first_known.get(&(instance, key.to_owned(), revision));
+        let start = *at(0).expect("the first instance knows it");
         let last = (0..self.copies.len()).map(|instance| at(instance).copied());
         let last = last.map(|at| at.unwrap_or_else(|| panic!("{key} is not known everywhere")));
-        last.max().unwrap() - begin
+        last.max().unwrap() - start
     }
 
     /// Longest gap after `begin` in which an instance waited for a message that was due.
-    pub(crate) fn longest_silence(&self, begin: usize) -> usize {
+    pub(crate) fn longest_gap(&self, start: usize) -> usize {
         let gaps = self.connections.iter().flat_map(|connection| {
-            let arrivals = std::iter::once(&begin).chain(&connection.arrivals);
-            arrivals
-                .zip(&connection.arrivals)
+            let arrival_times = std::iter::once(&start).chain(&connection.arrival_times);
+            arrival_times
+                .zip(&connection.arrival_times)
                 .map(|(one, next)| next.saturating_sub(*one))
         });
         gaps.max().unwrap_or_default()
@@ -229,8 +233,8 @@
     }
 }
 
-fn store(config: &Config) -> Copy {
-    let mut store = Copy::default();
+fn store(config: &Config) -> StoreCopy {
+    let mut store = StoreCopy::default();
     store.apply(vec![put(CONFIG, config.text(), 1)], 1);
     for number in 0..190 {
         store.apply(vec![put(&format!("servers/{number}"), [0; 140], 2)], 2);
@@ -240,14 +244,14 @@
 
 /// Writes 25 versions in two seconds and drains a server every 80 ms. Returns the
 /// revisions of the drains.
-fn storm(tree: &mut Tree, config: &mut Config, revision: &mut u64) -> Vec<(String, u64)> {
+fn write_and_drain(tree: &mut Tree, config: &mut Config, revision: &mut u64) -> Vec<(String, u64)> {
     let mut drains = Vec::new();
     for step in 0..25 {
         *revision += 1;
-        tree.learn(put(CONFIG, config.next(), *revision));
+        tree.update(put(CONFIG, config.next(), *revision));
         *revision += 1;
         let key = format!("servers/{step}");
-        tree.learn(put(&key, [1; 140], *revision));
+        tree.update(put(&key, [1; 140], *revision));
         drains.push((key, *revision));
         tree.run(80);
     }
@@ -263,39 +267,42 @@
     let mut tree = Tree::new(1 + FAN_OUT + 2 * FAN_OUT, &store(&config));
     config.grow(1_000);
     let mut revision = 10;
-    tree.learn(put(CONFIG, config.next(), revision));
+    tree.update(put(CONFIG, config.next(), revision));
     tree.run(20);
-    let drains = storm(&mut tree, &mut config, &mut revision);
+    let drains = write_and_drain(&mut tree, &mut config, &mut revision);
     tree.run(3_000);
     for (key, revision) in &drains {
-        let spread = tree.spread(key, *revision);
-        assert!(spread < 300, "{key} took {spread} ms");
+        let propagation_ms = tree.propagation_ms(key, *revision);
+        assert!(propagation_ms < 300, "{key} took {propagation_ms} ms");
     }
-    let spread = tree.spread(CONFIG, revision - 1);
-    assert!(spread < 1_800, "the last version took {spread} ms");
+    let propagation_ms = tree.propagation_ms(CONFIG, revision - 1);
+    assert!(
+        propagation_ms < 1_800,
+        "the last version took {propagation_ms} ms"
+    );
     assert!(tree.all_agree());
-    let most = *tree.sent.iter().max().unwrap();
-    assert!(most < 900_000, "{most} bytes by one instance");
+    let max = *tree.sent.iter().max().unwrap();
+    assert!(max < 900_000, "{max} bytes by one instance");
 }
 
 // An instance without a copy starts while the configuration changes, and another one
 // loses its upstream during the transfer of a value.
 #[test]
-fn who_joins_in_the_storm_gets_everything() {
+fn an_instance_that_joins_in_the_storm_gets_everything() {
     let mut config = Config::new(1_250);
     let mut tree = Tree::new(1 + FAN_OUT, &store(&config));
     let mut revision = 10;
-    tree.learn(put(CONFIG, config.next(), revision));
+    tree.update(put(CONFIG, config.next(), revision));
     tree.run(5);
-    let late = tree.add(Copy::default());
+    let late = tree.add(StoreCopy::default());
     tree.subscribe(late, 2);
     tree.subscribe(5, 3);
-    let begin = tree.now;
-    storm(&mut tree, &mut config, &mut revision);
-    let first = tree.learned.iter();
+    let start = tree.now;
+    write_and_drain(&mut tree, &mut config, &mut revision);
+    let first = tree.first_known.iter();
     let first = first.filter(|((instance, key, _), _)| *instance == late && key == CONFIG);
     let first = first.map(|(_, at)| *at).min().expect("a first copy");
-    assert!(first - begin < 500, "first copy after {} ms", first - begin);
+    assert!(first - start < 500, "first copy after {} ms", first - start);
     tree.run(2_000);
     assert!(tree.all_agree());
 }
--- a/tests/replication/support.rs
+++ b/tests/replication/support.rs
@@ -3,15 +3,15 @@
 use bytes::Bytes;
 use godwitreel::platform::Change;
 use godwitreel::platform::Entry;
-use godwitreel::replica::Base;
-use godwitreel::replica::Complete;
-use godwitreel::replica::Copy;
-use godwitreel::replica::Held;
-use godwitreel::replica::Inbox;
-use godwitreel::replica::Misfit;
-use godwitreel::replica::News;
+use godwitreel::replica::AssembledValue;
+use godwitreel::replica::BaseValue;
+use godwitreel::replica::HeldValue;
 use godwitreel::replica::Outbox;
-use godwitreel::replica::Subscribe;
+use godwitreel::replica::PartAssembler;
+use godwitreel::replica::PartError;
+use godwitreel::replica::StoreCopy;
+use godwitreel::replica::SubscribeRequest;
+use godwitreel::replica::UpstreamMessage;
 use godwitreel::replica::pack;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -82,82 +82,86 @@
 /// One subscriber and the outbox that feeds it.
 pub(crate) struct Subscription {
     pub(crate) outbox: Outbox,
-    inbox: Inbox,
+    assembler: PartAssembler,
 }
 
 impl Subscription {
     /// Subscribes the owner of one copy to the owner of another.
-    pub(crate) fn new(upstream: &Copy, subscriber: &Copy) -> Self {
+    pub(crate) fn new(upstream: &StoreCopy, subscriber: &StoreCopy) -> Self {
         let large = subscriber
             .entries()
             .filter(|entry| entry.value.len() > 4 << 10);
-        let held: Vec<Base> = large.map(Base::from).collect();
-        let subscribe = Subscribe {
+        let held: Vec<BaseValue> = large.map(BaseValue::from).collect();
+        let subscribe = SubscribeRequest {
             address: String::new(),
-            is_look: false,
+            is_probe: false,
             instance: "subscriber".to_owned(),
-            horizon: subscriber.horizon(),
-            held: held.iter().map(Held::from).collect(),
+            synced_revision: subscriber.synced_revision(),
+            held: held.iter().map(HeldValue::from).collect(),
         };
-        let is_known = |base: &&Base| {
+        let is_known = |base: &&BaseValue| {
             let newest = upstream.get(&base.key);
             newest.is_some_and(|entry| entry.mod_revision == base.mod_revision)
         };
         let known = held.iter().filter(is_known).cloned().collect();
         Self {
             outbox: Outbox::new(&subscribe, known),
-            inbox: Inbox::new(held),
+            assembler: PartAssembler::new(held),
         }
     }
 
-    pub(crate) fn compose(&mut self, upstream: &Copy, may_send: bool) -> News {
-        let packing = |value: &Base, base: Option<&Base>| {
+    pub(crate) fn compose(&mut self, upstream: &StoreCopy, may_send: bool) -> UpstreamMessage {
+        let pack_value = |value: &BaseValue, base: Option<&BaseValue>| {
             pack(&value.value, base.map_or(&[][..], |base| &base.value))
         };
-        let news = self
+        let message = self
             .outbox
-            .compose(upstream, Some(0), &packing, |_| may_send);
-        news.unwrap()
+            .compose(upstream, Some(0), &pack_value, |_| may_send);
+        message.unwrap()
     }
 
     /// Applies a message; returns the changes that were new to the copy.
-    pub(crate) fn take(&mut self, copy: &mut Copy, news: News) -> Result<Vec<Change>, Misfit> {
-        let mut changes: Vec<Change> = news.rows.into_iter().map(Change::from).collect();
-        let complete = match news.part {
-            Some(part) => self.inbox.take(part)?,
+    pub(crate) fn apply(
+        &mut self,
+        copy: &mut StoreCopy,
+        message: UpstreamMessage,
+    ) -> Result<Vec<Change>, PartError> {
+        let mut changes: Vec<Change> = message.rows.into_iter().map(Change::from).collect();
+        let complete = match message.part {
+            Some(part) => self.assembler.add(part)?,
             None => None,
         };
         match complete {
-            Some(Complete::Copy(entries, revision)) => {
+            Some(AssembledValue::Copy(entries, revision)) => {
                 let mut fresh = copy.reset(&entries, revision).unwrap_or_default();
-                fresh.extend(copy.apply(changes, news.revision));
+                fresh.extend(copy.apply(changes, message.revision));
                 return Ok(fresh);
             }
-            Some(Complete::Entry(entry)) => changes.push(Change::Put(entry)),
+            Some(AssembledValue::Entry(entry)) => changes.push(Change::Put(entry)),
             None => {}
         }
-        if news.awaits_copy {
+        if message.awaits_copy {
             return Ok(Vec::new());
         }
-        Ok(copy.apply(changes, news.revision))
+        Ok(copy.apply(changes, message.revision))
     }
 
     /// Sends everything that is pending; returns the number of messages.
-    pub(crate) fn settle(&mut self, upstream: &Copy, subscriber: &mut Copy) -> usize {
+    pub(crate) fn send_all(&mut self, upstream: &StoreCopy, subscriber: &mut StoreCopy) -> usize {
         for count in 1..10_000 {
-            let news = self.compose(upstream, true);
-            let is_last = news.part.is_none() && news.rows.is_empty();
-            self.take(subscriber, news).unwrap();
+            let message = self.compose(upstream, true);
+            let is_last = message.part.is_none() && message.rows.is_empty();
+            self.apply(subscriber, message).unwrap();
             if is_last && !self.outbox.has_parts() {
                 return count;
             }
         }
-        panic!("never done");
+        panic!("the transfer never completes");
     }
 }
 
 /// Keys and values of a copy.
-pub(crate) fn content(copy: &Copy) -> Vec<(String, Bytes)> {
+pub(crate) fn content(copy: &StoreCopy) -> Vec<(String, Bytes)> {
     let row = |entry: &Entry| (entry.key.clone(), entry.value.clone());
     copy.entries().map(row).collect()
 }
