--- a/src/replica/assembler.rs
+++ b/src/replica/assembler.rs
@@ -23,13 +23,13 @@
     #[error("a value of {0} bytes is too large")]
     TooLarge(u64),
     /// It was compressed against a value that is not known here.
-    #[error("packed against revision {0}, which is not known here")]
+    #[error("compressed against revision {0}, which is not known here")]
     UnknownBase(u64),
     /// It cannot be decompressed.
-    #[error("not unpacked: {0}")]
-    Unpacked(String),
+    #[error("decompression failed: {0}")]
+    DecompressionFailed(String),
     /// The decompressed value is not the one that was sent.
-    #[error("another value than was sent")]
+    #[error("digest of the value does not match")]
     WrongDigest,
 }
 
@@ -105,7 +105,7 @@
         let base = base.map_or(&[][..], |base| &base.value);
         let packed = std::mem::take(&mut self.packed);
         let value = pack::unpack(&packed, base, part.size as usize);
-        let value = value.map_err(|error| PartError::Unpacked(error.to_string()))?;
+        let value = value.map_err(|error| PartError::DecompressionFailed(error.to_string()))?;
         if value.len() as u64 != part.size || pack::digest(&value) != part.digest {
             return Err(PartError::WrongDigest);
         }
@@ -126,7 +126,8 @@
     }
 
     fn complete_copy(&mut self, value: Bytes, revision: u64) -> Result<AssembledValue, PartError> {
-        let rows = Rows::decode(value).map_err(|error| PartError::Unpacked(error.to_string()))?;
+        let rows = Rows::decode(value)
+            .map_err(|error| PartError::DecompressionFailed(error.to_string()))?;
         let entries = rows.rows.into_iter().filter_map(|row| {
             // Copied, since a slice would keep the whole message in memory.
             let value = Bytes::copy_from_slice(&row.value?);
--- a/src/replica/follow.rs
+++ b/src/replica/follow.rs
@@ -331,7 +331,7 @@
                 self.has_new_members = true;
             }
             Some(Err(error)) => {
-                warn!(self.sources.log, "member refused"; "key" => key, "error" => %error);
+                warn!(self.sources.log, "invalid member entry"; "key" => key, "error" => %error);
             }
         }
     }
--- a/src/replica/follow/upstream.rs
+++ b/src/replica/follow/upstream.rs
@@ -241,10 +241,10 @@
                     }
                 }
             }
-            if let Some(nearer_upstream) = self.nearer_upstream(peer)
-                && let Some(moved) = self.move_to(nearer_upstream).await?
+            if let Some(nearer) = self.nearer_upstream(peer)
+                && let Some(moved) = self.move_to(nearer).await?
             {
-                (peer, subscription) = (nearer_upstream, moved);
+                (peer, subscription) = (nearer, moved);
             }
         }
     }
@@ -316,11 +316,11 @@
     /// about once a second, is about to report the store's return itself; if it does not,
     /// the store is probed again.
     fn detect_recovery(&mut self) -> bool {
-        let detect_recovery = matches!(self.store_state, StoreState::Unreachable(_));
-        if detect_recovery {
+        let is_recovery = matches!(self.store_state, StoreState::Unreachable(_));
+        if is_recovery {
             self.store_state = StoreState::Recovered(Instant::now() + RECOVERY_REPORT_TIMEOUT);
         }
-        detect_recovery
+        is_recovery
     }
 
     /// Moves to any other instance above that had contact with the store recently.
@@ -370,7 +370,12 @@
             Ok((subscription, first))
         };
         let opened = time::timeout(COPY_TIMEOUT, opening).await;
-        opened.unwrap_or_else(|_| Err(subscribe::subscription_error(peer, "no copy in time")))
+        opened.unwrap_or_else(|_| {
+            Err(subscribe::subscription_error(
+                peer,
+                "timed out waiting for a copy",
+            ))
+        })
     }
 
     pub(super) fn is_fresh(&self, update: &UpstreamUpdate) -> bool {
@@ -406,23 +411,20 @@
     /// which would then each ask the store for everything.
     fn nearer_upstream(&mut self, peer: SocketAddrV4) -> Option<SocketAddrV4> {
         let upstreams = self.upstreams();
-        let mut nearer_upstream = upstreams.into_iter().take_while(|address| *address != peer);
-        nearer_upstream.find(|address| self.may_try(address))
+        let mut nearer = upstreams.into_iter().take_while(|address| *address != peer);
+        nearer.find(|address| self.may_try(address))
     }
 
     /// Subscribes to a nearer instance; the present subscription is kept until this
     /// succeeds.
-    async fn move_to(
-        &mut self,
-        nearer_upstream: SocketAddrV4,
-    ) -> Result<Option<Subscription>, FollowEnd> {
-        self.start_cooldown(nearer_upstream, MOVE_COOLDOWN);
-        match self.open_subscription(nearer_upstream).await {
+    async fn move_to(&mut self, nearer: SocketAddrV4) -> Result<Option<Subscription>, FollowEnd> {
+        self.start_cooldown(nearer, MOVE_COOLDOWN);
+        match self.open_subscription(nearer).await {
             Ok((subscription, first)) if self.is_useful(&first) => {
                 self.apply_update(first).await?;
-                self.report_upstream(nearer_upstream).await?;
+                self.report_upstream(nearer).await?;
                 self.set_on_fallback(false);
-                self.cooldowns.remove(&nearer_upstream);
+                self.cooldowns.remove(&nearer);
                 Ok(Some(subscription))
             }
             Ok(_) => Ok(None),
--- a/src/replica/publish.rs
+++ b/src/replica/publish.rs
@@ -198,7 +198,11 @@
     let frame = frame.map_err(|error| subscriber_error(STEP, peer, error))?;
     let remarks: Remarks = message::decode(STEP, &peer.to_string(), frame)?;
     if remarks.remarks.len() > MAX_ENTRIES {
-        return Err(subscriber_error(STEP, peer, "too many"));
+        return Err(subscriber_error(
+            STEP,
+            peer,
+            "too many servers in one report",
+        ));
     }
     Ok(remarks)
 }
--- a/src/replica/subscribe.rs
+++ b/src/replica/subscribe.rs
@@ -172,7 +172,7 @@
     pub(crate) async fn send_report(&mut self, remarks: &Remarks) -> Result<()> {
         let bytes: Bytes = remarks.encode_to_vec().into();
         let sent = time::timeout(SILENCE_TIMEOUT, self.framed.send(bytes)).await;
-        let sent = sent.map_err(|_| subscription_error(self.peer, "takes nothing"))?;
+        let sent = sent.map_err(|_| subscription_error(self.peer, "sending timed out"))?;
         sent.map_err(|error| subscription_error(self.peer, error))
     }
 
@@ -185,7 +185,7 @@
         let frame = frame.map_err(|error| subscription_error(self.peer, error))?;
         self.last_received = Instant::now();
         let mut message: UpstreamMessage =
-            message::decode("news from upstream", &self.peer.to_string(), frame)?;
+            message::decode("message from upstream", &self.peer.to_string(), frame)?;
         let unpacked = message.unpack_rows();
         unpacked.map_err(|error| subscription_error(self.peer, error))?;
         self.decode(message)
@@ -258,7 +258,7 @@
             .ok_or_else(|| subscription_error(peer, "closed"))?;
         let frame = frame.map_err(|error| subscription_error(peer, error))?;
         let message: UpstreamMessage =
-            message::decode("answer to a look", &peer.to_string(), frame)?;
+            message::decode("response to a probe", &peer.to_string(), frame)?;
         Ok(ProbeResponse {
             is_withdrawn: message.is_withdrawn,
         })
--- a/tests/replication/parcels.rs
+++ b/tests/replication/parcels.rs
@@ -136,12 +136,18 @@
         size: 3,
         ..valid.clone()
     };
-    assert!(matches!(rejection(truncated), PartError::Unpacked(_)));
+    assert!(matches!(
+        rejection(truncated),
+        PartError::DecompressionFailed(_)
+    ));
     let garbage = ValuePart {
         bytes: "rubbish".into(),
         ..valid.clone()
     };
-    assert!(matches!(rejection(garbage), PartError::Unpacked(_)));
+    assert!(matches!(
+        rejection(garbage),
+        PartError::DecompressionFailed(_)
+    ));
     let base = BaseValue {
         key: CONFIG.to_owned(),
         mod_revision: 4,
