--- a/src/replica/follow/start.rs
+++ b/src/replica/follow/start.rs
@@ -73,7 +73,7 @@
             match copy_sources {
                 Ok(copy_sources) => return self.fetch_copy_from(copy_sources).await,
                 Err(FollowEnd::Failed(error)) => self.record_failure(&error).await?,
-                Err(abandoned) => return Err(abandoned),
+                Err(closed) => return Err(closed),
             }
             let pause = self.backoff.next_delay().min(MAX_RETRY_PAUSE);
             if let Ok(update) = time::timeout(pause, &mut search).await {
@@ -151,24 +151,24 @@
 
     /// The first copy that any of the instances returns. All are asked in parallel, since
     /// a machine without power does not even refuse a connection.
-    async fn first_copy_from(&self, copy_sources: &[SocketAddrV4]) -> UpstreamUpdate {
-        let copies = copy_sources
+    async fn first_copy_from(&self, addresses: &[SocketAddrV4]) -> UpstreamUpdate {
+        let copies = addresses
             .iter()
-            .map(|source| Box::pin(self.copy_from(*source)));
+            .map(|address| Box::pin(self.copy_from(*address)));
         let (update, _, _) = futures::future::select_all(copies).await;
         update
     }
 
     /// Waits until an instance has a fresh copy and returns it.
-    async fn copy_from(&self, source: SocketAddrV4) -> UpstreamUpdate {
+    async fn copy_from(&self, address: SocketAddrV4) -> UpstreamUpdate {
         let (me, log) = (&self.sources.me, &self.sources.log);
-        let update = search::await_copy(source, me, RETRY_PAUSES, log).await;
+        let update = search::await_copy(address, me, RETRY_PAUSES, log).await;
         if self.is_fresh(&update) {
             return update;
         }
         // The owner of the copy is cut off from the store. With this copy, routes would be
         // used that have been withdrawn since.
-        info!(log, "copy of upstream too old"; "peer" => %source);
+        info!(log, "copy of upstream too old"; "peer" => %address);
         std::future::pending().await
     }
 }
--- a/src/replica/outbox.rs
+++ b/src/replica/outbox.rs
@@ -51,7 +51,7 @@
     /// A copy is being sent, which brings everything up to a sequence number.
     SendingCopy(SequenceNumber),
     /// Everything up to a sequence number has been sent or queued.
-    Sent(SequenceNumber),
+    Queued(SequenceNumber),
 }
 
 /// Compresses a value against the subscriber's version of it, if any.
@@ -167,9 +167,9 @@
         let (changes, sequence) = match self.progress {
             Progress::NeedsCopy | Progress::SendingCopy(_) => return,
             Progress::Revision(revision) => copy.changes_after_revision(revision),
-            Progress::Sent(sequence) => copy.changes_after(sequence),
+            Progress::Queued(sequence) => copy.changes_after(sequence),
         };
-        self.progress = Progress::Sent(sequence);
+        self.progress = Progress::Queued(sequence);
         for change in changes {
             self.queue_change(change);
         }
@@ -181,7 +181,7 @@
         let is_behind = match self.progress {
             Progress::NeedsCopy => false,
             Progress::Revision(revision) => copy.needs_full_copy(Some(revision)),
-            Progress::SendingCopy(sequence) | Progress::Sent(sequence) => {
+            Progress::SendingCopy(sequence) | Progress::Queued(sequence) => {
                 copy.has_pruned_after(sequence)
             }
         };
@@ -293,7 +293,7 @@
     fn finish_transfer(&mut self, copy: &StoreCopy) {
         let base = self.transfer.take().and_then(|transfer| transfer.base);
         if let Progress::SendingCopy(sequence) = self.progress {
-            self.progress = Progress::Sent(sequence);
+            self.progress = Progress::Queued(sequence);
         }
         let Some(base) = base else {
             return;
--- a/src/replica/pack.rs
+++ b/src/replica/pack.rs
@@ -24,10 +24,10 @@
 /// twice the time.
 const LEVEL: i32 = 3;
 
-/// Maximum compressed values kept for further subscribers.
+/// Maximum number of compressed values kept for further subscribers.
 const MAX_CACHED_PACKS: usize = 8;
 
-/// Maximum earlier versions of large values kept as bases for subscribers that still
+/// Maximum number of earlier versions of large values kept as bases for subscribers that still
 /// have one of them.
 const MAX_CACHED_BASES: usize = 4;
 
--- a/src/replica/tree.rs
+++ b/src/replica/tree.rs
@@ -107,16 +107,16 @@
         .into_iter()
         .skip_while(|member| member.instance != *me)
         .skip(1);
-    let mut fallback_candidates: Vec<&Member> = after.take(OWN_ZONE_FALLBACKS).collect();
+    let mut fallbacks: Vec<&Member> = after.take(OWN_ZONE_FALLBACKS).collect();
     let zones: BTreeSet<&id::Zone> = members.iter().map(|member| &member.zone).collect();
     for other in zones.into_iter().filter(|other| *other != zone) {
-        fallback_candidates.extend(
+        fallbacks.extend(
             ranked(other, members)
                 .into_iter()
                 .take(OTHER_ZONE_FALLBACKS),
         );
     }
-    fallback_candidates
+    fallbacks
 }
 
 /// Addresses of all other members, those of the own zone first.
