--- a/src/replica/board.rs
+++ b/src/replica/board.rs
@@ -24,8 +24,8 @@
 /// Age at which a report expires: five missed messages.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(1);
 
-/// Maximum number of servers per message. At 30 bytes each and five messages a second to 16
-/// subscribers this is 40 KB/s, and only while servers fail.
+/// Maximum number of servers per message. At 30 bytes each and five messages a second
+/// to 16 subscribers this is 40 KB/s, and only while servers fail.
 pub(crate) const MAX_ENTRIES: usize = 16;
 
 /// Limits on the counts of a single instance, so that one that reports wrong counts, by
@@ -34,7 +34,8 @@
 const MAX_PREMATURE: f32 = 4.0;
 const MAX_STALLS: f32 = 2.0;
 
-/// Maximum number of instances that a subscriber may report for: itself and those below it.
+/// Maximum number of instances that a subscriber may report for: itself and those below
+/// it.
 const MAX_SUBTREE_INSTANCES: u32 = 1 + FAN_OUT as u32;
 
 /// Outcomes of requests at one server, counted by one or several instances.
--- a/src/replica/census.rs
+++ b/src/replica/census.rs
@@ -23,9 +23,9 @@
 /// routers notice it after one.
 const PROBE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Maximum number of instances in a zone whose instances probe each other. The number of probes
-/// grows with its square: eight instances in three zones used 3.05 s of CPU time with
-/// probes and 2.86 s without, in runs of 53 s.
+/// Maximum number of instances in a zone whose instances probe each other. The number
+/// of probes grows with its square: eight instances in three zones used 3.05 s of CPU
+/// time with probes and 2.86 s without, in runs of 53 s.
 const MAX_PROBED_ZONE_SIZE: usize = 8;
 
 /// Instances of each other zone that are probed to learn whether the zone can take
--- a/src/replica/copy.rs
+++ b/src/replica/copy.rs
@@ -38,13 +38,13 @@
 use crate::replica::publish::HEARTBEAT_INTERVAL;
 use crate::replica::register;
 
-/// Maximum number of deleted keys that are kept. A subscriber that lacks an earlier deletion is
-/// sent a complete copy. The limit is twice the number of servers that the largest
-/// planned deployment replaces in a minute.
+/// Maximum number of deleted keys that are kept. A subscriber that lacks an earlier
+/// deletion is sent a complete copy. The limit is twice the number of servers that the
+/// largest planned deployment replaces in a minute.
 const MAX_DELETIONS: usize = 512;
 
-/// Maximum number of addresses kept of instances that have a copy: enough that some of them are
-/// alive, and few enough to ask all of them at once for a copy.
+/// Maximum number of addresses kept of instances that have a copy: enough that some of
+/// them are alive, and few enough to ask all of them at once for a copy.
 const MAX_COPY_HOLDERS: usize = 8;
 
 /// An event that the copy reports to its own instance.
--- a/src/replica/handover.rs
+++ b/src/replica/handover.rs
@@ -39,7 +39,8 @@
 /// Other instances that must have the copy.
 const REQUIRED_HOLDERS: usize = 2;
 
-/// Maximum number of other instances that are asked at once, those of the own zone first.
+/// Maximum number of other instances that are asked at once, those of the own zone
+/// first.
 const MAX_ASKED: usize = 12;
 
 /// Decides whether the copy may be discarded.
--- a/src/replica/pack.rs
+++ b/src/replica/pack.rs
@@ -27,8 +27,8 @@
 /// Maximum number of compressed values kept for further subscribers.
 const MAX_CACHED_PACKS: usize = 8;
 
-/// Maximum number of earlier versions of large values kept as bases for subscribers that still
-/// have one of them.
+/// Maximum number of earlier versions of large values kept as bases for subscribers
+/// that still have one of them.
 const MAX_CACHED_BASES: usize = 4;
 
 /// A large value that a subscriber has, as a base for newer versions.
--- a/src/replica/publish.rs
+++ b/src/replica/publish.rs
@@ -43,9 +43,9 @@
 /// [`MAX_SUBSCRIBERS`], forever.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Maximum number of subscribers. Twice the fan-out of the tree: instances see ranks differently
-/// while members join and leave, and an instance that starts without the store asks any
-/// other.
+/// Maximum number of subscribers. Twice the fan-out of the tree: instances see ranks
+/// differently while members join and leave, and an instance that starts without the
+/// store asks any other.
 const MAX_SUBSCRIBERS: usize = 2 * FAN_OUT;
 
 /// Accepts subscribers until the process ends.
