--- a/src/replica/bandwidth.rs
+++ b/src/replica/bandwidth.rs
@@ -12,7 +12,7 @@
 
 impl Bandwidth {
     /// Rate assumed for a link when none is configured.
-    pub const USUAL: Self = Self(1_000.0);
+    pub const DEFAULT: Self = Self(1_000.0);
 
     /// Bytes per second that the link carries.
     pub fn bytes_per_second(self) -> f64 {
--- a/src/replica/copy.rs
+++ b/src/replica/copy.rs
@@ -24,14 +24,14 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::flow::Contact;
+use crate::flow::StoreContact;
 use crate::id;
 use crate::platform::Change;
 use crate::platform::Entry;
-use crate::platform::poll::Refusal;
+use crate::platform::poll::UnreadableEntry;
 use crate::replica::Member;
-use crate::replica::board::Board;
 use crate::replica::message::HeldValue;
+use crate::replica::outcome::OutcomeAggregator;
 use crate::replica::pacer::Pacer;
 use crate::replica::pack::BaseValue;
 use crate::replica::pack::PackCache;
@@ -55,26 +55,26 @@
         /// All keys.
         entries: Vec<Entry>,
         /// Keys that exist but whose values could not be read.
-        refused: Vec<Refusal>,
+        refused: Vec<UnreadableEntry>,
         /// Revision of the store.
         revision: u64,
     },
     /// One key changed.
     Change(Change),
     /// A key whose new value could not be read.
-    Refused(Refusal),
+    Refused(UnreadableEntry),
     /// A period of contact with the store; every change that the store had by its end has
     /// been reported.
-    Contact(Contact),
+    Contact(StoreContact),
     /// The store does not respond; reported once per outage.
-    Silent {
+    StoreUnreachable {
         /// The first error.
         reason: String,
     },
     /// All registered instances.
     Members(Vec<Member>),
     /// The source of further changes.
-    Source {
+    UpstreamChanged {
         /// The instance that is followed; `None` for the store itself.
         upstream: Option<id::Instance>,
     },
@@ -285,7 +285,7 @@
 ///
 /// Leaf lock: no other lock is taken while it is held.
 #[derive(Debug)]
-pub(crate) struct Shared {
+pub(crate) struct SharedCopy {
     state: Mutex<State>,
     /// Notified after each change of the copy.
     changed: watch::Sender<()>,
@@ -302,10 +302,10 @@
     /// Limits the bytes per second sent to all subscribers together.
     pub(crate) pacer: Pacer,
     /// Request outcomes per server, shared among the instances of the zone.
-    pub(crate) board: Board,
+    pub(crate) outcomes: OutcomeAggregator,
 }
 
-impl Shared {
+impl SharedCopy {
     pub(crate) fn new(pacer: Pacer) -> Self {
         Self {
             state: Mutex::default(),
@@ -317,7 +317,7 @@
             is_withdrawn: AtomicBool::new(false),
             pack_cache: PackCache::default(),
             pacer,
-            board: Board::default(),
+            outcomes: OutcomeAggregator::default(),
         }
     }
 
@@ -442,7 +442,7 @@
 
     /// Announces that this instance is about to stop, so that no other instance relies on
     /// its copy.
-    pub(crate) fn begin_leaving(&self) {
+    pub(crate) fn set_stopping(&self) {
         self.is_leaving.store(true, Ordering::Relaxed);
     }
 
--- a/src/replica/follow.rs
+++ b/src/replica/follow.rs
@@ -18,16 +18,16 @@
 use tokio::time::Instant;
 
 use crate::error::Error;
-use crate::flow::Contact;
+use crate::flow::StoreContact;
 use crate::pacing::Backoff;
 use crate::platform::Change;
 use crate::platform::Entry;
 use crate::platform::poll::Reader;
-use crate::platform::poll::Refusal;
-use crate::replica::Keys;
+use crate::platform::poll::UnreadableEntry;
+use crate::replica::KeyLayout;
 use crate::replica::Member;
-use crate::replica::Pace;
-use crate::replica::Shared;
+use crate::replica::PollTiming;
+use crate::replica::SharedCopy;
 use crate::replica::Update;
 use crate::replica::copy;
 use crate::replica::follow::poll::LargeValueState;
@@ -52,10 +52,10 @@
 const PROBE_PAUSE: Duration = Duration::from_secs(4);
 
 /// What following needs: the sources of changes and their settings.
-pub(crate) struct Sources {
+pub(crate) struct FollowOptions {
     pub(crate) reader: Reader,
-    pub(crate) keys: Keys,
-    pub(crate) pace: Pace,
+    pub(crate) keys: KeyLayout,
+    pub(crate) timing: PollTiming,
     /// This instance, as registered for others.
     pub(crate) me: Member,
     /// Instances to ask for a copy when the store does not respond at the start.
@@ -94,8 +94,8 @@
 }
 
 struct Follower {
-    sources: Sources,
-    shared: Arc<Shared>,
+    sources: FollowOptions,
+    shared: Arc<SharedCopy>,
     sender: mpsc::Sender<Update>,
     members: HashMap<String, Member>,
     /// Addresses of the instances above this one; `None` after the members have changed.
@@ -123,7 +123,11 @@
 }
 
 /// Keeps the copy up to date until the receiver is dropped.
-pub(crate) async fn follow(sources: Sources, shared: Arc<Shared>, sender: mpsc::Sender<Update>) {
+pub(crate) async fn follow(
+    sources: FollowOptions,
+    shared: Arc<SharedCopy>,
+    sender: mpsc::Sender<Update>,
+) {
     let options = sources.reader.client().options().clone();
     let mut follower = Follower {
         sources,
@@ -165,7 +169,7 @@
 
     fn is_copy_old(&self) -> bool {
         let age = self.shared.age(Instant::now());
-        age.is_none_or(|age| age > self.sources.pace.most_age)
+        age.is_none_or(|age| age > self.sources.timing.max_age)
     }
 
     /// Polls the store without waiting for a change.
@@ -201,7 +205,9 @@
     async fn apply_update(&mut self, update: UpstreamUpdate) -> Result<(), FollowEnd> {
         let now = Instant::now();
         let contact = update.age.map(|age| now - age);
-        self.shared.board.hear_above(now, update.remarks);
+        self.shared
+            .outcomes
+            .receive_from_upstream(now, update.outcomes);
         if let Some(received) = update.received {
             info!(self.sources.log, "large value received"; "revision" => received.revision,
                 "bytes" => received.bytes, "took_ms" => received.transfer_time.as_millis() as u64);
@@ -230,7 +236,7 @@
         if !self.is_copy_old() {
             self.is_store_silent = false;
             self.store_state = StoreState::Reachable;
-            let contact = Contact::at(contact);
+            let contact = StoreContact::at(contact);
             self.sender.send(Update::Contact(contact)).await?;
         }
         Ok(())
@@ -240,7 +246,7 @@
         match self.shared.synced_revision() {
             None => self.fetch_first_copy().await,
             Some(_) if self.is_compacted => {
-                let all = self.sources.keys.all;
+                let all = self.sources.keys.root_prefix;
                 let listing = store::list(&self.sources.reader, all).await?;
                 self.apply_listing(listing).await
             }
@@ -253,10 +259,11 @@
         self.large = LargeValueState::default();
         self.reset(listing.entries, listing.refused, listing.revision)
             .await?;
-        self.record_answer(Contact::at(listing.requested_at)).await
+        self.record_answer(StoreContact::at(listing.requested_at))
+            .await
     }
 
-    async fn record_answer(&mut self, contact: Contact) -> Result<(), FollowEnd> {
+    async fn record_answer(&mut self, contact: StoreContact) -> Result<(), FollowEnd> {
         self.is_store_silent = false;
         self.store_state = StoreState::Reachable;
         self.backoff.reset();
@@ -267,7 +274,7 @@
     async fn reset(
         &mut self,
         entries: Vec<Entry>,
-        refused: Vec<Refusal>,
+        refused: Vec<UnreadableEntry>,
         revision: u64,
     ) -> Result<(), FollowEnd> {
         if !self.shared.reset(&entries, revision) {
@@ -305,7 +312,7 @@
 
     async fn apply(&mut self, changes: Vec<Change>, revision: u64) -> Result<(), FollowEnd> {
         for change in self.shared.apply(changes, revision) {
-            if copy::key(&change) == self.sources.keys.large {
+            if copy::key(&change) == self.sources.keys.config_key {
                 self.large.note_change(Instant::now());
             }
             match &change {
@@ -344,6 +351,9 @@
         }
         self.is_store_silent = true;
         let reason = error.to_string();
-        Ok(self.sender.send(Update::Silent { reason }).await?)
+        Ok(self
+            .sender
+            .send(Update::StoreUnreachable { reason })
+            .await?)
     }
 }
--- a/src/replica/follow/poll.rs
+++ b/src/replica/follow/poll.rs
@@ -21,7 +21,7 @@
 
 use crate::error::Error;
 use crate::error::Result;
-use crate::flow::Contact;
+use crate::flow::StoreContact;
 use crate::platform::poll::Batch;
 use crate::platform::poll::Page;
 use crate::platform::poll::Reader;
@@ -123,7 +123,7 @@
 impl Follower {
     /// Polls for changes after the synced revision.
     pub(super) async fn poll(&mut self, synced_revision: u64) -> FollowResult<()> {
-        let key = self.sources.keys.large;
+        let key = self.sources.keys.config_key;
         let large = self
             .shared
             .with_copy(|copy| copy.get(key).map(|entry| entry.value.len()));
@@ -140,7 +140,7 @@
     async fn poll_all(&mut self, synced_revision: u64) -> FollowResult<()> {
         let wait = self.next_wait();
         let asked = Instant::now();
-        let all = self.sources.keys.all;
+        let all = self.sources.keys.root_prefix;
         let batch = self.sources.reader.poll(all, synced_revision, wait).await?;
         let revision = batch.revision;
         let has_changes = self.apply_batch(batch, revision).await?;
@@ -164,8 +164,8 @@
         let both_from =
             synced_revision.max(self.large.synced_revision.min(self.large.orders_revision));
         let reads_newest = self.large.is_changing(asked);
-        let pace = self.sources.pace;
-        let transfer_wait = pace.wait_for_others / 3;
+        let timing = self.sources.timing;
+        let transfer_wait = timing.subscribed_wait / 3;
         let small_wait = self.next_wait();
         // Keys that seldom change are polled seldom: three polls of a third of a second
         // each made 2,400 calls a minute in an idle fleet of 24. All polls end before the
@@ -173,12 +173,12 @@
         let wait = match (small_wait.is_zero(), reads_newest) {
             (true, _) => Duration::ZERO,
             (false, true) => transfer_wait,
-            (false, false) => pace.wait,
+            (false, false) => timing.background_wait,
         };
         let (large_done, is_large_done) = watch::channel(false);
         let small_polls = SmallPolls {
             reader: &reader,
-            orders_prefix: keys.orders,
+            orders_prefix: keys.evacuation_prefix,
             servers_wait: small_wait,
             orders_wait: wait,
             transfer_wait: transfer_wait.min(small_wait),
@@ -188,7 +188,7 @@
         let mut polls = FuturesUnordered::new();
         polls.push(
             small_polls
-                .poll(keys.small, synced_revision, Duration::ZERO)
+                .poll(keys.server_prefix, synced_revision, Duration::ZERO)
                 .boxed(),
         );
         polls.push(poll_members(&reader, synced_revision, wait).boxed());
@@ -198,16 +198,16 @@
         };
         polls.push(
             small_polls
-                .poll(keys.orders, synced_revision, orders_after)
+                .poll(keys.evacuation_prefix, synced_revision, orders_after)
                 .boxed(),
         );
         let large = async {
             let asked = Instant::now();
             let batch = match reads_newest {
-                true => read_newest(&reader, keys.large).await,
-                false => reader.poll(keys.operators, both_from, wait).await,
+                true => read_newest(&reader, keys.config_key).await,
+                false => reader.poll(keys.operator_prefix, both_from, wait).await,
             };
-            PollResult::new(keys.large, asked, wait, batch)
+            PollResult::new(keys.config_key, asked, wait, batch)
         };
         polls.push(large.boxed());
         let mut round = PollRound {
@@ -216,8 +216,8 @@
         };
         // A poll that is never sent advances no revision.
         round.revisions.extend([
-            (keys.small, synced_revision),
-            (keys.orders, synced_revision),
+            (keys.server_prefix, synced_revision),
+            (keys.evacuation_prefix, synced_revision),
         ]);
         while let Some(result) = polls.next().await {
             let next = self
@@ -253,11 +253,11 @@
             is_idle,
             batch,
         } = result;
-        let is_small = key == self.sources.keys.small;
-        let is_repeated = is_small || key == self.sources.keys.orders;
-        let is_large = key == self.sources.keys.large;
+        let is_small = key == self.sources.keys.server_prefix;
+        let is_repeated = is_small || key == self.sources.keys.evacuation_prefix;
+        let is_large = key == self.sources.keys.config_key;
         round.is_large_done |= is_large;
-        let gather = self.sources.pace.gather;
+        let gather = self.sources.timing.gather_pause;
         let batch = match batch {
             // The poll of the large value ended before this one was sent.
             None => return Ok(None),
@@ -278,7 +278,7 @@
         }
         round.failures.remove(key);
         round.revisions.insert(key, revision);
-        let orders = self.sources.keys.orders;
+        let orders = self.sources.keys.evacuation_prefix;
         if key == orders || is_large && round.includes_orders {
             self.large.orders_revision = revision.max(self.large.orders_revision);
             round.revisions.insert(orders, self.large.orders_revision);
@@ -296,7 +296,7 @@
     }
 
     pub(super) async fn apply_batch(&mut self, batch: Batch, revision: u64) -> FollowResult<bool> {
-        for refusal in batch.refused {
+        for refusal in batch.unreadable {
             self.sender.send(Update::Refused(refusal)).await?;
         }
         let has_changes = !batch.changes.is_empty();
@@ -316,8 +316,9 @@
         let until = asked + waited.min(asked.elapsed());
         // Small values may have been polled again while the large one was transferred.
         let until = self.shared.contact().map_or(until, |at| at.max(until));
-        self.record_answer(Contact { from: asked, until }).await?;
-        store::pause_after_poll(&self.sources.pace, asked, wait, has_changes).await;
+        self.record_answer(StoreContact { from: asked, until })
+            .await?;
+        store::pause_after_poll(&self.sources.timing, asked, wait, has_changes).await;
         Ok(())
     }
 
@@ -325,15 +326,15 @@
     ///
     /// The result of a poll that brought changes is only as fresh as its request, so the
     /// next poll is kept short. That keeps an upstream's age below
-    /// [`crate::replica::Pace::most_age`], although polls without changes wait for half
+    /// [`crate::replica::PollTiming::max_age`], although polls without changes wait for half
     /// as long. It also applies without subscribers: an instance that subscribed in the
     /// middle of a longer poll would find the copy too old and leave again.
     fn next_wait(&self) -> Duration {
-        let pace = self.sources.pace;
+        let timing = self.sources.timing;
         match self.is_store_silent {
             true => Duration::ZERO,
-            false if self.had_changes => pace.wait_for_others / 3,
-            false => pace.wait_for_others,
+            false if self.had_changes => timing.subscribed_wait / 3,
+            false => timing.subscribed_wait,
         }
     }
 }
@@ -401,7 +402,7 @@
 
 /// Reads the newest version and returns it as the result of a poll.
 async fn read_newest(reader: &Reader, key: &str) -> Result<Batch> {
-    let page: Page = match reader.item(key).await {
+    let page: Page = match reader.get(key).await {
         Ok(page) => page,
         // The deletion was written as a change, which a poll returns.
         Err(Error::Refused { .. }) => return reader.poll(key, 0, Duration::ZERO).await,
@@ -410,7 +411,7 @@
     let changes = page.entries.into_iter().map(crate::platform::Change::Put);
     Ok(Batch {
         changes: changes.collect(),
-        refused: page.refused,
+        unreadable: page.unreadable,
         revision: page.revision,
     })
 }
--- a/src/replica/follow/start.rs
+++ b/src/replica/follow/start.rs
@@ -55,7 +55,7 @@
     /// Machines that lose power together regain it within 0.3 s of each other, so the
     /// instances to ask may not be running yet. An instance that gets no copy in time
     /// also reads the store, and takes whichever arrives first. The wait starts at
-    /// [`crate::replica::Pace::copy_wait`] and grows by rank, so that they do not all
+    /// [`crate::replica::PollTiming::copy_wait`] and grows by rank, so that they do not all
     /// read the store at once.
     ///
     /// Until the store has responded, all instances that may have a copy are asked as
@@ -86,7 +86,7 @@
         CopySearch {
             me: self.sources.me.clone(),
             seeds: self.sources.seeds.clone(),
-            fresh: self.sources.pace.fresh,
+            fresh: self.sources.timing.fresh_age,
             started_at: self.started_at,
             copy_holders: self.shared.copy_holders(),
             log: self.sources.log.clone(),
@@ -105,7 +105,7 @@
     /// Gets the first copy while the store responds.
     async fn fetch_copy_from(&mut self, copy_sources: CopySources) -> Result<(), FollowEnd> {
         let reader = self.sources.reader.clone();
-        let all = self.sources.keys.all;
+        let all = self.sources.keys.root_prefix;
         if copy_sources.addresses.is_empty() {
             let listing = store::list(&reader, all).await?;
             return self.apply_listing(listing).await;
@@ -142,7 +142,7 @@
         let upstreams = self.upstreams();
         let is_head = upstreams.len() < HEAD_COUNT;
         let members: Vec<Member> = self.members.values().cloned().collect();
-        let (me, first) = (&self.sources.me, self.sources.pace.copy_wait);
+        let (me, first) = (&self.sources.me, self.sources.timing.copy_wait);
         Ok(CopySources {
             addresses: if is_head { Vec::new() } else { upstreams },
             wait: tree::copy_wait(&me.instance, &me.zone, &members, first),
--- a/src/replica/follow/upstream.rs
+++ b/src/replica/follow/upstream.rs
@@ -13,10 +13,10 @@
 use crate::platform::poll::Batch;
 use crate::replica::Member;
 use crate::replica::Update;
-use crate::replica::board::TELL_EVERY;
 use crate::replica::follow::FollowEnd;
 use crate::replica::follow::Follower;
 use crate::replica::follow::StoreState;
+use crate::replica::outcome::OUTCOME_REPORT_INTERVAL;
 use crate::replica::publish::HEARTBEAT_INTERVAL;
 use crate::replica::store;
 use crate::replica::subscribe;
@@ -151,7 +151,9 @@
         };
         self.start_cooldown(last, pause);
         warn!(self.sources.log, "upstream lost"; "peer" => %last, "reason" => reason);
-        self.sender.send(Update::Source { upstream: None }).await?;
+        self.sender
+            .send(Update::UpstreamChanged { upstream: None })
+            .await?;
         self.catch_up().await
     }
 
@@ -218,7 +220,7 @@
                 }
                 Event::Received(Err(error)) => return Ok((peer, error.to_string())),
                 Event::ReportDue => {
-                    report_at = Instant::now() + TELL_EVERY;
+                    report_at = Instant::now() + OUTCOME_REPORT_INTERVAL;
                     if let Err(error) = self.send_report(&mut subscription, &mut has_reported).await
                     {
                         return Ok((peer, error.to_string()));
@@ -269,7 +271,7 @@
     /// seconds.
     fn probe_store(&self) -> impl Future<Output = crate::Result<Batch>> + Send + use<> {
         let reader = self.sources.reader.clone();
-        let small = self.sources.keys.small;
+        let small = self.sources.keys.server_prefix;
         let synced_revision = self.shared.synced_revision().unwrap_or_default();
         async move { reader.poll(small, synced_revision, Duration::ZERO).await }
     }
@@ -286,7 +288,7 @@
         }
         let is_head = self.upstreams().len() < tree::HEAD_COUNT;
         let share = if is_head { HEAD_PROBE_SHARE } else { 1.0 };
-        let due = self.sources.pace.most_age.mul_f64(share);
+        let due = self.sources.timing.max_age.mul_f64(share);
         let age = self.shared.age(Instant::now());
         age.is_none_or(|age| age > due)
     }
@@ -346,12 +348,12 @@
         subscription: &mut Subscription,
         has_reported: &mut bool,
     ) -> crate::Result<()> {
-        let remarks = self.shared.board.upward(Instant::now());
-        let has_remarks = !remarks.remarks.is_empty();
-        if has_remarks || *has_reported {
-            subscription.send_report(&remarks).await?;
+        let outcomes = self.shared.outcomes.report_for_upstream(Instant::now());
+        let has_outcomes = !outcomes.outcomes.is_empty();
+        if has_outcomes || *has_reported {
+            subscription.send_report(&outcomes).await?;
         }
-        *has_reported = has_remarks;
+        *has_reported = has_outcomes;
         Ok(())
     }
 
@@ -379,7 +381,9 @@
     }
 
     pub(super) fn is_fresh(&self, update: &UpstreamUpdate) -> bool {
-        update.age.is_some_and(|age| age < self.sources.pace.fresh)
+        update
+            .age
+            .is_some_and(|age| age < self.sources.timing.fresh_age)
     }
 
     /// Whether an upstream that sends this update is worth a subscription. An upstream
@@ -400,7 +404,10 @@
     async fn report_upstream(&mut self, peer: SocketAddrV4) -> Result<(), FollowEnd> {
         let member = self.members.values().find(|m| m.address == peer);
         let upstream = member.map(|member| member.instance.clone());
-        Ok(self.sender.send(Update::Source { upstream }).await?)
+        Ok(self
+            .sender
+            .send(Update::UpstreamChanged { upstream })
+            .await?)
     }
 
     /// A better upstream than the present one, if any.
--- a/src/replica/census.rs
+++ b/src/replica/liveness.rs
@@ -16,7 +16,7 @@
 
 use crate::id;
 use crate::replica::Member;
-use crate::replica::Shared;
+use crate::replica::SharedCopy;
 use crate::replica::subscribe;
 
 /// Time between two rounds of probes. Frozen instances stay frozen for seconds, and
@@ -34,56 +34,60 @@
 
 /// How many instances of a zone respond.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Headcount {
+pub struct ZoneLiveness {
     /// Instances that respond, including the probing instance itself.
     pub answering: usize,
     /// Responding instances that have withdrawn from their routers.
     pub withdrawn: usize,
     /// All registered instances in this zone; in other zones, all instances probed.
-    pub all: usize,
+    pub probed: usize,
 }
 
 /// Result of one round of probes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct FleetLiveness {
     /// This zone.
-    pub here: Headcount,
+    pub local_zone: ZoneLiveness,
     /// Other zones; empty unless most instances of this zone are unresponsive.
-    pub elsewhere: Vec<Headcount>,
+    pub other_zones: Vec<ZoneLiveness>,
 }
 
-impl Headcount {
+impl ZoneLiveness {
     /// Whether less than half of the instances respond. Routers then also use those that
     /// do not.
-    pub fn is_minority(&self) -> bool {
-        self.answering * 2 < self.all
+    pub fn is_mostly_unresponsive(&self) -> bool {
+        self.answering * 2 < self.probed
     }
 }
 
 /// Probes the fleet periodically until the receiver is dropped.
-pub(crate) async fn take(me: Member, shared: Arc<Shared>, sender: mpsc::Sender<Tally>) {
+pub(crate) async fn monitor_liveness(
+    me: Member,
+    shared: Arc<SharedCopy>,
+    sender: mpsc::Sender<FleetLiveness>,
+) {
     loop {
         time::sleep(PROBE_INTERVAL).await;
-        let tally = probe_fleet(&me, &shared).await;
-        if sender.send(tally).await.is_err() {
+        let liveness = probe_fleet(&me, &shared).await;
+        if sender.send(liveness).await.is_err() {
             return;
         }
     }
 }
 
-async fn probe_fleet(me: &Member, shared: &Shared) -> Tally {
+async fn probe_fleet(me: &Member, shared: &SharedCopy) -> FleetLiveness {
     let members = shared.members();
-    let (here, others): (Vec<Member>, Vec<Member>) = members
+    let (local_zone, others): (Vec<Member>, Vec<Member>) = members
         .into_iter()
         .partition(|member| member.zone == me.zone);
-    if here.len() > MAX_PROBED_ZONE_SIZE {
-        return Tally::default();
+    if local_zone.len() > MAX_PROBED_ZONE_SIZE {
+        return FleetLiveness::default();
     }
-    let here = probe_members(me, &here).await;
-    if !here.is_minority() {
-        return Tally {
-            here,
-            elsewhere: Vec::new(),
+    let local_zone = probe_members(me, &local_zone).await;
+    if !local_zone.is_mostly_unresponsive() {
+        return FleetLiveness {
+            local_zone,
+            other_zones: Vec::new(),
         };
     }
     let mut zones: BTreeMap<id::Zone, Vec<Member>> = BTreeMap::new();
@@ -94,14 +98,14 @@
         }
     }
     let counts = zones.values().map(|zone| probe_members(me, zone));
-    Tally {
-        here,
-        elsewhere: future::join_all(counts).await,
+    FleetLiveness {
+        local_zone,
+        other_zones: future::join_all(counts).await,
     }
 }
 
 /// Probes these instances, all at once.
-async fn probe_members(me: &Member, members: &[Member]) -> Headcount {
+async fn probe_members(me: &Member, members: &[Member]) -> ZoneLiveness {
     let probes = members.iter().map(async |member| {
         if member.instance == me.instance {
             return Some(false);
@@ -111,13 +115,13 @@
         response.map(|response| response.is_withdrawn)
     });
     let responses = future::join_all(probes).await;
-    Headcount {
+    ZoneLiveness {
         answering: responses.iter().flatten().count(),
         withdrawn: responses
             .iter()
             .flatten()
             .filter(|withdrawn| **withdrawn)
             .count(),
-        all: members.len(),
+        probed: members.len(),
     }
 }
--- a/src/replica/message.rs
+++ b/src/replica/message.rs
@@ -17,7 +17,7 @@
 use crate::error::Result;
 use crate::platform;
 use crate::platform::Change;
-use crate::replica::board::Remark;
+use crate::replica::outcome::OutcomeEntry;
 use crate::replica::pack;
 use crate::replica::pack::BaseValue;
 
@@ -162,7 +162,7 @@
     pub awaits_copy: bool,
     /// Request outcomes counted by the zone's instances.
     #[prost(message, repeated, tag = "7")]
-    pub remarks: Vec<Remark>,
+    pub outcomes: Vec<OutcomeEntry>,
     /// Whether more small rows follow at once.
     #[prost(bool, tag = "8")]
     pub has_more: bool,
--- a/src/replica/outbox.rs
+++ b/src/replica/outbox.rs
@@ -153,7 +153,7 @@
             age_ms: age_ms.filter(|_| !awaits_copy && !has_more),
             part,
             awaits_copy: awaits_copy && copy.synced_revision().is_some(),
-            remarks: Vec::new(),
+            outcomes: Vec::new(),
             has_more,
             packed: None,
             is_on_fallback: false,
--- a/src/replica/board.rs
+++ b/src/replica/outcome.rs
@@ -19,7 +19,7 @@
 
 /// Time between two reports while there is something to report. An observation crosses
 /// two levels up and two down, and so reaches all instances within a second.
-pub(crate) const TELL_EVERY: Duration = Duration::from_millis(200);
+pub(crate) const OUTCOME_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Age at which a report expires: five missed messages.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(1);
@@ -40,7 +40,7 @@
 
 /// Outcomes of requests at one server, counted by one or several instances.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct Remark {
+pub struct OutcomeEntry {
     /// Serial number that identifies the server in datagrams.
     #[prost(fixed64, tag = "1")]
     pub serial: u64,
@@ -52,25 +52,25 @@
     pub answers: f32,
     /// Answered requests whose response ended too early, with too little data.
     #[prost(float, tag = "4")]
-    pub hollow: f32,
+    pub premature: f32,
     /// Requests open for too long.
     #[prost(float, tag = "5")]
     pub stalls: f32,
     /// Responses that ended too early, as counted by the one instance that reports the
     /// most failures.
     #[prost(float, tag = "6")]
-    pub loudest_hollow: f32,
+    pub worst_instance_premature: f32,
     /// Requests open for too long, as counted by that same instance.
     #[prost(float, tag = "7")]
-    pub loudest_stalls: f32,
+    pub worst_instance_stalls: f32,
 }
 
 /// What a subscriber reports to its upstream.
 #[derive(Clone, PartialEq, Message)]
-pub struct Remarks {
+pub struct OutcomeReport {
     /// One entry for each server with failures.
     #[prost(message, repeated, tag = "1")]
-    pub remarks: Vec<Remark>,
+    pub outcomes: Vec<OutcomeEntry>,
     /// Number of instances that counted, including the subscriber.
     #[prost(uint32, tag = "2")]
     pub instances: u32,
@@ -78,7 +78,7 @@
 
 type Key = (u64, Option<u64>);
 
-impl Remark {
+impl OutcomeEntry {
     fn key(&self) -> Key {
         (self.serial, self.incarnation)
     }
@@ -97,34 +97,40 @@
                 0.0
             }
         };
-        let (hollow, stalls) = (
-            limit(self.hollow, MAX_PREMATURE),
+        let (premature, stalls) = (
+            limit(self.premature, MAX_PREMATURE),
             limit(self.stalls, MAX_STALLS),
         );
         let is_single = instances == 1;
-        let worst = |told: f32, all: f32| if is_single { all } else { told.clamp(0.0, all) };
+        let worst = |report: f32, all: f32| {
+            if is_single {
+                all
+            } else {
+                report.clamp(0.0, all)
+            }
+        };
         Self {
             answers: limit(self.answers, MAX_ANSWERS),
-            hollow,
+            premature,
             stalls,
-            loudest_hollow: worst(self.loudest_hollow, hollow),
-            loudest_stalls: worst(self.loudest_stalls, stalls),
+            worst_instance_premature: worst(self.worst_instance_premature, premature),
+            worst_instance_stalls: worst(self.worst_instance_stalls, stalls),
             ..self
         }
     }
 
     fn add(&mut self, other: &Self) {
         self.answers += other.answers;
-        self.hollow += other.hollow;
+        self.premature += other.premature;
         self.stalls += other.stalls;
         if other.worst_instance_failures() > self.worst_instance_failures() {
-            self.loudest_hollow = other.loudest_hollow;
-            self.loudest_stalls = other.loudest_stalls;
+            self.worst_instance_premature = other.worst_instance_premature;
+            self.worst_instance_stalls = other.worst_instance_stalls;
         }
     }
 
     fn worst_instance_failures(&self) -> f32 {
-        self.loudest_hollow + self.loudest_stalls
+        self.worst_instance_premature + self.worst_instance_stalls
     }
 
     /// Reduces the failures to those that more than one instance reports: the instance
@@ -142,14 +148,14 @@
             others + others.min(worst)
         };
         Self {
-            hollow: confirmed(self.hollow, self.loudest_hollow),
-            stalls: confirmed(self.stalls, self.loudest_stalls),
+            premature: confirmed(self.premature, self.worst_instance_premature),
+            stalls: confirmed(self.stalls, self.worst_instance_stalls),
             ..self
         }
     }
 
     fn failures(&self) -> f32 {
-        self.hollow + self.stalls
+        self.premature + self.stalls
     }
 }
 
@@ -157,7 +163,7 @@
 #[derive(Debug)]
 struct ReceivedReport {
     at: Instant,
-    remarks: Remarks,
+    report: OutcomeReport,
 }
 
 impl ReceivedReport {
@@ -168,9 +174,9 @@
 
 #[derive(Debug, Default)]
 struct Counts {
-    own: Vec<Remark>,
+    local: Vec<OutcomeEntry>,
     subscribers: HashMap<u64, ReceivedReport>,
-    above: Option<ReceivedReport>,
+    from_upstream: Option<ReceivedReport>,
     next_subscriber: u64,
 }
 
@@ -178,100 +184,106 @@
 ///
 /// Leaf lock: no other lock is taken while it is held.
 #[derive(Debug, Default)]
-pub struct Board {
+pub struct OutcomeAggregator {
     counts: Mutex<Counts>,
 }
 
-impl Board {
+impl OutcomeAggregator {
     fn lock(&self) -> MutexGuard<'_, Counts> {
         self.counts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Sets the counts of this instance, those of the worst server first.
-    pub fn set_own(&self, own: Vec<Remark>) {
-        self.lock().own = own;
+    pub fn set_local(&self, local: Vec<OutcomeEntry>) {
+        self.lock().local = local;
     }
 
     /// Returns an id for a new subscriber, under which its reports are stored.
-    pub fn enter(&self) -> u64 {
+    pub fn add_subscriber(&self) -> u64 {
         let mut counts = self.lock();
         counts.next_subscriber += 1;
         counts.next_subscriber
     }
 
     /// Stores the report of a subscriber.
-    pub fn hear_below(&self, now: Instant, subscriber: u64, remarks: Remarks) {
-        let told = ReceivedReport { at: now, remarks };
-        self.lock().subscribers.insert(subscriber, told);
+    pub fn receive_from_subscriber(&self, now: Instant, subscriber: u64, report: OutcomeReport) {
+        let received = ReceivedReport { at: now, report };
+        self.lock().subscribers.insert(subscriber, received);
     }
 
     /// Drops the report of a subscriber that has left.
-    pub fn leave(&self, subscriber: u64) {
+    pub fn remove_subscriber(&self, subscriber: u64) {
         self.lock().subscribers.remove(&subscriber);
     }
 
     /// Stores the sum sent by the upstream.
-    pub fn hear_above(&self, now: Instant, remarks: Vec<Remark>) {
-        let remarks = Remarks {
-            remarks,
+    pub fn receive_from_upstream(&self, now: Instant, outcomes: Vec<OutcomeEntry>) {
+        let report = OutcomeReport {
+            outcomes,
             instances: MAX_SUBTREE_INSTANCES,
         };
-        self.lock().above = Some(ReceivedReport { at: now, remarks });
+        self.lock().from_upstream = Some(ReceivedReport { at: now, report });
     }
 
     /// The report for the upstream: the counts of this instance and of those below it.
-    pub fn upward(&self, now: Instant) -> Remarks {
+    pub fn report_for_upstream(&self, now: Instant) -> OutcomeReport {
         let counts = self.lock();
-        let mut sums: BTreeMap<Key, Remark> = BTreeMap::new();
-        let mut add = |remark: Remark| {
-            let sum = sums.entry(remark.key()).or_insert(Remark {
-                serial: remark.serial,
-                incarnation: remark.incarnation,
-                ..Remark::default()
+        let mut sums: BTreeMap<Key, OutcomeEntry> = BTreeMap::new();
+        let mut add = |entry: OutcomeEntry| {
+            let sum = sums.entry(entry.key()).or_insert(OutcomeEntry {
+                serial: entry.serial,
+                incarnation: entry.incarnation,
+                ..OutcomeEntry::default()
             });
-            sum.add(&remark);
+            sum.add(&entry);
         };
-        for remark in &counts.own {
-            add(remark.limited(1));
+        for entry in &counts.local {
+            add(entry.limited(1));
         }
         let mut instances = 1;
-        let fresh = counts
+        let fresh_reports = counts
             .subscribers
             .values()
-            .filter(|told| told.is_fresh(now));
-        for told in fresh {
-            let count = told.remarks.instances.clamp(1, MAX_SUBTREE_INSTANCES);
+            .filter(|received| received.is_fresh(now));
+        for received in fresh_reports {
+            let count = received.report.instances.clamp(1, MAX_SUBTREE_INSTANCES);
             instances += count;
             // A server that appears several times in one report counts once.
-            let remarks = told.remarks.remarks.iter().take(MAX_ENTRIES);
-            let remarks: BTreeMap<Key, &Remark> = remarks.map(|r| (r.key(), r)).collect();
-            for remark in remarks.values() {
-                add(remark.limited(count));
+            let outcomes = received.report.outcomes.iter().take(MAX_ENTRIES);
+            let outcomes: BTreeMap<Key, &OutcomeEntry> = outcomes.map(|r| (r.key(), r)).collect();
+            for entry in outcomes.values() {
+                add(entry.limited(count));
             }
         }
-        let mut remarks: Vec<Remark> = sums.into_values().collect();
-        remarks.sort_by(|a, b| b.failures().total_cmp(&a.failures()));
-        remarks.truncate(MAX_ENTRIES);
-        Remarks { remarks, instances }
+        let mut outcomes: Vec<OutcomeEntry> = sums.into_values().collect();
+        outcomes.sort_by(|a, b| b.failures().total_cmp(&a.failures()));
+        outcomes.truncate(MAX_ENTRIES);
+        OutcomeReport {
+            outcomes,
+            instances,
+        }
     }
 
     /// The zone's counts, with failures reduced to those that more than one instance
     /// reports.
-    pub fn confirmed(&self, now: Instant) -> Vec<Remark> {
-        let zone = self.zone(now).into_iter();
-        zone.map(Remark::confirmed).collect()
+    pub fn confirmed_outcomes(&self, now: Instant) -> Vec<OutcomeEntry> {
+        let zone = self.zone_outcomes(now).into_iter();
+        zone.map(OutcomeEntry::confirmed).collect()
     }
 
     /// The zone's counts as known here: the sum received from the upstream, or without an
     /// upstream the sum of this instance and those below it.
-    pub fn zone(&self, now: Instant) -> Vec<Remark> {
+    pub fn zone_outcomes(&self, now: Instant) -> Vec<OutcomeEntry> {
         let counts = self.lock();
-        let above = counts.above.as_ref().filter(|told| told.is_fresh(now));
-        if let Some(told) = above {
-            let remarks = told.remarks.remarks.iter().take(MAX_ENTRIES);
-            return remarks.map(|r| r.limited(MAX_SUBTREE_INSTANCES)).collect();
+        let from_upstream = counts
+            .from_upstream
+            .as_ref()
+            .filter(|received| received.is_fresh(now));
+        if let Some(received) = from_upstream {
+            let outcomes = received.report.outcomes.iter().take(MAX_ENTRIES);
+            return outcomes.map(|r| r.limited(MAX_SUBTREE_INSTANCES)).collect();
         }
         drop(counts);
-        self.upward(now).remarks
+        self.report_for_upstream(now).outcomes
     }
 }
--- a/src/replica/publish.rs
+++ b/src/replica/publish.rs
@@ -20,14 +20,14 @@
 
 use crate::error::Error;
 use crate::error::Result;
-use crate::replica::Shared;
-use crate::replica::board::MAX_ENTRIES;
-use crate::replica::board::Remarks;
-use crate::replica::board::TELL_EVERY;
+use crate::replica::SharedCopy;
 use crate::replica::message;
 use crate::replica::message::SubscribeRequest;
 use crate::replica::message::UpstreamMessage;
 use crate::replica::outbox::Outbox;
+use crate::replica::outcome::MAX_ENTRIES;
+use crate::replica::outcome::OUTCOME_REPORT_INTERVAL;
+use crate::replica::outcome::OutcomeReport;
 use crate::replica::pack::BaseValue;
 use crate::replica::tree::FAN_OUT;
 
@@ -49,7 +49,7 @@
 const MAX_SUBSCRIBERS: usize = 2 * FAN_OUT;
 
 /// Accepts subscribers until the process ends.
-pub(crate) async fn publish(listener: TcpListener, shared: Arc<Shared>, log: Logger) {
+pub(crate) async fn publish(listener: TcpListener, shared: Arc<SharedCopy>, log: Logger) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
@@ -65,7 +65,12 @@
     }
 }
 
-async fn serve_connection(stream: TcpStream, peer: SocketAddr, shared: Arc<Shared>, log: Logger) {
+async fn serve_connection(
+    stream: TcpStream,
+    peer: SocketAddr,
+    shared: Arc<SharedCopy>,
+    log: Logger,
+) {
     let mut framed = Framed::new(stream, message::codec());
     let result = match read_request(&mut framed, peer).await {
         Ok(subscribe) if subscribe.is_probe => answer_probe(&mut framed, peer, &shared).await,
@@ -78,7 +83,7 @@
 }
 
 /// Answers a liveness probe.
-async fn answer_probe(framed: &mut Stream, peer: SocketAddr, shared: &Shared) -> Result<()> {
+async fn answer_probe(framed: &mut Stream, peer: SocketAddr, shared: &SharedCopy) -> Result<()> {
     let message = UpstreamMessage {
         is_leaving: shared.is_leaving(),
         is_withdrawn: shared.is_withdrawn(),
@@ -92,7 +97,7 @@
     framed: &mut Stream,
     peer: SocketAddr,
     subscribe: &SubscribeRequest,
-    shared: &Arc<Shared>,
+    shared: &Arc<SharedCopy>,
     log: &Logger,
 ) -> Result<()> {
     let count = shared.increment_subscribers();
@@ -113,16 +118,16 @@
     framed: &mut Stream,
     peer: SocketAddr,
     subscribe: &SubscribeRequest,
-    shared: &Arc<Shared>,
+    shared: &Arc<SharedCopy>,
     log: &Logger,
 ) -> Result<()> {
     info!(log, "subscriber joined"; "subscriber" => &subscribe.instance,
         "peer" => %peer, "horizon" => subscribe.synced_revision, "held" => subscribe.held.len());
     remember_copy_holder(subscribe, shared, log);
-    let subscriber = shared.board.enter();
+    let subscriber = shared.outcomes.add_subscriber();
     let mut outbox = Outbox::new(subscribe, shared.known_bases(&subscribe.held));
     let result = send_updates(framed, peer, shared, &mut outbox, subscriber).await;
-    shared.board.leave(subscriber);
+    shared.outcomes.remove_subscriber(subscriber);
     let pending = outbox.pending();
     if pending.rows > 0 || pending.bytes > 0 {
         // Distinguishes a link that is too slow from a subscriber that is gone.
@@ -137,7 +142,7 @@
 /// An instance that loses its own copy while the store is unreachable only knows its
 /// seeds, which may have lost theirs as well. Instances that followed it before
 /// subscribe again and have the copy that it needs.
-fn remember_copy_holder(subscribe: &SubscribeRequest, shared: &Shared, log: &Logger) {
+fn remember_copy_holder(subscribe: &SubscribeRequest, shared: &SharedCopy, log: &Logger) {
     if subscribe.synced_revision.is_none() {
         return;
     }
@@ -151,7 +156,7 @@
 async fn send_updates(
     framed: &mut Stream,
     peer: SocketAddr,
-    shared: &Arc<Shared>,
+    shared: &Arc<SharedCopy>,
     outbox: &mut Outbox,
     subscriber: u64,
 ) -> Result<()> {
@@ -160,13 +165,13 @@
         changes.mark_unchanged();
         let message = compose(shared, outbox, peer)?;
         let has_part = message.part.is_some();
-        let has_remarks = !message.remarks.is_empty();
+        let has_outcomes = !message.outcomes.is_empty();
         send(framed, peer, &message).await?;
         if message.has_more || has_part && outbox.has_parts() {
             continue;
         }
-        let pause = if has_remarks {
-            TELL_EVERY
+        let pause = if has_outcomes {
+            OUTCOME_REPORT_INTERVAL
         } else {
             HEARTBEAT_INTERVAL
         };
@@ -180,8 +185,8 @@
                 _ = changes.changed() => break,
                 () = shared.pacer.wait_for_budget(), if outbox.next_part_size().is_some() => break,
                 () = time::sleep_until(next) => break,
-                remarks = receive_report(framed, peer) => {
-                    shared.board.hear_below(Instant::now(), subscriber, remarks?);
+                outcomes = receive_report(framed, peer) => {
+                    shared.outcomes.receive_from_subscriber(Instant::now(), subscriber, outcomes?);
                 }
             }
         }
@@ -189,26 +194,26 @@
 }
 
 /// Receives a subscriber's report of request outcomes.
-async fn receive_report(framed: &mut Stream, peer: SocketAddr) -> Result<Remarks> {
+async fn receive_report(framed: &mut Stream, peer: SocketAddr) -> Result<OutcomeReport> {
     const STEP: &str = "remarks of subscriber";
     let frame = framed
         .next()
         .await
         .ok_or_else(|| subscriber_error(STEP, peer, "closed"))?;
     let frame = frame.map_err(|error| subscriber_error(STEP, peer, error))?;
-    let remarks: Remarks = message::decode(STEP, &peer.to_string(), frame)?;
-    if remarks.remarks.len() > MAX_ENTRIES {
+    let outcomes: OutcomeReport = message::decode(STEP, &peer.to_string(), frame)?;
+    if outcomes.outcomes.len() > MAX_ENTRIES {
         return Err(subscriber_error(
             STEP,
             peer,
             "too many servers in one report",
         ));
     }
-    Ok(remarks)
+    Ok(outcomes)
 }
 
 /// Composes the next message; its parts are charged to the pacer.
-fn compose(shared: &Shared, outbox: &mut Outbox, peer: SocketAddr) -> Result<UpstreamMessage> {
+fn compose(shared: &SharedCopy, outbox: &mut Outbox, peer: SocketAddr) -> Result<UpstreamMessage> {
     let now = Instant::now();
     let age_ms = shared.age(now).map(|age| age.as_millis() as u64);
     let pack = |value: &BaseValue, base: Option<&BaseValue>| shared.pack_cache.pack(value, base);
@@ -216,7 +221,7 @@
     let message = shared.with_copy(|copy| outbox.compose(copy, age_ms, &pack, may_send));
     let mut message =
         message.map_err(|error| subscriber_error("packing for subscriber", peer, error))?;
-    message.remarks = shared.board.zone(now);
+    message.outcomes = shared.outcomes.zone_outcomes(now);
     message.is_on_fallback = shared.is_on_fallback();
     message.is_leaving = shared.is_leaving();
     let packed = message.pack_rows();
--- a/src/replica/store.rs
+++ b/src/replica/store.rs
@@ -12,53 +12,53 @@
 use crate::error::Result;
 use crate::platform::Entry;
 use crate::platform::poll::Reader;
-use crate::platform::poll::Refusal;
+use crate::platform::poll::UnreadableEntry;
 
 /// Prefixes and keys of the store's content.
 #[derive(Clone, Copy, Debug)]
-pub struct Keys {
+pub struct KeyLayout {
     /// Prefix of all keys.
-    pub all: &'static str,
+    pub root_prefix: &'static str,
     /// Prefix of the small, urgent values.
-    pub small: &'static str,
+    pub server_prefix: &'static str,
     /// Prefix of everything that operators write: orders and the large value.
-    pub operators: &'static str,
+    pub operator_prefix: &'static str,
     /// Prefix of the operators' orders, which are small and few.
-    pub orders: &'static str,
+    pub evacuation_prefix: &'static str,
     /// Key of the large value.
-    pub large: &'static str,
+    pub config_key: &'static str,
 }
 
 /// Wait times and age limits of polling.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct PollTiming {
     /// Longest wait of a poll for keys that seldom change, when other polls run beside
     /// it.
     ///
     /// When a middlebox drops a connection, only the missing response shows it, so this
     /// bounds how old the copy can become unnoticed.
-    pub wait: Duration,
+    pub background_wait: Duration,
     /// Longest wait of a poll whose results subscribers depend on. It is shorter, since
     /// the other delays on the way to them add up.
-    pub wait_for_others: Duration,
+    pub subscribed_wait: Duration,
     /// Pause after changes, so that the next poll collects several of them.
     ///
     /// Without it, each change of any server costs one call.
-    pub gather: Duration,
+    pub gather_pause: Duration,
     /// Longest time that the first instance after the heads of a zone waits for another
     /// instance's copy at the start, before it reads the store as well.
     pub copy_wait: Duration,
     /// Age of the last contact with the store at which an upstream is left.
-    pub most_age: Duration,
-    /// Age below which an upstream is worth a subscription. It is lower than `most_age`,
+    pub max_age: Duration,
+    /// Age below which an upstream is worth a subscription. It is lower than `max_age`,
     /// otherwise instances would join and leave an upstream whose age is near that limit.
-    pub fresh: Duration,
+    pub fresh_age: Duration,
 }
 
 /// A complete listing.
 pub(crate) struct Listing {
     pub(crate) entries: Vec<Entry>,
-    pub(crate) refused: Vec<Refusal>,
+    pub(crate) refused: Vec<UnreadableEntry>,
     pub(crate) revision: u64,
     /// Time of the request: everything written before it is included.
     pub(crate) requested_at: Instant,
@@ -71,7 +71,7 @@
     let first = reader.page(prefix, None).await?;
     let mut listing = Listing {
         entries: first.entries,
-        refused: first.refused,
+        refused: first.unreadable,
         revision: first.revision,
         requested_at,
     };
@@ -79,7 +79,7 @@
     while let Some(key) = after {
         let page = reader.page(prefix, Some(&key)).await?;
         listing.entries.extend(page.entries);
-        listing.refused.extend(page.refused);
+        listing.refused.extend(page.unreadable);
         after = page.next;
     }
     Ok(listing)
@@ -90,13 +90,13 @@
 /// Without the pause, a store that responds at once without a change would be polled in
 /// a busy loop.
 pub(crate) async fn pause_after_poll(
-    pace: &Pace,
+    timing: &PollTiming,
     started: Instant,
     wait: Duration,
     has_changes: bool,
 ) {
     if has_changes || started.elapsed() < wait / 2 {
-        time::sleep(pace.gather).await;
+        time::sleep(timing.gather_pause).await;
     }
 }
 
--- a/src/replica/subscribe.rs
+++ b/src/replica/subscribe.rs
@@ -22,12 +22,12 @@
 use crate::replica::Member;
 use crate::replica::assembler::AssembledValue;
 use crate::replica::assembler::PartAssembler;
-use crate::replica::board::Remark;
-use crate::replica::board::Remarks;
 use crate::replica::message;
 use crate::replica::message::HeldValue;
 use crate::replica::message::SubscribeRequest;
 use crate::replica::message::UpstreamMessage;
+use crate::replica::outcome::OutcomeEntry;
+use crate::replica::outcome::OutcomeReport;
 use crate::replica::pack::BaseValue;
 
 /// Time limit for a connection and its first message.
@@ -78,7 +78,7 @@
     /// Whether the upstream is about to stop.
     pub(crate) is_leaving: bool,
     /// Request outcomes counted by the zone's instances.
-    pub(crate) remarks: Vec<Remark>,
+    pub(crate) outcomes: Vec<OutcomeEntry>,
     /// The value whose last part came with this update.
     pub(crate) received: Option<ReceivedValue>,
 }
@@ -169,8 +169,8 @@
     }
 
     /// Sends request outcomes to the upstream.
-    pub(crate) async fn send_report(&mut self, remarks: &Remarks) -> Result<()> {
-        let bytes: Bytes = remarks.encode_to_vec().into();
+    pub(crate) async fn send_report(&mut self, outcomes: &OutcomeReport) -> Result<()> {
+        let bytes: Bytes = outcomes.encode_to_vec().into();
         let sent = time::timeout(SILENCE_TIMEOUT, self.framed.send(bytes)).await;
         let sent = sent.map_err(|_| subscription_error(self.peer, "sending timed out"))?;
         sent.map_err(|error| subscription_error(self.peer, error))
@@ -201,7 +201,7 @@
             has_more: message.has_more,
             is_on_fallback: message.is_on_fallback,
             is_leaving: message.is_leaving,
-            remarks: message.remarks,
+            outcomes: message.outcomes,
             received: None,
         };
         let Some(part) = message.part else {
--- a/tests/replication/board.rs
+++ b/tests/replication/board.rs
@@ -2,59 +2,69 @@
 
 use std::time::Duration;
 
-use godwitreel::replica::Board;
-use godwitreel::replica::Remark;
-use godwitreel::replica::Remarks;
+use godwitreel::replica::OutcomeAggregator;
+use godwitreel::replica::OutcomeEntry;
+use godwitreel::replica::OutcomeReport;
 use tokio::time::Instant;
 
-fn remark(serial: u64, answers: f32, stalls: f32) -> Remark {
-    Remark {
+fn entry(serial: u64, answers: f32, stalls: f32) -> OutcomeEntry {
+    OutcomeEntry {
         serial,
         incarnation: Some(5),
         answers,
-        hollow: 0.0,
+        premature: 0.0,
         stalls,
-        ..Remark::default()
+        ..OutcomeEntry::default()
     }
 }
 
-/// A sum in which one single instance counted `loudest_stalls` of the stalls.
-fn sum(serial: u64, answers: f32, stalls: f32, loudest_stalls: f32) -> Remark {
-    Remark {
-        loudest_stalls,
-        ..remark(serial, answers, stalls)
+/// A sum in which one single instance counted `worst_instance_stalls` of the stalls.
+fn sum(serial: u64, answers: f32, stalls: f32, worst_instance_stalls: f32) -> OutcomeEntry {
+    OutcomeEntry {
+        worst_instance_stalls,
+        ..entry(serial, answers, stalls)
     }
 }
 
-fn report(instances: u32, remarks: Vec<Remark>) -> Remarks {
-    Remarks { remarks, instances }
+fn report(instances: u32, outcomes: Vec<OutcomeEntry>) -> OutcomeReport {
+    OutcomeReport {
+        outcomes,
+        instances,
+    }
 }
 
 #[test]
 fn counts_are_added_up_on_the_way_up() {
     let now = Instant::now();
-    let board = Board::default();
-    board.set_own(vec![remark(1, 4.0, 1.0)]);
-    let (first, second) = (board.enter(), board.enter());
-    board.hear_below(now, first, report(3, vec![remark(1, 2.0, 1.5)]));
-    board.hear_below(now, second, report(1, vec![remark(2, 1.0, 1.0)]));
-    let up = board.upward(now);
+    let aggregator = OutcomeAggregator::default();
+    aggregator.set_local(vec![entry(1, 4.0, 1.0)]);
+    let (first, second) = (aggregator.add_subscriber(), aggregator.add_subscriber());
+    aggregator.receive_from_subscriber(now, first, report(3, vec![entry(1, 2.0, 1.5)]));
+    aggregator.receive_from_subscriber(now, second, report(1, vec![entry(2, 1.0, 1.0)]));
+    let up = aggregator.report_for_upstream(now);
     assert_eq!(up.instances, 5);
     let sums = vec![sum(1, 6.0, 2.5, 1.0), sum(2, 1.0, 1.0, 1.0)];
-    assert_eq!(up.remarks, sums);
-    assert_eq!(board.zone(now), up.remarks, "there is no upstream");
-    board.leave(second);
-    assert_eq!(board.upward(now).remarks.len(), 1);
+    assert_eq!(up.outcomes, sums);
+    assert_eq!(
+        aggregator.zone_outcomes(now),
+        up.outcomes,
+        "there is no upstream"
+    );
+    aggregator.remove_subscriber(second);
+    assert_eq!(aggregator.report_for_upstream(now).outcomes.len(), 1);
 }
 
 #[test]
 fn the_sum_comes_down_from_above() {
     let now = Instant::now();
-    let board = Board::default();
-    board.set_own(vec![remark(1, 4.0, 1.0)]);
-    board.hear_above(now, vec![remark(1, 90.0, 2.0)]);
-    assert_eq!(board.zone(now), vec![remark(1, 90.0, 2.0)]);
-    assert_eq!(board.upward(now).remarks, vec![sum(1, 4.0, 1.0, 1.0)]);
+    let aggregator = OutcomeAggregator::default();
+    aggregator.set_local(vec![entry(1, 4.0, 1.0)]);
+    aggregator.receive_from_upstream(now, vec![entry(1, 90.0, 2.0)]);
+    assert_eq!(aggregator.zone_outcomes(now), vec![entry(1, 90.0, 2.0)]);
+    assert_eq!(
+        aggregator.report_for_upstream(now).outcomes,
+        vec![sum(1, 4.0, 1.0, 1.0)]
+    );
 }
 
 // Guards against counts that outlive their sender: the upstream is frozen or gone, or a
@@ -62,13 +72,13 @@
 #[test]
 fn old_reports_expire() {
     let now = Instant::now();
-    let board = Board::default();
-    let below = board.enter();
-    board.hear_below(now, below, report(1, vec![remark(1, 0.0, 1.0)]));
-    board.hear_above(now, vec![remark(2, 0.0, 1.0)]);
+    let aggregator = OutcomeAggregator::default();
+    let below = aggregator.add_subscriber();
+    aggregator.receive_from_subscriber(now, below, report(1, vec![entry(1, 0.0, 1.0)]));
+    aggregator.receive_from_upstream(now, vec![entry(2, 0.0, 1.0)]);
     let later = now + Duration::from_secs(2);
-    assert_eq!(board.zone(later), Vec::new());
-    assert_eq!(board.upward(later), report(1, Vec::new()));
+    assert_eq!(aggregator.zone_outcomes(later), Vec::new());
+    assert_eq!(aggregator.report_for_upstream(later), report(1, Vec::new()));
 }
 
 // Guards against an instance that reports wrong counts. Its counts are limited to what
@@ -77,22 +87,22 @@
 #[test]
 fn one_instance_has_little_effect_on_the_sum() {
     let now = Instant::now();
-    let board = Board::default();
-    let faulty = board.enter();
-    let invalid = Remark {
-        hollow: f32::NAN,
+    let aggregator = OutcomeAggregator::default();
+    let faulty = aggregator.add_subscriber();
+    let invalid = OutcomeEntry {
+        premature: f32::NAN,
         answers: -7.0,
         stalls: 1e30,
-        ..remark(1, 0.0, 0.0)
+        ..entry(1, 0.0, 0.0)
     };
-    board.hear_below(now, faulty, report(1, vec![invalid; 500]));
-    let sum = board.upward(now).remarks[0];
-    assert_eq!((sum.answers, sum.hollow), (0.0, 0.0));
+    aggregator.receive_from_subscriber(now, faulty, report(1, vec![invalid; 500]));
+    let sum = aggregator.report_for_upstream(now).outcomes[0];
+    assert_eq!((sum.answers, sum.premature), (0.0, 0.0));
     assert_eq!(sum.stalls, 2.0, "counted once, and within its limit");
-    let many: Vec<Remark> = (0..500).map(|serial| remark(serial, 0.0, 1.0)).collect();
-    board.hear_below(now, faulty, report(u32::MAX, many));
-    let up = board.upward(now);
-    assert_eq!(up.remarks.len(), 16);
+    let many: Vec<OutcomeEntry> = (0..500).map(|serial| entry(serial, 0.0, 1.0)).collect();
+    aggregator.receive_from_subscriber(now, faulty, report(u32::MAX, many));
+    let up = aggregator.report_for_upstream(now);
+    assert_eq!(up.outcomes.len(), 16);
     assert_eq!(up.instances, 18, "itself and at most one whole subtree");
 }
 
@@ -102,20 +112,20 @@
 #[test]
 fn the_worst_instance_counts_no_more_than_all_others() {
     let now = Instant::now();
-    let board = Board::default();
-    board.set_own(vec![remark(1, 4.0, 0.5)]);
-    let (first, second) = (board.enter(), board.enter());
-    board.hear_below(now, first, report(3, vec![sum(1, 2.0, 2.5, 1.5)]));
-    board.hear_below(now, second, report(1, vec![remark(1, 0.0, 1.0)]));
-    assert_eq!(board.zone(now), vec![sum(1, 6.0, 4.0, 1.5)]);
-    assert_eq!(board.confirmed(now)[0].stalls, 4.0);
-    board.leave(first);
-    assert_eq!(board.zone(now), vec![sum(1, 4.0, 1.5, 1.0)]);
-    assert_eq!(board.confirmed(now)[0].stalls, 1.0);
-    let lower = Board::default();
-    lower.hear_above(now, board.zone(now));
+    let aggregator = OutcomeAggregator::default();
+    aggregator.set_local(vec![entry(1, 4.0, 0.5)]);
+    let (first, second) = (aggregator.add_subscriber(), aggregator.add_subscriber());
+    aggregator.receive_from_subscriber(now, first, report(3, vec![sum(1, 2.0, 2.5, 1.5)]));
+    aggregator.receive_from_subscriber(now, second, report(1, vec![entry(1, 0.0, 1.0)]));
+    assert_eq!(aggregator.zone_outcomes(now), vec![sum(1, 6.0, 4.0, 1.5)]);
+    assert_eq!(aggregator.confirmed_outcomes(now)[0].stalls, 4.0);
+    aggregator.remove_subscriber(first);
+    assert_eq!(aggregator.zone_outcomes(now), vec![sum(1, 4.0, 1.5, 1.0)]);
+    assert_eq!(aggregator.confirmed_outcomes(now)[0].stalls, 1.0);
+    let lower = OutcomeAggregator::default();
+    lower.receive_from_upstream(now, aggregator.zone_outcomes(now));
     assert_eq!(
-        lower.confirmed(now)[0].stalls,
+        lower.confirmed_outcomes(now)[0].stalls,
         1.0,
         "limited once, not again"
     );
--- a/tests/replication/storm.rs
+++ b/tests/replication/storm.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use godwitreel::allowance::Bucket;
-use godwitreel::allowance::Rate;
+use godwitreel::rate_limit::Rate;
+use godwitreel::rate_limit::TokenBucket;
 use godwitreel::replica::BaseValue;
 use godwitreel::replica::StoreCopy;
 use godwitreel::replica::UpstreamMessage;
@@ -50,7 +50,7 @@
     /// Milliseconds since the start.
     pub(crate) now: usize,
     copies: Vec<StoreCopy>,
-    pacers: Vec<Bucket>,
+    pacers: Vec<TokenBucket>,
     connections: Vec<Connection>,
     /// Bytes sent by each instance.
     sent: Vec<usize>,
@@ -88,7 +88,7 @@
     fn add(&mut self, copy: StoreCopy) -> usize {
         // Half of the link is for subscribers.
         let rate = Rate(LINK_BYTES_PER_MS as u32 * 1_000 / 2);
-        self.pacers.push(Bucket::new(rate, self.start));
+        self.pacers.push(TokenBucket::new(rate, self.start));
         self.copies.push(copy);
         self.sent.push(0);
         self.copies.len() - 1
@@ -157,7 +157,7 @@
         for connection in connections.iter_mut().filter(|c| c.sending.is_none()) {
             let pacer = &mut pacers[connection.upstream];
             let outbox = &mut connection.subscription.outbox;
-            let may_send = |bytes| pacer.borrow(bytes, now);
+            let may_send = |bytes| pacer.take_on_credit(bytes, now);
             let message =
                 outbox.compose(&copies[connection.upstream], Some(0), &pack_value, may_send);
             let message = message.unwrap();
