--- a/src/replica/copy.rs
+++ b/src/replica/copy.rs
@@ -295,7 +295,7 @@
     /// Whether changes come from a fallback upstream, which is not above this instance in
     /// the tree.
     is_on_fallback: AtomicBool,
-    is_leaving: AtomicBool,
+    is_stopping: AtomicBool,
     is_withdrawn: AtomicBool,
     /// Values compressed for subscribers, once for all of them.
     pub(crate) pack_cache: PackCache,
@@ -313,7 +313,7 @@
             subscribers: AtomicUsize::new(0),
             copy_holders: watch::Sender::default(),
             is_on_fallback: AtomicBool::new(false),
-            is_leaving: AtomicBool::new(false),
+            is_stopping: AtomicBool::new(false),
             is_withdrawn: AtomicBool::new(false),
             pack_cache: PackCache::default(),
             pacer,
@@ -443,11 +443,11 @@
     /// Announces that this instance is about to stop, so that no other instance relies on
     /// its copy.
     pub(crate) fn set_stopping(&self) {
-        self.is_leaving.store(true, Ordering::Relaxed);
+        self.is_stopping.store(true, Ordering::Relaxed);
     }
 
-    pub(crate) fn is_leaving(&self) -> bool {
-        self.is_leaving.load(Ordering::Relaxed)
+    pub(crate) fn is_stopping(&self) -> bool {
+        self.is_stopping.load(Ordering::Relaxed)
     }
 
     pub(crate) fn set_withdrawn(&self, is_withdrawn: bool) {
--- a/src/replica/handover.rs
+++ b/src/replica/handover.rs
@@ -91,7 +91,7 @@
             .map(|other| self.request_update(*other, synced_revision));
         let updates = future::join_all(asked).await;
         let holds_copy = |update: &UpstreamUpdate| {
-            update.age.is_some() && update.revision >= synced_revision && !update.is_leaving
+            update.age.is_some() && update.revision >= synced_revision && !update.is_stopping
         };
         let holders = updates
             .iter()
--- a/src/replica/message.rs
+++ b/src/replica/message.rs
@@ -174,7 +174,7 @@
     pub is_on_fallback: bool,
     /// Whether the sender is about to stop.
     #[prost(bool, tag = "11")]
-    pub is_leaving: bool,
+    pub is_stopping: bool,
     /// Whether the sender has withdrawn from its routers.
     #[prost(bool, tag = "12")]
     pub is_withdrawn: bool,
--- a/src/replica/outbox.rs
+++ b/src/replica/outbox.rs
@@ -157,7 +157,7 @@
             has_more,
             packed: None,
             is_on_fallback: false,
-            is_leaving: false,
+            is_stopping: false,
             is_withdrawn: false,
         })
     }
--- a/src/replica/outcome.rs
+++ b/src/replica/outcome.rs
@@ -102,11 +102,11 @@
             limit(self.stalls, MAX_STALLS),
         );
         let is_single = instances == 1;
-        let worst = |report: f32, all: f32| {
+        let worst = |reported: f32, all: f32| {
             if is_single {
                 all
             } else {
-                report.clamp(0.0, all)
+                reported.clamp(0.0, all)
             }
         };
         Self {
--- a/src/replica/publish.rs
+++ b/src/replica/publish.rs
@@ -85,7 +85,7 @@
 /// Answers a liveness probe.
 async fn answer_probe(framed: &mut Stream, peer: SocketAddr, shared: &SharedCopy) -> Result<()> {
     let message = UpstreamMessage {
-        is_leaving: shared.is_leaving(),
+        is_stopping: shared.is_stopping(),
         is_withdrawn: shared.is_withdrawn(),
         ..UpstreamMessage::default()
     };
@@ -223,7 +223,7 @@
         message.map_err(|error| subscriber_error("packing for subscriber", peer, error))?;
     message.outcomes = shared.outcomes.zone_outcomes(now);
     message.is_on_fallback = shared.is_on_fallback();
-    message.is_leaving = shared.is_leaving();
+    message.is_stopping = shared.is_stopping();
     let packed = message.pack_rows();
     packed.map_err(|error| subscriber_error("packing for subscriber", peer, error))?;
     let rows: usize = message.rows.iter().map(Message::encoded_len).sum();
--- a/src/replica/subscribe.rs
+++ b/src/replica/subscribe.rs
@@ -76,7 +76,7 @@
     /// Whether the upstream itself follows a fallback upstream, which is not above it.
     pub(crate) is_on_fallback: bool,
     /// Whether the upstream is about to stop.
-    pub(crate) is_leaving: bool,
+    pub(crate) is_stopping: bool,
     /// Request outcomes counted by the zone's instances.
     pub(crate) outcomes: Vec<OutcomeEntry>,
     /// The value whose last part came with this update.
@@ -200,7 +200,7 @@
             awaits_copy: message.awaits_copy,
             has_more: message.has_more,
             is_on_fallback: message.is_on_fallback,
-            is_leaving: message.is_leaving,
+            is_stopping: message.is_stopping,
             outcomes: message.outcomes,
             received: None,
         };
--- a/src/replica/tree.rs
+++ b/src/replica/tree.rs
@@ -1,4 +1,4 @@
-//! The subscription tree: ranks of instances and who follows whom.
+//! The subscription tree: ranks of instances and which instance follows which.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
