--- a/src/metric.rs
+++ b/src/metric.rs
@@ -24,7 +24,7 @@
 use prometheus_client::registry::Registry;
 use prometheus_client::registry::Unit;
 
-use crate::action::Note;
+use crate::action::TraceEvent;
 use crate::id;
 use crate::metric::collector::Platform;
 use crate::metric::label::EventLabels;
@@ -134,7 +134,7 @@
 
 /// What the gauges show.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Levels {
+pub struct GaugeValues {
     /// Slices that this instance is home of.
     pub homes: u32,
     /// Slices that it is backup of.
@@ -232,7 +232,7 @@
     }
 
     /// Counts a note and, for an answered request, observes its duration.
-    pub fn note(&self, note: &Note) {
+    pub fn note(&self, note: &TraceEvent) {
         let service = self.service(note.flow.as_ref().map(|flow| &flow.service));
         if let (Reason::Answered, Some(elapsed)) = (note.reason, note.elapsed) {
             self.observe(service.clone(), elapsed);
@@ -244,7 +244,7 @@
         self.events.get_or_create(&labels).inc();
     }
 
-    /// Counts a message to or from a peer; `kind` is [`crate::peer::Body::kind`].
+    /// Counts a message to or from a peer; `kind` is [`crate::peer::PeerMessage::kind`].
     pub fn peer_message(&self, kind: &'static str, direction: Direction, bytes: usize) {
         let labels = PeerLabels { kind, direction };
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
@@ -259,7 +259,7 @@
     }
 
     /// Sets all gauges.
-    pub fn set(&self, levels: &Levels) {
+    pub fn set(&self, levels: &GaugeValues) {
         let gauges = &self.gauges;
         gauges.homes.set(levels.homes.into());
         gauges.backups.set(levels.backups.into());
--- a/src/replica/follow/search.rs
+++ b/src/replica/follow/search.rs
@@ -23,7 +23,7 @@
 use tokio::time;
 use tokio::time::Instant;
 
-use crate::pacing::Bounds;
+use crate::pacing::BackoffBounds;
 use crate::replica::Member;
 use crate::replica::subscribe::Subscription;
 use crate::replica::subscribe::UpstreamUpdate;
@@ -40,9 +40,9 @@
 /// Pauses before an instance that returned no copy is asked again. The first is half of
 /// the time after which a caller repeats its first packet; the longest keeps a seed
 /// that is gone for good from filling the log.
-const RETRY_PAUSES: Bounds = Bounds {
-    first: Duration::from_millis(100),
-    most: Duration::from_millis(400),
+const RETRY_PAUSES: BackoffBounds = BackoffBounds {
+    first_delay: Duration::from_millis(100),
+    max_delay: Duration::from_millis(400),
 };
 
 /// A search for a copy.
@@ -103,17 +103,17 @@
 pub(super) async fn await_copy(
     peer: SocketAddrV4,
     me: &Member,
-    retry: Bounds,
+    retry: BackoffBounds,
     log: &Logger,
 ) -> UpstreamUpdate {
-    let mut pause = retry.first;
+    let mut pause = retry.first_delay;
     loop {
         match ask_for_copy(peer, me).await {
             Ok(update) => return update,
             Err(error) => info!(log, "no copy from another instance"; "error" => %error),
         }
         time::sleep(pause).await;
-        pause = (pause * 2).min(retry.most);
+        pause = (pause * 2).min(retry.max_delay);
     }
 }
 
--- a/src/replica/follow/start.rs
+++ b/src/replica/follow/start.rs
@@ -20,7 +20,7 @@
 use tokio::time;
 use tokio::time::Instant;
 
-use crate::pacing::Bounds;
+use crate::pacing::BackoffBounds;
 use crate::replica::Member;
 use crate::replica::follow::FollowEnd;
 use crate::replica::follow::Follower;
@@ -36,9 +36,9 @@
 
 /// Pause before an instance that does not respond yet is asked for a copy again. The
 /// store is read in parallel, so this does not go on for long.
-const RETRY_PAUSES: Bounds = Bounds {
-    first: Duration::from_millis(25),
-    most: Duration::from_millis(25),
+const RETRY_PAUSES: BackoffBounds = BackoffBounds {
+    first_delay: Duration::from_millis(25),
+    max_delay: Duration::from_millis(25),
 };
 
 /// Instances from which the first copy is requested.
