--- a/src/replica/inbox.rs
+++ b/src/replica/assembler.rs
@@ -1,4 +1,4 @@
-//! What a subscriber makes of the parts that it is sent.
+//! Reassembles the parts that a subscriber receives.
 
 use std::collections::HashMap;
 
@@ -7,52 +7,52 @@
 
 use crate::platform::Entry;
 use crate::replica::copy;
-use crate::replica::message::LARGEST;
-use crate::replica::message::Part;
+use crate::replica::message::MAX_VALUE_BYTES;
 use crate::replica::message::Rows;
+use crate::replica::message::ValuePart;
 use crate::replica::pack;
-use crate::replica::pack::Base;
+use crate::replica::pack::BaseValue;
 
-/// Why a part does not fit.
+/// Why a part is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Misfit {
-    /// It does not begin where the part before it ended.
+pub enum PartError {
+    /// It does not begin where the previous part ended.
     #[error("a part is missing")]
     Gap,
-    /// It claims more bytes than any value has.
+    /// It declares more bytes than any value may have.
     #[error("a value of {0} bytes is too large")]
     TooLarge(u64),
-    /// It was packed against a value that is not known here.
-    #[error("packed against revision {0}, which is not known here")]
+    /// It was compressed against a value that is not known here.
+    #[error("compressed against revision {0}, which is not known here")]
     UnknownBase(u64),
-    /// It cannot be unpacked.
-    #[error("not unpacked: {0}")]
-    Unpacked(String),
-    /// It is not the value that was sent.
-    #[error("another value than was sent")]
+    /// It cannot be decompressed.
+    #[error("decompression failed: {0}")]
+    DecompressionFailed(String),
+    /// The decompressed value is not the one that was sent.
+    #[error("digest of the value does not match")]
     WrongDigest,
 }
 
-/// What parts make when they are complete.
+/// A value whose parts are complete.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Complete {
-    /// All entries, up to a revision.
+pub enum AssembledValue {
+    /// All entries, and the revision up to which they are complete.
     Copy(Vec<Entry>, u64),
     /// One large entry.
     Entry(Entry),
 }
 
-/// The subscriber's end: puts parts together.
+/// Joins the parts that a subscriber receives.
 #[derive(Debug, Default)]
-pub struct Inbox {
-    bases: HashMap<String, Base>,
-    head: Option<Part>,
+pub struct PartAssembler {
+    bases: HashMap<String, BaseValue>,
+    previous: Option<ValuePart>,
     packed: Vec<u8>,
 }
 
-impl Inbox {
-    /// An inbox of an instance that has these values.
-    pub fn new(bases: Vec<Base>) -> Self {
+impl PartAssembler {
+    /// Creates an assembler for a subscriber that has these values.
+    pub fn new(bases: Vec<BaseValue>) -> Self {
         let bases = bases.into_iter().map(|base| (base.key.clone(), base));
         Self {
             bases: bases.collect(),
@@ -60,74 +60,76 @@
         }
     }
 
-    /// Takes a part in.
+    /// Adds a part; returns the value when the part completes it.
     ///
     /// # Errors
     ///
-    /// Says why it does not fit; the subscription has to begin anew then.
-    pub fn take(&mut self, part: Part) -> Result<Option<Complete>, Misfit> {
+    /// Returns why the part is rejected. The subscription must then start again.
+    pub fn add(&mut self, part: ValuePart) -> Result<Option<AssembledValue>, PartError> {
         let is_first = part.offset == 0;
-        let is_same = |head: &Part| {
-            (&head.key, head.mod_revision, head.digest)
+        let is_same = |previous: &ValuePart| {
+            (&previous.key, previous.mod_revision, previous.digest)
                 == (&part.key, part.mod_revision, part.digest)
         };
-        let follows = self.head.as_ref().is_some_and(is_same);
+        let follows = self.previous.as_ref().is_some_and(is_same);
         if is_first {
             self.packed.clear();
         } else if !follows || part.offset != self.packed.len() as u64 {
-            return Err(Misfit::Gap);
+            return Err(PartError::Gap);
         }
-        // Packed values are smaller than the values, but for some bytes.
-        let most = LARGEST as u64;
+        // Compressed values are smaller than the values themselves, or only a few bytes
+        // larger.
+        let max = MAX_VALUE_BYTES as u64;
         let held = self.packed.len() as u64 + part.bytes.len() as u64;
-        if part.size > most || held > most {
-            return Err(Misfit::TooLarge(part.size.max(held)));
+        if part.size > max || held > max {
+            return Err(PartError::TooLarge(part.size.max(held)));
         }
         self.packed.extend_from_slice(&part.bytes);
         if !part.is_last {
-            self.head = Some(part);
+            self.previous = Some(part);
             return Ok(None);
         }
-        self.head = None;
+        self.previous = None;
         self.complete(&part).map(Some)
     }
 
-    fn complete(&mut self, part: &Part) -> Result<Complete, Misfit> {
+    fn complete(&mut self, part: &ValuePart) -> Result<AssembledValue, PartError> {
         let base = match part.base_revision {
             0 => None,
             revision => {
                 let known = self.bases.get(&part.key);
                 let known = known.filter(|base| base.mod_revision == revision);
-                Some(known.ok_or(Misfit::UnknownBase(revision))?)
+                Some(known.ok_or(PartError::UnknownBase(revision))?)
             }
         };
         let base = base.map_or(&[][..], |base| &base.value);
         let packed = std::mem::take(&mut self.packed);
         let value = pack::unpack(&packed, base, part.size as usize);
-        let value = value.map_err(|error| Misfit::Unpacked(error.to_string()))?;
+        let value = value.map_err(|error| PartError::DecompressionFailed(error.to_string()))?;
         if value.len() as u64 != part.size || pack::digest(&value) != part.digest {
-            return Err(Misfit::WrongDigest);
+            return Err(PartError::WrongDigest);
         }
         if part.key.is_empty() {
             return self.complete_copy(value, part.mod_revision);
         }
-        let base = Base {
+        let base = BaseValue {
             key: part.key.clone(),
             mod_revision: part.mod_revision,
             value: value.clone(),
         };
         self.bases.insert(part.key.clone(), base);
-        Ok(Complete::Entry(Entry {
+        Ok(AssembledValue::Entry(Entry {
             key: part.key.clone(),
             value,
             mod_revision: part.mod_revision,
         }))
     }
 
-    fn complete_copy(&mut self, value: Bytes, revision: u64) -> Result<Complete, Misfit> {
-        let rows = Rows::decode(value).map_err(|error| Misfit::Unpacked(error.to_string()))?;
+    fn complete_copy(&mut self, value: Bytes, revision: u64) -> Result<AssembledValue, PartError> {
+        let rows = Rows::decode(value)
+            .map_err(|error| PartError::DecompressionFailed(error.to_string()))?;
         let entries = rows.rows.into_iter().filter_map(|row| {
-            // A copy of its own: a part of the message would hold all of it.
+            // Copied, since a slice would keep the whole message in memory.
             let value = Bytes::copy_from_slice(&row.value?);
             let (key, mod_revision) = (row.key, row.mod_revision);
             Some(Entry {
@@ -138,8 +140,8 @@
         });
         let entries: Vec<Entry> = entries.collect();
         let large = entries.iter().filter(|entry| copy::is_large(entry));
-        let large = large.map(|entry| (entry.key.clone(), Base::from(entry)));
+        let large = large.map(|entry| (entry.key.clone(), BaseValue::from(entry)));
         self.bases = large.collect();
-        Ok(Complete::Copy(entries, revision))
+        Ok(AssembledValue::Copy(entries, revision))
     }
 }
--- a/src/replica/copy.rs
+++ b/src/replica/copy.rs
@@ -1,13 +1,13 @@
-//! The copy itself: the newest change of each key, in the order it was learned.
+//! The copy of the store: the newest change of each key, in the order of arrival.
 //!
-//! A subscriber needs the newest value of a key, not each version on the way.
-//! So each key stands in the order of changes once, at the place of its last
-//! change, and whoever falls behind is told less, not more.
+//! A subscriber needs the newest value of a key, not each version in between. So each
+//! key appears in the order of changes once, at the position of its last change, and a
+//! subscriber that falls behind is sent less, not more.
 //!
-//! Changes are not learned in the order of their revisions: a large value may
-//! come after small ones that were written later. Which change of a key is newer
-//! is therefore a matter of the key's own revision, and what a subscriber has
-//! been told is counted by [`Place`], the order of learning.
+//! Changes do not arrive in the order of their revisions: a large value may arrive
+//! after small ones that were written later. Therefore the key's own revision decides
+//! which of two changes is newer, and what a subscriber has been sent is tracked by
+//! [`SequenceNumber`], the order of arrival.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -30,27 +30,27 @@
 use crate::platform::Entry;
 use crate::platform::poll::UnreadableEntry;
 use crate::replica::Member;
-use crate::replica::message::Held;
+use crate::replica::message::HeldValue;
 use crate::replica::outcome::OutcomeAggregator;
 use crate::replica::pacer::Pacer;
-use crate::replica::pack::Base;
-use crate::replica::pack::Shelf;
-use crate::replica::publish::HEARTBEAT;
+use crate::replica::pack::BaseValue;
+use crate::replica::pack::PackCache;
+use crate::replica::publish::HEARTBEAT_INTERVAL;
 use crate::replica::register;
 
-/// Deleted keys that are remembered; who has not heard of an earlier one gets a
-/// whole copy. Twice the servers that the largest deployment planned replaces in
-/// a minute.
-const MOST_DELETED: usize = 512;
+/// Maximum number of deleted keys that are kept. A subscriber that lacks an earlier
+/// deletion is sent a complete copy. The limit is twice the number of servers that the
+/// largest planned deployment replaces in a minute.
+const MAX_DELETIONS: usize = 512;
 
-/// Instances that have introduced themselves and are remembered: enough that some of
-/// them live, few enough to ask all at once for a copy.
-const MOST_INTRODUCED: usize = 8;
+/// Maximum number of addresses kept of instances that have a copy: enough that some of
+/// them are alive, and few enough to ask all of them at once for a copy.
+const MAX_COPY_HOLDERS: usize = 8;
 
-/// What a copy tells its own instance.
+/// An event that the copy reports to its own instance.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
-    /// The whole prefix; what is not among the entries does not exist.
+    /// All keys under the prefix; a key that is not among the entries does not exist.
     Reset {
         /// All keys.
         entries: Vec<Entry>,
@@ -63,78 +63,83 @@
     Change(Change),
     /// A key whose new value could not be read.
     Refused(UnreadableEntry),
-    /// Everything that the store knew by the end of this contact has been told.
+    /// A period of contact with the store; every change that the store had by its end has
+    /// been reported.
     Contact(StoreContact),
-    /// The store does not answer; told once for each silence.
+    /// The store does not respond; reported once per outage.
     StoreUnreachable {
         /// The first error.
         reason: String,
     },
-    /// The instances that are registered.
+    /// All registered instances.
     Members(Vec<Member>),
-    /// Changes come from here from now on.
+    /// The source of further changes.
     UpstreamChanged {
-        /// The instance; `None` for the store itself.
+        /// The instance that is followed; `None` for the store itself.
         upstream: Option<id::Instance>,
     },
 }
 
-/// Place in the order in which changes were learned; later ones are greater.
+/// Local sequence number of a change, in the order of arrival; later changes have
+/// greater numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place(u64);
+pub struct SequenceNumber(u64);
 
 /// The newest change of a key.
 #[derive(Clone, Debug)]
-struct Newest {
-    place: Place,
+struct NewestChange {
+    sequence: SequenceNumber,
     change: Change,
 }
 
-/// A whole copy at one moment.
+/// A complete copy at one moment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Snapshot {
     /// All keys.
     pub entries: Vec<Entry>,
-    /// Revision up to which everything is known.
+    /// Revision up to which the copy is complete.
     pub revision: u64,
-    /// What was learned after it is told separately.
-    pub place: Place,
+    /// Sequence number up to which changes are included.
+    pub sequence: SequenceNumber,
 }
 
 /// The newest change of each key.
 #[derive(Debug, Default)]
-pub struct Copy {
-    keys: BTreeMap<String, Newest>,
+pub struct StoreCopy {
+    keys: BTreeMap<String, NewestChange>,
     /// Keys in the order of their newest changes.
-    order: BTreeMap<Place, String>,
-    /// Keys that were deleted, earliest first.
-    deleted: BTreeSet<(Place, u64)>,
-    /// Place of the last change learned.
-    last: Place,
-    /// Revision up to which all is known; `None` before the first listing.
-    horizon: Option<u64>,
-    /// Deletions at and before these have been forgotten.
-    forgotten_place: Place,
-    forgotten_revision: u64,
+    keys_by_sequence: BTreeMap<SequenceNumber, String>,
+    /// Sequence numbers and revisions of the deletions that are kept, oldest first.
+    deletions: BTreeSet<(SequenceNumber, u64)>,
+    /// Sequence number of the newest change.
+    last_sequence: SequenceNumber,
+    /// Revision up to which all changes are known; `None` before the first listing.
+    synced_revision: Option<u64>,
+    /// Deletions up to these have been pruned.
+    pruned_sequence: SequenceNumber,
+    pruned_revision: u64,
 }
 
-impl Copy {
-    /// Revision up to which all is known; `None` before the first listing.
-    pub fn horizon(&self) -> Option<u64> {
-        self.horizon
+impl StoreCopy {
+    /// Revision up to which all changes are known; `None` before the first listing.
+    pub fn synced_revision(&self) -> Option<u64> {
+        self.synced_revision
     }
 
-    /// Takes over a whole listing; gives back how it differs from what was known,
-    /// or `None` when more is known already.
+    /// Applies a complete listing and returns the changes against the previous content,
+    /// or `None` when the copy is already newer.
     ///
-    /// Subscribers are told the difference only: after the store has dropped its
-    /// history, whoever follows it lists it anew, and has missed little.
+    /// Subscribers are sent only the difference: after the store has dropped its history,
+    /// the instance that follows it lists it again and has missed little.
     pub fn reset(&mut self, entries: &[Entry], revision: u64) -> Option<Vec<Change>> {
-        if self.horizon.is_some_and(|horizon| horizon > revision) {
+        if self
+            .synced_revision
+            .is_some_and(|synced_revision| synced_revision > revision)
+        {
             return None;
         }
         let listed: BTreeSet<&str> = entries.iter().map(|entry| entry.key.as_str()).collect();
-        let is_missing = |(key, newest): &(&String, &Newest)| {
+        let is_missing = |(key, newest): &(&String, &NewestChange)| {
             matches!(newest.change, Change::Put(_)) && !listed.contains(key.as_str())
         };
         let missing = self.keys.iter().filter(is_missing);
@@ -144,100 +149,106 @@
         });
         let mut changes: Vec<Change> = deletions.collect();
         changes.extend(entries.iter().cloned().map(Change::Put));
-        // What a listing names exists, however old its last change is.
-        self.forgotten_revision = 0;
-        let fresh = self.apply(changes, revision);
-        self.forgotten_revision = revision;
-        Some(fresh)
+        // Every listed key exists, however old its last change is.
+        self.pruned_revision = 0;
+        let new_changes = self.apply(changes, revision);
+        self.pruned_revision = revision;
+        Some(new_changes)
     }
 
-    /// Takes over changes; gives back those that were new.
+    /// Applies changes and returns those that were new.
     pub fn apply(&mut self, changes: Vec<Change>, revision: u64) -> Vec<Change> {
-        let mut fresh = Vec::new();
+        let mut new_changes = Vec::new();
         for change in changes {
             if self.is_new(&change) {
-                self.take(change.clone());
-                fresh.push(change);
+                self.insert(change.clone());
+                new_changes.push(change);
             }
         }
-        self.horizon = Some(self.horizon.unwrap_or_default().max(revision));
-        fresh
+        self.synced_revision = Some(self.synced_revision.unwrap_or_default().max(revision));
+        new_changes
     }
 
-    /// Whether a change is newer than what is known of its key. Of a key that is
-    /// not known, what is older than the deletions forgotten may be one of them.
+    /// Whether a change is newer than the known state of its key. If the key is not
+    /// known, a change older than the pruned deletions may belong to a deleted key.
     fn is_new(&self, change: &Change) -> bool {
         let revision = change.mod_revision();
         match self.keys.get(key(change)) {
             Some(newest) => revision > newest.change.mod_revision(),
-            None => revision > self.forgotten_revision,
+            None => revision > self.pruned_revision,
         }
     }
 
-    fn take(&mut self, change: Change) {
-        self.last.0 += 1;
-        let place = self.last;
+    fn insert(&mut self, change: Change) {
+        self.last_sequence.0 += 1;
+        let sequence = self.last_sequence;
         let key = key(&change).to_owned();
         if matches!(change, Change::Delete { .. }) {
-            self.deleted.insert((place, change.mod_revision()));
+            self.deletions.insert((sequence, change.mod_revision()));
         }
-        self.order.insert(place, key.clone());
-        if let Some(before) = self.keys.insert(key, Newest { place, change }) {
-            self.order.remove(&before.place);
-            let revision = before.change.mod_revision();
-            self.deleted.remove(&(before.place, revision));
+        self.keys_by_sequence.insert(sequence, key.clone());
+        if let Some(previous) = self.keys.insert(key, NewestChange { sequence, change }) {
+            self.keys_by_sequence.remove(&previous.sequence);
+            let revision = previous.change.mod_revision();
+            self.deletions.remove(&(previous.sequence, revision));
         }
-        if self.deleted.len() > MOST_DELETED {
-            self.forget_deletion();
+        if self.deletions.len() > MAX_DELETIONS {
+            self.prune_oldest_deletion();
         }
     }
 
-    fn forget_deletion(&mut self) {
-        let Some((place, revision)) = self.deleted.pop_first() else {
+    fn prune_oldest_deletion(&mut self) {
+        let Some((sequence, revision)) = self.deletions.pop_first() else {
             return;
         };
-        if let Some(key) = self.order.remove(&place) {
+        if let Some(key) = self.keys_by_sequence.remove(&sequence) {
             self.keys.remove(&key);
         }
-        self.forgotten_place = place;
-        self.forgotten_revision = self.forgotten_revision.max(revision);
+        self.pruned_sequence = sequence;
+        self.pruned_revision = self.pruned_revision.max(revision);
     }
 
-    /// Whether who knows everything up to this revision needs a whole copy.
-    pub fn needs_whole(&self, known: Option<u64>) -> bool {
-        known.is_none_or(|known| known < self.forgotten_revision)
+    /// Whether a subscriber that has everything up to this revision needs a complete
+    /// copy.
+    pub fn needs_full_copy(&self, revision: Option<u64>) -> bool {
+        revision.is_none_or(|revision| revision < self.pruned_revision)
     }
 
-    /// Whether who was told everything up to this place needs a whole copy.
-    pub fn has_forgotten(&self, place: Place) -> bool {
-        place < self.forgotten_place
+    /// Whether a subscriber that was sent everything up to this number needs a complete
+    /// copy.
+    pub fn has_pruned_after(&self, sequence: SequenceNumber) -> bool {
+        sequence < self.pruned_sequence
     }
 
-    /// The newest changes after a revision, and the place up to which they are all.
-    pub fn after_revision(&self, known: u64) -> (Vec<Change>, Place) {
+    /// The newest changes after a revision, and the sequence number up to which they are
+    /// complete.
+    pub fn changes_after_revision(&self, revision: u64) -> (Vec<Change>, SequenceNumber) {
         let newer = self.keys.values().map(|newest| &newest.change);
-        let newer = newer.filter(|change| change.mod_revision() > known);
-        (newer.cloned().collect(), self.last)
+        let newer = newer.filter(|change| change.mod_revision() > revision);
+        (newer.cloned().collect(), self.last_sequence)
     }
 
-    /// The newest changes after a place, and the place up to which they are all.
-    pub fn after(&self, place: Place) -> (Vec<Change>, Place) {
-        let later = self.order.range(Place(place.0 + 1)..);
+    /// The newest changes after a sequence number, and the number up to which they are
+    /// complete.
+    pub fn changes_after(&self, sequence: SequenceNumber) -> (Vec<Change>, SequenceNumber) {
+        let later = self
+            .keys_by_sequence
+            .range(SequenceNumber(sequence.0 + 1)..);
         let later = later.filter_map(|(_, key)| self.keys.get(key));
         let changes = later.map(|newest| newest.change.clone());
-        (changes.collect(), self.last)
+        (changes.collect(), self.last_sequence)
     }
 
-    /// Everything; `None` before the first listing.
+    /// All entries; `None` before the first listing.
     pub fn snapshot(&self) -> Option<Snapshot> {
         Some(Snapshot {
             entries: self.entries().cloned().collect(),
-            revision: self.horizon?,
-            place: self.last,
+            revision: self.synced_revision?,
+            sequence: self.last_sequence,
         })
     }
 
-    /// A key's entry; `None` when it does not exist.
+    /// The entry of a key; `None` when the key does not exist.
     pub fn get(&self, key: &str) -> Option<&Entry> {
         match &self.keys.get(key)?.change {
             Change::Put(entry) => Some(entry),
@@ -245,7 +256,7 @@
         }
     }
 
-    /// All entries, in the order of their keys.
+    /// All entries, ordered by key.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.keys
             .values()
@@ -265,31 +276,32 @@
 
 #[derive(Debug, Default)]
 struct State {
-    copy: Copy,
-    /// When the store is known to have had nothing newer.
+    copy: StoreCopy,
+    /// When the copy is last known to have matched the store.
     contact: Option<Instant>,
 }
 
-/// A copy that the sources write and the subscribers read.
+/// The copy as written by its sources and read by its subscribers.
 ///
-/// Its lock is a leaf: nothing else is locked while it is held.
+/// Leaf lock: no other lock is taken while it is held.
 #[derive(Debug)]
 pub(crate) struct SharedCopy {
     state: Mutex<State>,
-    /// Told after each change of the copy.
+    /// Notified after each change of the copy.
     changed: watch::Sender<()>,
     subscribers: AtomicUsize,
-    /// Instances with a copy that have asked here, the last ones last.
-    introduced: watch::Sender<Vec<SocketAddrV4>>,
-    /// Whether changes come from an instance that is not above this one.
-    is_detour: AtomicBool,
-    is_leaving: AtomicBool,
+    /// Addresses of instances with a copy that have subscribed here, the latest last.
+    copy_holders: watch::Sender<Vec<SocketAddrV4>>,
+    /// Whether changes come from a fallback upstream, which is not above this instance in
+    /// the tree.
+    is_on_fallback: AtomicBool,
+    is_stopping: AtomicBool,
     is_withdrawn: AtomicBool,
-    /// What subscribers are sent, packed once for all of them.
-    pub(crate) shelf: Shelf,
-    /// Bytes a second that go to all subscribers together.
+    /// Values compressed for subscribers, once for all of them.
+    pub(crate) pack_cache: PackCache,
+    /// Limits the bytes per second sent to all subscribers together.
     pub(crate) pacer: Pacer,
-    /// What the instances of the zone tell each other of servers.
+    /// Request outcomes per server, shared among the instances of the zone.
     pub(crate) outcomes: OutcomeAggregator,
 }
 
@@ -299,11 +311,11 @@
             state: Mutex::default(),
             changed: watch::Sender::new(()),
             subscribers: AtomicUsize::new(0),
-            introduced: watch::Sender::default(),
-            is_detour: AtomicBool::new(false),
-            is_leaving: AtomicBool::new(false),
+            copy_holders: watch::Sender::default(),
+            is_on_fallback: AtomicBool::new(false),
+            is_stopping: AtomicBool::new(false),
             is_withdrawn: AtomicBool::new(false),
-            shelf: Shelf::default(),
+            pack_cache: PackCache::default(),
             pacer,
             outcomes: OutcomeAggregator::default(),
         }
@@ -317,11 +329,11 @@
         self.changed.subscribe()
     }
 
-    pub(crate) fn horizon(&self) -> Option<u64> {
-        self.lock().copy.horizon()
+    pub(crate) fn synced_revision(&self) -> Option<u64> {
+        self.lock().copy.synced_revision()
     }
 
-    /// The last contact with the store.
+    /// Time of the last contact with the store.
     pub(crate) fn contact(&self) -> Option<Instant> {
         self.lock().contact
     }
@@ -331,23 +343,24 @@
         self.contact().map(|at| now - at)
     }
 
-    /// Notes contact with the store, unless later contact is known.
+    /// Records contact with the store, unless a later contact is known.
     ///
-    /// Subscribers are told of it at once. Left to the heartbeat, which polls of a second
-    /// keep in step with, some instances never see a copy younger than a quarter of a
-    /// second, and each level of the tree adds as much. Smaller steps are left to
-    /// it: two that follow each other take the way between them for later contact.
-    pub(crate) fn touch(&self, at: Instant) {
+    /// Subscribers are notified at once. Polls of a second stay in step with the
+    /// heartbeat. If notification were left to the heartbeat alone, some instances would
+    /// never see a copy younger than a quarter of a second, and each level of the tree
+    /// would add as much. Smaller steps are left to the heartbeat: two instances that
+    /// follow each other would take the transfer time between them for later contact.
+    pub(crate) fn record_contact(&self, at: Instant) {
         let mut state = self.lock();
-        let before = state.contact;
-        state.contact = before.max(Some(at));
+        let previous = state.contact;
+        state.contact = previous.max(Some(at));
         drop(state);
-        if before.is_none_or(|before| at > before + HEARTBEAT) {
+        if previous.is_none_or(|previous| at > previous + HEARTBEAT_INTERVAL) {
             self.changed.send_replace(());
         }
     }
 
-    /// Takes over a whole listing; `false` when more is known already.
+    /// Applies a complete listing; returns `false` when the copy is already newer.
     pub(crate) fn reset(&self, entries: &[Entry], revision: u64) -> bool {
         let changes = self.lock().copy.reset(entries, revision);
         let is_taken = changes.is_some();
@@ -357,81 +370,84 @@
         is_taken
     }
 
-    /// Takes over changes; gives back those that were new.
+    /// Applies changes and returns those that were new.
     pub(crate) fn apply(&self, changes: Vec<Change>, revision: u64) -> Vec<Change> {
         let mut state = self.lock();
-        let earlier = changes
+        let replaced = changes
             .iter()
             .filter_map(|change| state.copy.get(key(change)));
-        let earlier = earlier.filter(|entry| is_large(entry)).map(Base::from);
-        let earlier: Vec<Base> = earlier.collect();
-        let fresh = state.copy.apply(changes, revision);
+        let replaced = replaced
+            .filter(|entry| is_large(entry))
+            .map(BaseValue::from);
+        let replaced: Vec<BaseValue> = replaced.collect();
+        let new_changes = state.copy.apply(changes, revision);
         drop(state);
-        for base in &earlier {
-            self.shelf.keep(base);
+        for base in &replaced {
+            self.pack_cache.keep_base(base);
         }
-        if !fresh.is_empty() {
+        if !new_changes.is_empty() {
             self.changed.send_replace(());
         }
-        fresh
+        new_changes
     }
 
     /// Those of a subscriber's values that are known here.
-    pub(crate) fn known(&self, held: &[Held]) -> Vec<Base> {
-        let find = |held: &Held| {
-            let newest = self.look(|copy| copy.get(&held.key).map(Base::from));
+    pub(crate) fn known_bases(&self, held: &[HeldValue]) -> Vec<BaseValue> {
+        let find = |held: &HeldValue| {
+            let newest = self.with_copy(|copy| copy.get(&held.key).map(BaseValue::from));
             let newest = newest.filter(|base| base.mod_revision == held.mod_revision);
-            newest.or_else(|| self.shelf.earlier(&held.key, held.mod_revision))
+            newest.or_else(|| self.pack_cache.earlier_base(&held.key, held.mod_revision))
         };
         held.iter().filter_map(find).collect()
     }
 
-    /// Looks at the copy; whatever is asked must be short.
-    pub(crate) fn look<T>(&self, ask: impl FnOnce(&Copy) -> T) -> T {
+    /// Calls `ask` with the copy under the lock, so `ask` must be short.
+    pub(crate) fn with_copy<T>(&self, ask: impl FnOnce(&StoreCopy) -> T) -> T {
         ask(&self.lock().copy)
     }
 
-    /// The large values known, for a subscription that is told only what is new
-    /// in them.
-    pub(crate) fn bases(&self) -> Vec<Base> {
+    /// The large values known here. A subscription with them is sent only the
+    /// differences.
+    pub(crate) fn bases(&self) -> Vec<BaseValue> {
         let state = self.lock();
         let large = state.copy.entries().filter(|entry| is_large(entry));
-        large.map(Base::from).collect()
+        large.map(BaseValue::from).collect()
     }
 
-    /// Notes where an instance that has a copy can be asked for it.
-    pub(crate) fn introduce(&self, address: SocketAddrV4) {
-        self.introduced.send_if_modified(|known| {
-            let is_new = !known.contains(&address);
+    /// Records the address of an instance that has a copy.
+    pub(crate) fn add_copy_holder(&self, address: SocketAddrV4) {
+        self.copy_holders.send_if_modified(|addresses| {
+            let is_new = !addresses.contains(&address);
             if is_new {
-                known.push(address);
-                let excess = known.len().saturating_sub(MOST_INTRODUCED);
-                known.drain(..excess);
+                addresses.push(address);
+                let excess = addresses.len().saturating_sub(MAX_COPY_HOLDERS);
+                addresses.drain(..excess);
             }
             is_new
         });
     }
 
-    /// Instances with a copy, as they introduce themselves.
-    pub(crate) fn introduced(&self) -> watch::Receiver<Vec<SocketAddrV4>> {
-        self.introduced.subscribe()
+    /// Addresses of instances with a copy that have subscribed here.
+    pub(crate) fn copy_holders(&self) -> watch::Receiver<Vec<SocketAddrV4>> {
+        self.copy_holders.subscribe()
     }
 
-    pub(crate) fn set_detour(&self, is_detour: bool) {
-        self.is_detour.store(is_detour, Ordering::Relaxed);
+    pub(crate) fn set_on_fallback(&self, is_on_fallback: bool) {
+        self.is_on_fallback.store(is_on_fallback, Ordering::Relaxed);
     }
 
-    pub(crate) fn is_detour(&self) -> bool {
-        self.is_detour.load(Ordering::Relaxed)
+    pub(crate) fn is_on_fallback(&self) -> bool {
+        self.is_on_fallback.load(Ordering::Relaxed)
     }
 
-    /// From now on nobody should count on this copy.
+    /// Announces that this instance is about to stop, so that no other instance relies on
+    /// its copy.
     pub(crate) fn set_stopping(&self) {
-        self.is_leaving.store(true, Ordering::Relaxed);
+        self.is_stopping.store(true, Ordering::Relaxed);
     }
 
-    pub(crate) fn is_leaving(&self) -> bool {
-        self.is_leaving.load(Ordering::Relaxed)
+    pub(crate) fn is_stopping(&self) -> bool {
+        self.is_stopping.load(Ordering::Relaxed)
     }
 
     pub(crate) fn set_withdrawn(&self, is_withdrawn: bool) {
@@ -442,32 +458,32 @@
         self.is_withdrawn.load(Ordering::Relaxed)
     }
 
-    /// All registered instances, this one among them, as far as their entries can be
-    /// read; whoever follows the store tells of those that cannot.
+    /// All registered instances, including this one, whose entries can be read. The
+    /// instance that follows the store reports the entries that cannot.
     pub(crate) fn members(&self) -> Vec<Member> {
-        self.look(|copy| {
+        self.with_copy(|copy| {
             let members = copy
                 .entries()
-                .filter_map(|entry| register::member(&entry.key, &entry.value)?.ok());
+                .filter_map(|entry| register::parse_member(&entry.key, &entry.value)?.ok());
             members.collect()
         })
     }
 
-    /// Counts a subscriber in; says how many there are then.
-    pub(crate) fn join(self: &Arc<Self>) -> usize {
+    /// Counts a new subscriber; returns the number of subscribers.
+    pub(crate) fn increment_subscribers(self: &Arc<Self>) -> usize {
         self.subscribers.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    pub(crate) fn leave(&self) {
+    pub(crate) fn decrement_subscribers(&self) {
         self.subscribers.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Largest value, in bytes, that goes out at once among others. A server's entry
-/// has about 150; what is larger is sent in parts, behind the small ones.
-const MOST_SMALL: usize = 4 << 10;
+/// Largest value, in bytes, that is sent whole among other rows. A server's entry has
+/// about 150 bytes; larger values are sent in parts, after the small ones.
+const MAX_SMALL_VALUE_BYTES: usize = 4 << 10;
 
 /// Whether an entry is sent in parts.
 pub(crate) fn is_large(entry: &Entry) -> bool {
-    entry.value.len() > MOST_SMALL
+    entry.value.len() > MAX_SMALL_VALUE_BYTES
 }
--- a/src/replica/follow.rs
+++ b/src/replica/follow.rs
@@ -1,4 +1,4 @@
-//! Keeping the copy up to date, from the instance above or from the store.
+//! Keeps the copy up to date, from the instance above or from the store.
 
 mod poll;
 mod search;
@@ -30,64 +30,67 @@
 use crate::replica::SharedCopy;
 use crate::replica::Update;
 use crate::replica::copy;
-use crate::replica::follow::poll::Large;
-use crate::replica::follow::upstream::Rest;
+use crate::replica::follow::poll::LargeValueState;
+use crate::replica::follow::upstream::Cooldown;
 use crate::replica::register;
 use crate::replica::store;
 use crate::replica::store::Listing;
-use crate::replica::subscribe::Report;
+use crate::replica::subscribe::UpstreamUpdate;
 
-/// Longest pause between two polls while the store is silent and an upstream is
-/// heard: it tells at once when the store is back.
-const SLOW_RETRY: Duration = Duration::from_millis(1_500);
+/// Longest pause between two polls while the store is unreachable and an upstream is
+/// connected, which reports the store's return at once.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(1_500);
 
-/// Pause before the store is probed again beside an upstream that is cut off from it,
-/// too. Load pattern: the store refuses or is silent for seconds, and all
-/// instances of a fleet find their copies old at once. If each left its upstream and
-/// asked again and again, 70 instances made 1,400 calls in five seconds, and what the
-/// zone tells of servers stopped; with it they make 100. One probe each in four seconds
-/// finds an upstream that alone stays cut off; it tells of the store's return at once.
+/// Pause before the store is probed again while an upstream is followed that is cut off
+/// from the store as well. Load pattern: the store refuses requests or is silent for
+/// seconds, and the copies of all instances of a fleet become old at once. When each
+/// left its upstream and polled the store again and again, 70 instances made 1,400
+/// calls in five seconds, and the exchange of request outcomes in the zone stopped.
+/// With this pause they make 100 calls. One probe per instance in four seconds is
+/// enough to detect an upstream that alone stays cut off, and an upstream reports the
+/// store's return at once.
 const PROBE_PAUSE: Duration = Duration::from_secs(4);
 
-/// Where changes can come from.
+/// What following needs: the sources of changes and their settings.
 pub(crate) struct FollowOptions {
     pub(crate) reader: Reader,
     pub(crate) keys: KeyLayout,
     pub(crate) timing: PollTiming,
-    /// This instance, as others know it.
+    /// This instance, as registered for others.
     pub(crate) me: Member,
-    /// Instances to ask when the store does not answer at the start.
+    /// Instances to ask for a copy when the store does not respond at the start.
     pub(crate) seeds: Vec<SocketAddrV4>,
     pub(crate) log: Logger,
 }
 
-/// Why following ended.
-enum End {
+/// Why following stopped.
+enum FollowEnd {
     Failed(Error),
-    Abandoned,
+    ReceiverClosed,
 }
 
-impl From<Error> for End {
+impl From<Error> for FollowEnd {
     fn from(error: Error) -> Self {
         Self::Failed(error)
     }
 }
 
-impl<T> From<mpsc::error::SendError<T>> for End {
+impl<T> From<mpsc::error::SendError<T>> for FollowEnd {
     fn from(_: mpsc::error::SendError<T>) -> Self {
-        Self::Abandoned
+        Self::ReceiverClosed
     }
 }
 
-/// What is known of the store's answers to this instance.
+/// Reachability of the store from this instance.
 #[derive(Clone, Copy, Debug)]
-enum Presence {
-    /// Nothing that speaks against it.
-    Unknown,
-    /// It did not answer, and is not probed again until then.
-    Away(Instant),
-    /// It answers again, which the upstream is given until then to tell.
-    Back(Instant),
+enum StoreState {
+    /// No failure is known.
+    Reachable,
+    /// The store did not respond; it is not probed again until this time.
+    Unreachable(Instant),
+    /// The store responds again; until this time the upstream may still report that
+    /// itself.
+    Recovered(Instant),
 }
 
 struct Follower {
@@ -95,28 +98,28 @@
     shared: Arc<SharedCopy>,
     sender: mpsc::Sender<Update>,
     members: HashMap<String, Member>,
-    /// The instances above this one, until the members change.
-    above: Option<Vec<SocketAddrV4>>,
-    /// Whether the members have changed since they were told last.
+    /// Addresses of the instances above this one; `None` after the members have changed.
+    upstreams: Option<Vec<SocketAddrV4>>,
+    /// Whether the members have changed since they were last reported.
     has_new_members: bool,
     /// Upstreams that failed.
-    resting: HashMap<SocketAddrV4, Rest>,
-    is_silent: bool,
-    presence: Presence,
-    /// [`PROBE_PAUSE`] and up to a quarter more, so that a fleet that has found the
-    /// store away at once does not probe it at once again.
+    cooldowns: HashMap<SocketAddrV4, Cooldown>,
+    is_store_silent: bool,
+    store_state: StoreState,
+    /// [`PROBE_PAUSE`] plus up to a quarter, so that a fleet that loses the store at one
+    /// moment does not probe it again at one moment.
     probe_pause: Duration,
-    /// The last poll brought changes.
+    /// Whether the last poll brought changes.
     had_changes: bool,
-    /// The store has dropped the history after the horizon.
+    /// Whether the store has dropped the history after the synced revision.
     is_compacted: bool,
-    /// What is known of the large value beside the copy.
-    large: Large,
+    /// Polling state of the large value.
+    large: LargeValueState,
     backoff: Backoff,
-    /// When this instance began to follow.
-    begun: Instant,
-    /// While an instance is followed that is not above: when the store is tried next.
-    detour_ends: Option<Instant>,
+    /// When following started.
+    started_at: Instant,
+    /// While a fallback upstream is followed: when the store is probed next.
+    next_fallback_probe: Option<Instant>,
 }
 
 /// Keeps the copy up to date until the receiver is dropped.
@@ -131,32 +134,32 @@
         shared,
         sender,
         members: HashMap::new(),
-        above: None,
+        upstreams: None,
         has_new_members: false,
-        resting: HashMap::new(),
-        is_silent: true,
-        presence: Presence::Unknown,
+        cooldowns: HashMap::new(),
+        is_store_silent: true,
+        store_state: StoreState::Reachable,
         probe_pause: PROBE_PAUSE.mul_f64(1.0 + (options.seed % 100) as f64 / 400.0),
         had_changes: false,
         is_compacted: false,
-        large: Large::default(),
+        large: LargeValueState::default(),
         backoff: Backoff::new(options.backoff, options.seed),
-        begun: Instant::now(),
-        detour_ends: None,
+        started_at: Instant::now(),
+        next_fallback_probe: None,
     };
-    while !matches!(follower.round().await, Err(End::Abandoned)) {}
+    while !matches!(follower.round().await, Err(FollowEnd::ReceiverClosed)) {}
 }
 
 impl Follower {
-    /// One poll of the store, or one subscription from its begin to its end.
-    async fn round(&mut self) -> Result<(), End> {
+    /// One poll of the store, or one subscription from start to end.
+    async fn round(&mut self) -> Result<(), FollowEnd> {
         if let Some(peer) = self.candidate() {
             return self.subscribe(peer).await;
         }
         match self.ask_store().await {
-            Err(End::Failed(error)) => {
-                self.fail(&error).await?;
-                let pause = self.backoff.next_delay().min(SLOW_RETRY);
+            Err(FollowEnd::Failed(error)) => {
+                self.record_failure(&error).await?;
+                let pause = self.backoff.next_delay().min(MAX_RETRY_PAUSE);
                 time::sleep(pause).await;
                 Ok(())
             }
@@ -164,54 +167,54 @@
         }
     }
 
-    fn is_old(&self) -> bool {
+    fn is_copy_old(&self) -> bool {
         let age = self.shared.age(Instant::now());
         age.is_none_or(|age| age > self.sources.timing.max_age)
     }
 
-    /// Asks the store without waiting for a change.
-    async fn catch_up(&mut self) -> Result<(), End> {
-        self.is_silent = true;
+    /// Polls the store without waiting for a change.
+    async fn catch_up(&mut self) -> Result<(), FollowEnd> {
+        self.is_store_silent = true;
         match self.ask_store().await {
-            Err(End::Failed(error)) => {
-                // The next round repeats it, with its pauses.
-                self.note_away(&error);
+            Err(FollowEnd::Failed(error)) => {
+                // The next round polls again, after its usual pauses.
+                self.mark_store_unreachable(&error);
                 Ok(())
             }
             other => other,
         }
     }
 
-    /// Takes the store for away, unless the error is an answer.
-    fn note_away(&mut self, error: &Error) {
+    /// Marks the store as unreachable, unless the error is itself a response.
+    fn mark_store_unreachable(&mut self, error: &Error) {
         if store::needs_listing(error) {
             return;
         }
-        self.presence = Presence::Away(Instant::now() + self.probe_pause);
+        self.store_state = StoreState::Unreachable(Instant::now() + self.probe_pause);
     }
 
-    /// Whether the store is known not to answer here: then an upstream with an old
-    /// copy is as good as any, and news of the store's return comes through it.
-    fn is_store_away(&self) -> bool {
-        match self.presence {
-            Presence::Unknown => false,
-            Presence::Away(until) | Presence::Back(until) => Instant::now() < until,
+    /// Whether the store is known not to respond here. Then an upstream with an old copy
+    /// is as good as any other, and reports the store's return.
+    fn is_store_unreachable(&self) -> bool {
+        match self.store_state {
+            StoreState::Reachable => false,
+            StoreState::Unreachable(until) | StoreState::Recovered(until) => Instant::now() < until,
         }
     }
 
-    async fn take(&mut self, report: Report) -> Result<(), End> {
+    async fn apply_update(&mut self, update: UpstreamUpdate) -> Result<(), FollowEnd> {
         let now = Instant::now();
-        let contact = report.age.map(|age| now - age);
+        let contact = update.age.map(|age| now - age);
         self.shared
             .outcomes
-            .receive_from_upstream(now, report.remarks);
-        if let Some(received) = report.received {
+            .receive_from_upstream(now, update.outcomes);
+        if let Some(received) = update.received {
             info!(self.sources.log, "large value received"; "revision" => received.revision,
-                "bytes" => received.bytes, "took_ms" => received.took.as_millis() as u64);
+                "bytes" => received.bytes, "took_ms" => received.transfer_time.as_millis() as u64);
         }
-        let revision = report.revision;
-        if report.is_everything {
-            let entries = report
+        let revision = update.revision;
+        if update.is_full_copy {
+            let entries = update
                 .changes
                 .into_iter()
                 .filter_map(|change| match change {
@@ -220,50 +223,51 @@
                 });
             let refused = Vec::new();
             self.reset(entries.collect(), refused, revision).await?;
-        } else if !report.awaits_copy && self.shared.horizon().is_some() {
-            // Whoever has nothing yet learns nothing from an instance that has nothing
-            // either, itself for one: it would take the empty copy for a whole one and
-            // ask no further seed while the store is away.
-            self.apply(report.changes, revision).await?;
+        } else if !update.awaits_copy && self.shared.synced_revision().is_some() {
+            // An instance without a copy takes no changes from another one without a copy,
+            // such as itself: it would treat the empty copy as complete and ask no further
+            // seeds while the store is unreachable.
+            self.apply(update.changes, revision).await?;
         }
         let Some(contact) = contact else {
             return Ok(());
         };
-        self.shared.touch(contact);
-        if !self.is_old() {
-            self.is_silent = false;
-            self.presence = Presence::Unknown;
+        self.shared.record_contact(contact);
+        if !self.is_copy_old() {
+            self.is_store_silent = false;
+            self.store_state = StoreState::Reachable;
             let contact = StoreContact::at(contact);
             self.sender.send(Update::Contact(contact)).await?;
         }
         Ok(())
     }
 
-    async fn ask_store(&mut self) -> Result<(), End> {
-        match self.shared.horizon() {
-            None => self.begin().await,
+    async fn ask_store(&mut self) -> Result<(), FollowEnd> {
+        match self.shared.synced_revision() {
+            None => self.fetch_first_copy().await,
             Some(_) if self.is_compacted => {
                 let all = self.sources.keys.root_prefix;
                 let listing = store::list(&self.sources.reader, all).await?;
-                self.take_listing(listing).await
+                self.apply_listing(listing).await
             }
-            Some(horizon) => self.poll(horizon).await,
+            Some(synced_revision) => self.poll(synced_revision).await,
         }
     }
 
-    async fn take_listing(&mut self, listing: Listing) -> Result<(), End> {
+    async fn apply_listing(&mut self, listing: Listing) -> Result<(), FollowEnd> {
         self.is_compacted = false;
-        self.large = Large::default();
+        self.large = LargeValueState::default();
         self.reset(listing.entries, listing.refused, listing.revision)
             .await?;
-        self.answered(StoreContact::at(listing.asked)).await
+        self.record_answer(StoreContact::at(listing.requested_at))
+            .await
     }
 
-    async fn answered(&mut self, contact: StoreContact) -> Result<(), End> {
-        self.is_silent = false;
-        self.presence = Presence::Unknown;
+    async fn record_answer(&mut self, contact: StoreContact) -> Result<(), FollowEnd> {
+        self.is_store_silent = false;
+        self.store_state = StoreState::Reachable;
         self.backoff.reset();
-        self.shared.touch(contact.until);
+        self.shared.record_contact(contact.until);
         Ok(self.sender.send(Update::Contact(contact)).await?)
     }
 
@@ -272,30 +276,33 @@
         entries: Vec<Entry>,
         refused: Vec<UnreadableEntry>,
         revision: u64,
-    ) -> Result<(), End> {
+    ) -> Result<(), FollowEnd> {
         if !self.shared.reset(&entries, revision) {
             return Ok(());
         }
         self.members.clear();
-        self.above = None;
+        self.upstreams = None;
         self.has_new_members = true;
         for entry in &entries {
-            self.enroll(&entry.key, &entry.value);
+            self.add_member(&entry.key, &entry.value);
         }
-        // Of some keys more may be known than the listing says: going back, if only
-        // for a moment, would send new flows to servers that have said that they leave.
-        let known = self.shared.look(|copy| copy.entries().cloned().collect());
+        // For some keys, newer changes than the listed ones may be known. Going back to the
+        // listing, even briefly, would send new flows to servers that have announced that
+        // they drain.
+        let known = self
+            .shared
+            .with_copy(|copy| copy.entries().cloned().collect());
         let reset = Update::Reset {
             entries: known,
             refused,
             revision,
         };
         self.sender.send(reset).await?;
-        self.tell_members().await
+        self.report_members().await
     }
 
-    /// Tells which instances share the callers, if that has changed.
-    async fn tell_members(&mut self) -> Result<(), End> {
+    /// Reports the instances that share the callers, if they have changed.
+    async fn report_members(&mut self) -> Result<(), FollowEnd> {
         if !std::mem::take(&mut self.has_new_members) {
             return Ok(());
         }
@@ -303,46 +310,46 @@
         Ok(self.sender.send(Update::Members(members)).await?)
     }
 
-    async fn apply(&mut self, changes: Vec<Change>, revision: u64) -> Result<(), End> {
+    async fn apply(&mut self, changes: Vec<Change>, revision: u64) -> Result<(), FollowEnd> {
         for change in self.shared.apply(changes, revision) {
             if copy::key(&change) == self.sources.keys.config_key {
                 self.large.note_change(Instant::now());
             }
             match &change {
-                Change::Put(entry) => self.enroll(&entry.key, &entry.value),
+                Change::Put(entry) => self.add_member(&entry.key, &entry.value),
                 Change::Delete { key, .. } => {
                     if self.members.remove(key).is_some() {
-                        self.above = None;
+                        self.upstreams = None;
                         self.has_new_members = true;
                     }
                 }
             }
             self.sender.send(Update::Change(change)).await?;
         }
-        self.tell_members().await
+        self.report_members().await
     }
 
-    fn enroll(&mut self, key: &str, value: &[u8]) {
-        match register::member(key, value) {
+    fn add_member(&mut self, key: &str, value: &[u8]) {
+        match register::parse_member(key, value) {
             None => {}
             Some(Ok(member)) => {
                 self.members.insert(key.to_owned(), member);
-                self.above = None;
+                self.upstreams = None;
                 self.has_new_members = true;
             }
             Some(Err(error)) => {
-                warn!(self.sources.log, "member refused"; "key" => key, "error" => %error);
+                warn!(self.sources.log, "invalid member entry"; "key" => key, "error" => %error);
             }
         }
     }
 
-    async fn fail(&mut self, error: &Error) -> Result<(), End> {
+    async fn record_failure(&mut self, error: &Error) -> Result<(), FollowEnd> {
         self.is_compacted |= store::needs_listing(error);
-        self.note_away(error);
-        if self.is_silent && self.backoff.has_failed() {
+        self.mark_store_unreachable(error);
+        if self.is_store_silent && self.backoff.has_failed() {
             return Ok(());
         }
-        self.is_silent = true;
+        self.is_store_silent = true;
         let reason = error.to_string();
         Ok(self
             .sender
--- a/src/replica/follow/start.rs
+++ b/src/replica/follow/start.rs
@@ -1,15 +1,17 @@
 //! The first copy of an instance that starts.
 //!
-//! Load pattern: a whole fleet loses its power and starts at once, with a store of
-//! hundreds of kilobytes and links of 10 Mbit/s. If each instance read the store,
-//! the store's own link would be full for a fifth of a second and a thin link for
-//! 0.35 s more, while every caller waits. So the first few of a zone read it, those
-//! with the widest links, and the others get a packed copy from these.
+//! Load pattern: a whole fleet loses power and starts again at once, with a store of
+//! hundreds of kilobytes and links of 10 Mbit/s. If each instance read the store, the
+//! store's own link would be full for a fifth of a second, and a slow link for another
+//! 0.35 s, while every caller waits. So only the heads of a zone read the store, which
+//! are the instances with the fastest links, and the others get a compressed copy from
+//! them.
 //!
-//! A second one: instances are restarted in turn, the store falls silent, and others
-//! are killed. Whoever starts then can only get a copy from whoever still has one, and
-//! every moment in which it asks one instance after the other, or waits for the store
-//! first, is one in which callers wait. See [`super::search`].
+//! Another load pattern: instances are restarted in turn, the store becomes
+//! unreachable, and further instances are killed. An instance that starts then can only
+//! get a copy from one that still has it. Asking one instance after the other, or
+//! waiting for the store first, would prolong the wait of callers. See
+//! [`super::search`].
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -20,149 +22,153 @@
 
 use crate::pacing::BackoffBounds;
 use crate::replica::Member;
-use crate::replica::follow::End;
+use crate::replica::follow::FollowEnd;
 use crate::replica::follow::Follower;
-use crate::replica::follow::Presence;
-use crate::replica::follow::SLOW_RETRY;
+use crate::replica::follow::MAX_RETRY_PAUSE;
+use crate::replica::follow::StoreState;
 use crate::replica::follow::search;
-use crate::replica::follow::search::Search;
+use crate::replica::follow::search::CopySearch;
 use crate::replica::register;
 use crate::replica::store;
-use crate::replica::subscribe::Report;
+use crate::replica::subscribe::UpstreamUpdate;
 use crate::replica::tree;
-use crate::replica::tree::HEADS;
+use crate::replica::tree::HEAD_COUNT;
 
-/// Pause before an instance that does not answer yet is asked for a copy again; the store
-/// is read beside it, so that this does not go on for long.
-const RETRY: BackoffBounds = BackoffBounds {
+/// Pause before an instance that does not respond yet is asked for a copy again. The
+/// store is read in parallel, so this does not go on for long.
+const RETRY_PAUSES: BackoffBounds = BackoffBounds {
     first_delay: Duration::from_millis(25),
     max_delay: Duration::from_millis(25),
 };
 
-/// Where an instance that starts gets its first copy.
-struct Feeders {
-    /// Whom to ask; nobody when this instance is a head of its zone.
+/// Instances from which the first copy is requested.
+struct CopySources {
+    /// Their addresses; empty when this instance is a head of its zone.
     addresses: Vec<SocketAddrV4>,
     /// How long to wait for them before the store is read as well.
     wait: Duration,
 }
 
 impl Follower {
-    /// Gets the first copy: from the store, or from an instance that has it.
+    /// Gets the first copy, from the store or from an instance that has one.
     ///
-    /// Machines that start together have their power back within 0.3 s of each
-    /// other, so that those to be asked may not be there yet. Whoever waits in vain
-    /// reads the store as well, and takes what comes first: one after the other, by
-    /// rank, from [`crate::replica::PollTiming::copy_wait`] on.
+    /// Machines that lose power together regain it within 0.3 s of each other, so the
+    /// instances to ask may not be running yet. An instance that gets no copy in time
+    /// also reads the store, and takes whichever arrives first. The wait starts at
+    /// [`crate::replica::PollTiming::copy_wait`] and grows by rank, so that they do not all
+    /// read the store at once.
     ///
-    /// While the store has not answered, all who may have a copy are asked, too. One
-    /// search goes on through all tries of the store: a copy that takes longer on a thin
-    /// link than a try and its pause would never be whole if each began it anew.
-    pub(super) async fn begin(&mut self) -> Result<(), End> {
+    /// Until the store has responded, all instances that may have a copy are asked as
+    /// well. One search continues across all attempts to reach the store: on a slow link,
+    /// a copy may take longer than one attempt and its pause, and would never complete if
+    /// each attempt started again.
+    pub(super) async fn fetch_first_copy(&mut self) -> Result<(), FollowEnd> {
         let search = self.search().run();
         tokio::pin!(search);
         loop {
-            let feeders = tokio::select! {
-                feeders = self.feeders() => feeders,
-                report = &mut search => return self.take_found(report).await,
+            let copy_sources = tokio::select! {
+                copy_sources = self.copy_sources() => copy_sources,
+                update = &mut search => return self.take_found(update).await,
             };
-            match feeders {
-                Ok(feeders) => return self.begin_from(feeders).await,
-                Err(End::Failed(error)) => self.fail(&error).await?,
-                Err(abandoned) => return Err(abandoned),
+            match copy_sources {
+                Ok(copy_sources) => return self.fetch_copy_from(copy_sources).await,
+                Err(FollowEnd::Failed(error)) => self.record_failure(&error).await?,
+                Err(closed) => return Err(closed),
             }
-            let pause = self.backoff.next_delay().min(SLOW_RETRY);
-            if let Ok(report) = time::timeout(pause, &mut search).await {
-                return self.take_found(report).await;
+            let pause = self.backoff.next_delay().min(MAX_RETRY_PAUSE);
+            if let Ok(update) = time::timeout(pause, &mut search).await {
+                return self.take_found(update).await;
             }
         }
     }
 
-    fn search(&self) -> Search {
-        Search {
+    fn search(&self) -> CopySearch {
+        CopySearch {
             me: self.sources.me.clone(),
             seeds: self.sources.seeds.clone(),
             fresh: self.sources.timing.fresh_age,
-            begun: self.begun,
-            introduced: self.shared.introduced(),
+            started_at: self.started_at,
+            copy_holders: self.shared.copy_holders(),
             log: self.sources.log.clone(),
         }
     }
 
-    /// Takes over what a search has found, while the store does not answer.
-    async fn take_found(&mut self, report: Report) -> Result<(), End> {
-        info!(self.sources.log, "copy of another instance taken"; "revision" => report.revision,
-            "age_ms" => report.age.map(|age| age.as_millis() as u64));
-        // An upstream with an old copy is as good as any until the store answers.
-        self.presence = Presence::Away(Instant::now() + self.probe_pause);
-        self.take(report).await
+    /// Applies the copy that a search has found while the store did not respond.
+    async fn take_found(&mut self, update: UpstreamUpdate) -> Result<(), FollowEnd> {
+        info!(self.sources.log, "copy of another instance taken"; "revision" => update.revision,
+            "age_ms" => update.age.map(|age| age.as_millis() as u64));
+        // Until the store responds, an upstream with an old copy is as good as any other.
+        self.store_state = StoreState::Unreachable(Instant::now() + self.probe_pause);
+        self.apply_update(update).await
     }
 
-    /// Gets the first copy while the store answers.
-    async fn begin_from(&mut self, feeders: Feeders) -> Result<(), End> {
+    /// Gets the first copy while the store responds.
+    async fn fetch_copy_from(&mut self, copy_sources: CopySources) -> Result<(), FollowEnd> {
         let reader = self.sources.reader.clone();
         let all = self.sources.keys.root_prefix;
-        if feeders.addresses.is_empty() {
+        if copy_sources.addresses.is_empty() {
             let listing = store::list(&reader, all).await?;
-            return self.take_listing(listing).await;
+            return self.apply_listing(listing).await;
         }
-        let copying = self.copy_from_first(&feeders.addresses);
+        let copying = self.first_copy_from(&copy_sources.addresses);
         let reading = async {
-            time::sleep(feeders.wait).await;
+            time::sleep(copy_sources.wait).await;
             store::list(&reader, all).await
         };
         let first = tokio::select! {
-            report = copying => Ok(report),
+            update = copying => Ok(update),
             listing = reading => Err(listing),
         };
         match first {
-            Ok(report) => self.take(report).await,
-            Err(listing) => self.take_listing(listing?).await,
+            Ok(update) => self.apply_update(update).await,
+            Err(listing) => self.apply_listing(listing?).await,
         }
     }
 
-    /// Whom to ask for a copy, as the store's list of members says.
-    async fn feeders(&mut self) -> Result<Feeders, End> {
+    /// Reads the list of members from the store and returns the instances to ask for a
+    /// copy.
+    async fn copy_sources(&mut self) -> Result<CopySources, FollowEnd> {
         let reader = self.sources.reader.clone();
         let zone = register::zone_prefix(&self.sources.me.zone);
         let page = reader.page(&zone, None).await?;
         for entry in &page.entries {
-            self.enroll(&entry.key, &entry.value);
+            self.add_member(&entry.key, &entry.value);
         }
-        // A page may not hold all members; who is not on it has a rank all the same.
+        // One page may not contain all members. This instance needs a rank even if it is
+        // not on the page.
         let me = self.sources.me.clone();
         self.members.entry(register::key(&me)).or_insert(me);
-        self.above = None;
-        let above = self.above();
-        let is_head = above.len() < HEADS;
+        self.upstreams = None;
+        let upstreams = self.upstreams();
+        let is_head = upstreams.len() < HEAD_COUNT;
         let members: Vec<Member> = self.members.values().cloned().collect();
         let (me, first) = (&self.sources.me, self.sources.timing.copy_wait);
-        Ok(Feeders {
-            addresses: if is_head { Vec::new() } else { above },
+        Ok(CopySources {
+            addresses: if is_head { Vec::new() } else { upstreams },
             wait: tree::copy_wait(&me.instance, &me.zone, &members, first),
         })
     }
 
-    /// The copy of whichever gives one first. All are asked at once: a machine
-    /// without power does not even refuse.
-    async fn copy_from_first(&self, feeders: &[SocketAddrV4]) -> Report {
-        let copies = feeders
+    /// The first copy that any of the instances returns. All are asked in parallel, since
+    /// a machine without power does not even refuse a connection.
+    async fn first_copy_from(&self, addresses: &[SocketAddrV4]) -> UpstreamUpdate {
+        let copies = addresses
             .iter()
-            .map(|feeder| Box::pin(self.copy_from(*feeder)));
-        let (report, _, _) = futures::future::select_all(copies).await;
-        report
+            .map(|address| Box::pin(self.copy_from(*address)));
+        let (update, _, _) = futures::future::select_all(copies).await;
+        update
     }
 
-    /// The copy of an instance, as soon as it has one.
-    async fn copy_from(&self, feeder: SocketAddrV4) -> Report {
+    /// Waits until an instance has a fresh copy and returns it.
+    async fn copy_from(&self, address: SocketAddrV4) -> UpstreamUpdate {
         let (me, log) = (&self.sources.me, &self.sources.log);
-        let report = search::await_copy(feeder, me, RETRY, log).await;
-        if self.is_fresh(&report) {
-            return report;
+        let update = search::await_copy(address, me, RETRY_PAUSES, log).await;
+        if self.is_fresh(&update) {
+            return update;
         }
-        // Its owner is cut off from the store. Who took it over would use routes that
-        // have been withdrawn meanwhile.
-        info!(log, "copy of upstream too old"; "peer" => %feeder);
+        // The owner of the copy is cut off from the store. With this copy, routes would be
+        // used that have been withdrawn since.
+        info!(log, "copy of upstream too old"; "peer" => %address);
         std::future::pending().await
     }
 }
--- a/src/replica/handover.rs
+++ b/src/replica/handover.rs
@@ -1,13 +1,15 @@
-//! When an instance that stops may take its copy with it.
+//! Decides when an instance that stops may discard its copy.
 //!
-//! Load pattern: instances are restarted in turn, half a second apart, and the store falls
-//! silent. Each that ends takes a copy with it and starts with none, until nobody has
-//! one: for two seconds no instance of a site knew a server.
+//! Load pattern: instances are restarted in turn, half a second apart, and the store
+//! becomes unreachable. Each instance that stops discards a copy and starts without
+//! one, until no instance has one: for two seconds no instance of a site knew any
+//! server.
 //!
-//! A copy may go when whoever starts next can get the same from the store, or from two
-//! others that stay. Two, since one of them may be killed in the next moment. Weighed: to
-//! stay until the grace time is over whatever others have. Then instances restarted in
-//! turn are all on their way out at the same time, and none is ready.
+//! A copy may be discarded when a starting instance can get the same content from the
+//! store, or from two other instances that are not stopping. Two are required because
+//! one of them may be killed at the next moment. The alternative, to wait for the end
+//! of the grace time whatever the others have, was rejected: instances restarted in
+//! turn would then all be stopping at the same time, and none would be ready.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -23,23 +25,25 @@
 use crate::replica::Member;
 use crate::replica::SharedCopy;
 use crate::replica::register;
-use crate::replica::subscribe::Report;
 use crate::replica::subscribe::Subscription;
+use crate::replica::subscribe::UpstreamUpdate;
 use crate::replica::tree;
 
-/// Time for an answer of the store. It takes 4 ms, in slow hours 250.
-const ANSWERS_WITHIN: Duration = Duration::from_millis(400);
+/// Time limit for a response of the store, which takes 4 ms, and up to 250 ms when the
+/// store is slow.
+const STORE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Pause before the store and the others are asked again.
-const RETRY: Duration = Duration::from_millis(300);
+/// Pause before the store and the other instances are asked again.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// Others that must have the copy.
-const KEEPERS: usize = 2;
+/// Other instances that must have the copy.
+const REQUIRED_HOLDERS: usize = 2;
 
-/// Others that are asked at once, those of the own zone first.
-const MOST_ASKED: usize = 12;
+/// Maximum number of other instances that are asked at once, those of the own zone
+/// first.
+const MAX_ASKED: usize = 12;
 
-/// What decides whether a copy may go.
+/// Decides whether the copy may be discarded.
 pub(crate) struct Handover {
     pub(crate) reader: Reader,
     pub(crate) me: Member,
@@ -48,20 +52,24 @@
 }
 
 impl Handover {
-    /// Waits until the copy may go; at once when there is none.
+    /// Waits until the copy may be discarded; returns at once when there is none.
     pub(crate) async fn wait(&self) {
-        while let Some(horizon) = self.shared.horizon() {
-            if self.is_store_there(horizon).await || self.is_kept(horizon).await {
+        while let Some(synced_revision) = self.shared.synced_revision() {
+            if self.is_store_reachable(synced_revision).await
+                || self.has_enough_holders(synced_revision).await
+            {
                 return;
             }
-            time::sleep(RETRY).await;
+            time::sleep(RETRY_PAUSE).await;
         }
     }
 
-    async fn is_store_there(&self, horizon: u64) -> bool {
-        // Few keys change there, so that the answer is short.
-        let asked = self.reader.poll(register::PREFIX, horizon, Duration::ZERO);
-        match time::timeout(ANSWERS_WITHIN, asked).await {
+    async fn is_store_reachable(&self, synced_revision: u64) -> bool {
+        // Few keys change under this prefix, so the response is short.
+        let asked = self
+            .reader
+            .poll(register::PREFIX, synced_revision, Duration::ZERO);
+        match time::timeout(STORE_TIMEOUT, asked).await {
             Ok(Ok(_) | Err(Error::Compacted { .. })) => true,
             Ok(Err(error)) => {
                 info!(self.log, "store does not answer before the stop"; "error" => %error);
@@ -74,34 +82,42 @@
         }
     }
 
-    /// Whether enough others that stay know all that is known here.
-    async fn is_kept(&self, horizon: u64) -> bool {
+    /// Whether enough other instances, which are not stopping, have everything that is
+    /// known here.
+    async fn has_enough_holders(&self, synced_revision: u64) -> bool {
         let others = self.others();
-        let asked = others.iter().map(|other| self.ask(*other, horizon));
-        let reports = future::join_all(asked).await;
-        let keeps = |report: &Report| {
-            report.age.is_some() && report.revision >= horizon && !report.is_leaving
+        let asked = others
+            .iter()
+            .map(|other| self.request_update(*other, synced_revision));
+        let updates = future::join_all(asked).await;
+        let holds_copy = |update: &UpstreamUpdate| {
+            update.age.is_some() && update.revision >= synced_revision && !update.is_stopping
         };
-        let keepers = reports
+        let holders = updates
             .iter()
             .flatten()
-            .filter(|report| keeps(report))
+            .filter(|update| holds_copy(update))
             .count();
-        info!(self.log, "copies that others keep"; "keepers" => keepers, "asked" => others.len());
-        keepers >= KEEPERS.min(others.len()).max(1)
+        info!(self.log, "copies that others keep"; "keepers" => holders, "asked" => others.len());
+        holders >= REQUIRED_HOLDERS.min(others.len()).max(1)
     }
 
     fn others(&self) -> Vec<SocketAddrV4> {
         let members = self.shared.members();
-        let others = tree::neighbours_first(&self.me, &members);
-        others.into_iter().take(MOST_ASKED).collect()
+        let others = tree::addresses_nearest_first(&self.me, &members);
+        others.into_iter().take(MAX_ASKED).collect()
     }
 
-    /// What another instance knows more. It learns where this one can be asked.
-    async fn ask(&self, other: SocketAddrV4, horizon: u64) -> Option<Report> {
+    /// Asks another instance for its newer changes, which also gives it the address of
+    /// this instance.
+    async fn request_update(
+        &self,
+        other: SocketAddrV4,
+        synced_revision: u64,
+    ) -> Option<UpstreamUpdate> {
         let bases = self.shared.bases();
-        let joined = Subscription::join(other, &self.me, Some(horizon), bases).await;
-        let (_, report) = joined.ok()?;
-        Some(report)
+        let opened = Subscription::open(other, &self.me, Some(synced_revision), bases).await;
+        let (_, update) = opened.ok()?;
+        Some(update)
     }
 }
--- a/src/replica/liveness.rs
+++ b/src/replica/liveness.rs
@@ -1,9 +1,10 @@
-//! Who answers, of this zone and of the others.
+//! Which instances respond, in this zone and in the others.
 //!
 //! Routers use all instances of a zone when less than half of them are ready. When most
-//! of a small zone stand still, two flows of three go to those, and only the one that is
-//! left can change that, see [`crate::entry::Withdrawal`]. So it has to know. In a large
-//! zone that is not worth the looks: most of twenty do not stand still at once.
+//! of a small zone are frozen, two of three flows go to frozen instances, and only the
+//! remaining instance can change that by withdrawing, see [`crate::entry::Withdrawal`].
+//! So it has to know how many respond. In a large zone the probes are not worth their
+//! cost, since most of 20 instances do not freeze at once.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,103 +19,105 @@
 use crate::replica::SharedCopy;
 use crate::replica::subscribe;
 
-/// Time between two looks. An instance that stands still does so for seconds, and
+/// Time between two rounds of probes. Frozen instances stay frozen for seconds, and
 /// routers notice it after one.
-const LOOK_EVERY: Duration = Duration::from_millis(400);
+const PROBE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Instances of a zone that look at each other, at most. Looks grow with its square: eight
-/// instances in three zones used 3.05 s of a processor with them and 2.86 s without, mean
-/// of ten days of 53 s.
-const LARGEST_ZONE: usize = 8;
+/// Maximum number of instances in a zone whose instances probe each other. The number
+/// of probes grows with its square: eight instances in three zones used 3.05 s of CPU
+/// time with probes and 2.86 s without, in runs of 53 s.
+const MAX_PROBED_ZONE_SIZE: usize = 8;
 
-/// Instances of another zone that are asked whether it can take callers.
-const ASKED_ABROAD: usize = 4;
+/// Instances of each other zone that are probed to learn whether the zone can take
+/// callers.
+const PROBED_PER_OTHER_ZONE: usize = 4;
 
-/// How many of a zone answer.
+/// How many instances of a zone respond.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneLiveness {
-    /// Instances that answer; the one that asks counts as one.
+    /// Instances that respond, including the probing instance itself.
     pub answering: usize,
-    /// Those of them that have withdrawn from their routers.
+    /// Responding instances that have withdrawn from their routers.
     pub withdrawn: usize,
-    /// Instances that are registered or, elsewhere, were asked.
+    /// All registered instances in this zone; in other zones, all instances probed.
     pub probed: usize,
 }
 
-/// One look at the fleet.
+/// Result of one round of probes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetLiveness {
     /// This zone.
     pub local_zone: ZoneLiveness,
-    /// Other zones; empty while all is well here.
+    /// Other zones; empty unless most instances of this zone are unresponsive.
     pub other_zones: Vec<ZoneLiveness>,
 }
 
 impl ZoneLiveness {
-    /// Whether less than half answer: routers then use those that do not, too.
+    /// Whether less than half of the instances respond. Routers then also use those that
+    /// do not.
     pub fn is_mostly_unresponsive(&self) -> bool {
         self.answering * 2 < self.probed
     }
 }
 
-/// Looks at the fleet until the receiver is dropped.
+/// Probes the fleet periodically until the receiver is dropped.
 pub(crate) async fn monitor_liveness(
     me: Member,
     shared: Arc<SharedCopy>,
     sender: mpsc::Sender<FleetLiveness>,
 ) {
     loop {
-        time::sleep(LOOK_EVERY).await;
-        let tally = look(&me, &shared).await;
-        if sender.send(tally).await.is_err() {
+        time::sleep(PROBE_INTERVAL).await;
+        let liveness = probe_fleet(&me, &shared).await;
+        if sender.send(liveness).await.is_err() {
             return;
         }
     }
 }
 
-async fn look(me: &Member, shared: &SharedCopy) -> FleetLiveness {
+async fn probe_fleet(me: &Member, shared: &SharedCopy) -> FleetLiveness {
     let members = shared.members();
-    let (here, abroad): (Vec<Member>, Vec<Member>) = members
+    let (local_zone, others): (Vec<Member>, Vec<Member>) = members
         .into_iter()
         .partition(|member| member.zone == me.zone);
-    if here.len() > LARGEST_ZONE {
+    if local_zone.len() > MAX_PROBED_ZONE_SIZE {
         return FleetLiveness::default();
     }
-    let here = count(me, &here).await;
-    if !here.is_mostly_unresponsive() {
+    let local_zone = probe_members(me, &local_zone).await;
+    if !local_zone.is_mostly_unresponsive() {
         return FleetLiveness {
-            local_zone: here,
+            local_zone,
             other_zones: Vec::new(),
         };
     }
     let mut zones: BTreeMap<id::Zone, Vec<Member>> = BTreeMap::new();
-    for member in abroad {
+    for member in others {
         let zone = zones.entry(member.zone.clone()).or_default();
-        if zone.len() < ASKED_ABROAD {
+        if zone.len() < PROBED_PER_OTHER_ZONE {
             zone.push(member);
         }
     }
-    let counts = zones.values().map(|zone| count(me, zone));
+    let counts = zones.values().map(|zone| probe_members(me, zone));
     FleetLiveness {
-        local_zone: here,
+        local_zone,
         other_zones: future::join_all(counts).await,
     }
 }
 
-/// Asks these instances, all at once.
-async fn count(me: &Member, members: &[Member]) -> ZoneLiveness {
-    let looks = members.iter().map(async |member| {
+/// Probes these instances, all at once.
+async fn probe_members(me: &Member, members: &[Member]) -> ZoneLiveness {
+    let probes = members.iter().map(async |member| {
         if member.instance == me.instance {
             return Some(false);
         }
-        // Whatever the reason, it does not answer.
-        let sign = subscribe::look(member.address, me).await.ok();
-        sign.map(|sign| sign.is_withdrawn)
+        // Any error means that the instance does not respond.
+        let response = subscribe::probe(member.address, me).await.ok();
+        response.map(|response| response.is_withdrawn)
     });
-    let signs = future::join_all(looks).await;
+    let responses = future::join_all(probes).await;
     ZoneLiveness {
-        answering: signs.iter().flatten().count(),
-        withdrawn: signs
+        answering: responses.iter().flatten().count(),
+        withdrawn: responses
             .iter()
             .flatten()
             .filter(|withdrawn| **withdrawn)
--- a/src/replica/outcome.rs
+++ b/src/replica/outcome.rs
@@ -1,9 +1,9 @@
-//! What the instances of a zone tell each other of servers, along the tree of
-//! subscriptions: counts are added up on the way up, and the sum goes down.
+//! Counts of request outcomes per server, shared among the instances of a zone along
+//! the subscription tree: counts are added up on the way up, and the sum is sent down.
 //!
-//! With 23 instances in a zone each sends a server less than one request a second.
-//! A server that hangs or fails takes a request from each of them before each
-//! knows; together they know after two or three.
+//! With 23 instances in a zone, each sends a server less than one request a second.
+//! Alone, each of them would lose a request to a server that hangs or fails before it
+//! notices. Together they notice after two or three requests.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -17,60 +17,61 @@
 
 use crate::replica::tree::FAN_OUT;
 
-/// Time between two messages while there is something to tell. What one instance
-/// saw is known to all after two steps up and two down, within a second.
+/// Time between two reports while there is something to report. An observation crosses
+/// two levels up and two down, and so reaches all instances within a second.
 pub(crate) const OUTCOME_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Age at which what somebody told is forgotten: five messages missed.
-const MOST_AGE: Duration = Duration::from_secs(1);
+/// Age at which a report expires: five missed messages.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(1);
 
-/// Servers in one message. At 30 bytes each and five messages a second to sixteen
-/// subscribers this is 40 KB a second, and only while servers fail.
-pub(crate) const MOST_REMARKS: usize = 16;
+/// Maximum number of servers per message. At 30 bytes each and five messages a second
+/// to 16 subscribers this is 40 KB/s, and only while servers fail.
+pub(crate) const MAX_ENTRIES: usize = 16;
 
-/// What one instance's counts are worth at most, so that one that is confused or
-/// lies moves the others little.
-const MOST_ANSWERS: f32 = 64.0;
-const MOST_HOLLOW: f32 = 4.0;
-const MOST_STALLS: f32 = 2.0;
+/// Limits on the counts of a single instance, so that one that reports wrong counts, by
+/// fault or intent, has little effect on the others.
+const MAX_ANSWERS: f32 = 64.0;
+const MAX_PREMATURE: f32 = 4.0;
+const MAX_STALLS: f32 = 2.0;
 
-/// Instances that a subscriber may speak for: itself and those below it.
-const MOST_INSTANCES: u32 = 1 + FAN_OUT as u32;
+/// Maximum number of instances that a subscriber may report for: itself and those below
+/// it.
+const MAX_SUBTREE_INSTANCES: u32 = 1 + FAN_OUT as u32;
 
-/// Ends of requests at one server, counted by one or several instances.
+/// Outcomes of requests at one server, counted by one or several instances.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct OutcomeEntry {
-    /// What datagrams to the server are named with.
+    /// Serial number that identifies the server in datagrams.
     #[prost(fixed64, tag = "1")]
     pub serial: u64,
-    /// The server's life; none when it does not tell.
+    /// The server's incarnation; `None` when the server does not report one.
     #[prost(uint64, optional, tag = "2")]
     pub incarnation: Option<u64>,
     /// Requests that were answered.
     #[prost(float, tag = "3")]
     pub answers: f32,
-    /// Those of them that ended too soon with too little.
+    /// Answered requests whose response ended too early, with too little data.
     #[prost(float, tag = "4")]
     pub premature: f32,
     /// Requests open for too long.
     #[prost(float, tag = "5")]
     pub stalls: f32,
-    /// What the one instance counted that says most against the server: answers that
-    /// ended too soon.
+    /// Responses that ended too early, as counted by the one instance that reports the
+    /// most failures.
     #[prost(float, tag = "6")]
     pub worst_instance_premature: f32,
-    /// The same: requests open for too long.
+    /// Requests open for too long, as counted by that same instance.
     #[prost(float, tag = "7")]
     pub worst_instance_stalls: f32,
 }
 
-/// What a subscriber tells the instance above it.
+/// What a subscriber reports to its upstream.
 #[derive(Clone, PartialEq, Message)]
 pub struct OutcomeReport {
-    /// One for each server that something speaks against.
+    /// One entry for each server with failures.
     #[prost(message, repeated, tag = "1")]
     pub outcomes: Vec<OutcomeEntry>,
-    /// Instances that counted, the subscriber included.
+    /// Number of instances that counted, including the subscriber.
     #[prost(uint32, tag = "2")]
     pub instances: u32,
 }
@@ -82,30 +83,38 @@
         (self.serial, self.incarnation)
     }
 
-    /// Limits what so many instances can have counted; rubbish counts nothing.
+    /// Limits the counts to what this many instances can have counted; invalid numbers
+    /// count as zero.
     ///
-    /// Of whoever speaks for itself alone, all that it says is said by one.
+    /// When a sender reports for itself alone, all of its failures come from a single
+    /// instance.
     fn limited(self, instances: u32) -> Self {
-        let limit = |count: f32, most: f32| {
-            let most = most * instances as f32;
+        let limit = |count: f32, max: f32| {
+            let max = max * instances as f32;
             if count.is_finite() {
-                count.clamp(0.0, most)
+                count.clamp(0.0, max)
             } else {
                 0.0
             }
         };
-        let (hollow, stalls) = (
-            limit(self.premature, MOST_HOLLOW),
-            limit(self.stalls, MOST_STALLS),
+        let (premature, stalls) = (
+            limit(self.premature, MAX_PREMATURE),
+            limit(self.stalls, MAX_STALLS),
         );
-        let is_alone = instances == 1;
-        let loudest = |told: f32, all: f32| if is_alone { all } else { told.clamp(0.0, all) };
+        let is_single = instances == 1;
+        let worst = |reported: f32, all: f32| {
+            if is_single {
+                all
+            } else {
+                reported.clamp(0.0, all)
+            }
+        };
         Self {
-            answers: limit(self.answers, MOST_ANSWERS),
-            premature: hollow,
+            answers: limit(self.answers, MAX_ANSWERS),
+            premature,
             stalls,
-            worst_instance_premature: loudest(self.worst_instance_premature, hollow),
-            worst_instance_stalls: loudest(self.worst_instance_stalls, stalls),
+            worst_instance_premature: worst(self.worst_instance_premature, premature),
+            worst_instance_stalls: worst(self.worst_instance_stalls, stalls),
             ..self
         }
     }
@@ -114,27 +123,29 @@
         self.answers += other.answers;
         self.premature += other.premature;
         self.stalls += other.stalls;
-        if other.loudness() > self.loudness() {
+        if other.worst_instance_failures() > self.worst_instance_failures() {
             self.worst_instance_premature = other.worst_instance_premature;
             self.worst_instance_stalls = other.worst_instance_stalls;
         }
     }
 
-    fn loudness(&self) -> f32 {
+    fn worst_instance_failures(&self) -> f32 {
         self.worst_instance_premature + self.worst_instance_stalls
     }
 
-    /// What more than one instance says: the word of the loudest counts as much as all
-    /// others say together.
+    /// Reduces the failures to those that more than one instance reports: the instance
+    /// with the most failures weighs no more than all others together.
     ///
-    /// Where each instance sends a server a request a second or less, nobody has much to
-    /// say for it. One that lies, or that alone is cut off from the server, took all of
-    /// its work: 7 requests of 1,050 were left to a server that answered each of them. Whoever
-    /// has seen it fail itself goes by that; the others wait for a second one.
+    /// Where each instance sends a server a request a second or less, there are few
+    /// successes to outweigh a failure report. Without this limit, one instance that
+    /// reports wrong counts, or that alone is cut off from the server, took all work from
+    /// it: 7 of 1,050 requests still went to a server that answered every one of them. An
+    /// instance that has seen the server fail acts on its own counts; the others wait for
+    /// a second report.
     fn confirmed(self) -> Self {
-        let confirmed = |all: f32, loudest: f32| {
-            let others = (all - loudest).max(0.0);
-            others + others.min(loudest)
+        let confirmed = |all: f32, worst: f32| {
+            let others = (all - worst).max(0.0);
+            others + others.min(worst)
         };
         Self {
             premature: confirmed(self.premature, self.worst_instance_premature),
@@ -143,129 +154,136 @@
         }
     }
 
-    fn weight(&self) -> f32 {
+    fn failures(&self) -> f32 {
         self.premature + self.stalls
     }
 }
 
-/// What was told, and when.
+/// A report and the time of its arrival.
 #[derive(Debug)]
-struct Told {
+struct ReceivedReport {
     at: Instant,
-    remarks: OutcomeReport,
+    report: OutcomeReport,
 }
 
-impl Told {
+impl ReceivedReport {
     fn is_fresh(&self, now: Instant) -> bool {
-        now < self.at + MOST_AGE
+        now < self.at + MAX_REPORT_AGE
     }
 }
 
 #[derive(Debug, Default)]
-struct Sides {
-    own: Vec<OutcomeEntry>,
-    below: HashMap<u64, Told>,
-    above: Option<Told>,
+struct Counts {
+    local: Vec<OutcomeEntry>,
+    subscribers: HashMap<u64, ReceivedReport>,
+    from_upstream: Option<ReceivedReport>,
     next_subscriber: u64,
 }
 
-/// What is known from this instance, from those below and from above.
+/// Sums the counts of this instance, of its subscribers and of its upstream.
 ///
-/// Its lock is a leaf.
+/// Leaf lock: no other lock is taken while it is held.
 #[derive(Debug, Default)]
 pub struct OutcomeAggregator {
-    sides: Mutex<Sides>,
+    counts: Mutex<Counts>,
 }
 
 impl OutcomeAggregator {
-    fn lock(&self) -> MutexGuard<'_, Sides> {
-        self.sides.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Counts> {
+        self.counts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets what this instance counted, the worst first.
-    pub fn set_local(&self, own: Vec<OutcomeEntry>) {
-        self.lock().own = own;
+    /// Sets the counts of this instance, those of the worst server first.
+    pub fn set_local(&self, local: Vec<OutcomeEntry>) {
+        self.lock().local = local;
     }
 
-    /// A number for a subscriber, under which it is heard.
+    /// Returns an id for a new subscriber, under which its reports are stored.
     pub fn add_subscriber(&self) -> u64 {
-        let mut sides = self.lock();
-        sides.next_subscriber += 1;
-        sides.next_subscriber
+        let mut counts = self.lock();
+        counts.next_subscriber += 1;
+        counts.next_subscriber
     }
 
-    /// Takes in what a subscriber tells.
-    pub fn receive_from_subscriber(&self, now: Instant, subscriber: u64, remarks: OutcomeReport) {
-        let told = Told { at: now, remarks };
-        self.lock().below.insert(subscriber, told);
+    /// Stores the report of a subscriber.
+    pub fn receive_from_subscriber(&self, now: Instant, subscriber: u64, report: OutcomeReport) {
+        let received = ReceivedReport { at: now, report };
+        self.lock().subscribers.insert(subscriber, received);
     }
 
-    /// Forgets a subscriber that has left.
+    /// Drops the report of a subscriber that has left.
     pub fn remove_subscriber(&self, subscriber: u64) {
-        self.lock().below.remove(&subscriber);
+        self.lock().subscribers.remove(&subscriber);
     }
 
-    /// Takes in what the instance above tells.
-    pub fn receive_from_upstream(&self, now: Instant, remarks: Vec<OutcomeEntry>) {
-        let remarks = OutcomeReport {
-            outcomes: remarks,
-            instances: MOST_INSTANCES,
+    /// Stores the sum sent by the upstream.
+    pub fn receive_from_upstream(&self, now: Instant, outcomes: Vec<OutcomeEntry>) {
+        let report = OutcomeReport {
+            outcomes,
+            instances: MAX_SUBTREE_INSTANCES,
         };
-        self.lock().above = Some(Told { at: now, remarks });
+        self.lock().from_upstream = Some(ReceivedReport { at: now, report });
     }
 
-    /// What to tell the instance above: this instance's counts and those below.
+    /// The report for the upstream: the counts of this instance and of those below it.
     pub fn report_for_upstream(&self, now: Instant) -> OutcomeReport {
-        let sides = self.lock();
+        let counts = self.lock();
         let mut sums: BTreeMap<Key, OutcomeEntry> = BTreeMap::new();
-        let mut add = |remark: OutcomeEntry| {
-            let sum = sums.entry(remark.key()).or_insert(OutcomeEntry {
-                serial: remark.serial,
-                incarnation: remark.incarnation,
+        let mut add = |entry: OutcomeEntry| {
+            let sum = sums.entry(entry.key()).or_insert(OutcomeEntry {
+                serial: entry.serial,
+                incarnation: entry.incarnation,
                 ..OutcomeEntry::default()
             });
-            sum.add(&remark);
+            sum.add(&entry);
         };
-        for remark in &sides.own {
-            add(remark.limited(1));
+        for entry in &counts.local {
+            add(entry.limited(1));
         }
         let mut instances = 1;
-        let fresh = sides.below.values().filter(|told| told.is_fresh(now));
-        for told in fresh {
-            let count = told.remarks.instances.clamp(1, MOST_INSTANCES);
+        let fresh_reports = counts
+            .subscribers
+            .values()
+            .filter(|received| received.is_fresh(now));
+        for received in fresh_reports {
+            let count = received.report.instances.clamp(1, MAX_SUBTREE_INSTANCES);
             instances += count;
-            // One that names a server many times counts once.
-            let remarks = told.remarks.outcomes.iter().take(MOST_REMARKS);
-            let remarks: BTreeMap<Key, &OutcomeEntry> = remarks.map(|r| (r.key(), r)).collect();
-            for remark in remarks.values() {
-                add(remark.limited(count));
+            // A server that appears several times in one report counts once.
+            let outcomes = received.report.outcomes.iter().take(MAX_ENTRIES);
+            let outcomes: BTreeMap<Key, &OutcomeEntry> = outcomes.map(|r| (r.key(), r)).collect();
+            for entry in outcomes.values() {
+                add(entry.limited(count));
             }
         }
-        let mut remarks: Vec<OutcomeEntry> = sums.into_values().collect();
-        remarks.sort_by(|a, b| b.weight().total_cmp(&a.weight()));
-        remarks.truncate(MOST_REMARKS);
+        let mut outcomes: Vec<OutcomeEntry> = sums.into_values().collect();
+        outcomes.sort_by(|a, b| b.failures().total_cmp(&a.failures()));
+        outcomes.truncate(MAX_ENTRIES);
         OutcomeReport {
-            outcomes: remarks,
+            outcomes,
             instances,
         }
     }
 
-    /// What the zone counted and more than one instance says.
+    /// The zone's counts, with failures reduced to those that more than one instance
+    /// reports.
     pub fn confirmed_outcomes(&self, now: Instant) -> Vec<OutcomeEntry> {
         let zone = self.zone_outcomes(now).into_iter();
         zone.map(OutcomeEntry::confirmed).collect()
     }
 
-    /// What the zone counted, as far as it is known here: what is told from above,
-    /// or the sum of this instance and those below where nobody is above.
+    /// The zone's counts as known here: the sum received from the upstream, or without an
+    /// upstream the sum of this instance and those below it.
     pub fn zone_outcomes(&self, now: Instant) -> Vec<OutcomeEntry> {
-        let sides = self.lock();
-        let above = sides.above.as_ref().filter(|told| told.is_fresh(now));
-        if let Some(told) = above {
-            let remarks = told.remarks.outcomes.iter().take(MOST_REMARKS);
-            return remarks.map(|r| r.limited(MOST_INSTANCES)).collect();
+        let counts = self.lock();
+        let from_upstream = counts
+            .from_upstream
+            .as_ref()
+            .filter(|received| received.is_fresh(now));
+        if let Some(received) = from_upstream {
+            let outcomes = received.report.outcomes.iter().take(MAX_ENTRIES);
+            return outcomes.map(|r| r.limited(MAX_SUBTREE_INSTANCES)).collect();
         }
-        drop(sides);
+        drop(counts);
         self.report_for_upstream(now).outcomes
     }
 }
--- a/src/replica/publish.rs
+++ b/src/replica/publish.rs
@@ -1,4 +1,4 @@
-//! Serving subscribers.
+//! Serves subscribers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,208 +22,219 @@
 use crate::error::Result;
 use crate::replica::SharedCopy;
 use crate::replica::message;
-use crate::replica::message::News;
-use crate::replica::message::Subscribe;
+use crate::replica::message::SubscribeRequest;
+use crate::replica::message::UpstreamMessage;
 use crate::replica::outbox::Outbox;
-use crate::replica::outcome::MOST_REMARKS;
+use crate::replica::outcome::MAX_ENTRIES;
 use crate::replica::outcome::OUTCOME_REPORT_INTERVAL;
 use crate::replica::outcome::OutcomeReport;
-use crate::replica::pack::Base;
+use crate::replica::pack::BaseValue;
 use crate::replica::tree::FAN_OUT;
 
 /// Time between two messages to a subscriber.
 ///
-/// Four a second let a subscriber notice in under a second that its upstream is
-/// gone, at about 60 bytes each, well within 2 KB/s.
-pub(crate) const HEARTBEAT: Duration = Duration::from_millis(250);
+/// With four messages a second, a subscriber notices in less than a second that its
+/// upstream is gone. At about 60 bytes each, they stay well within 2 KB/s.
+pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time for a subscriber's first message, and for it to take one of ours.
+/// Time limit for a subscriber's first message, and for sending it a message.
 ///
-/// A subscriber that is frozen would otherwise hold its connection, and its
-/// place among [`MOST_SUBSCRIBERS`], for ever.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Without it, a frozen subscriber would hold its connection, and its slot among
+/// [`MAX_SUBSCRIBERS`], forever.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Subscribers at most. Twice the tree's: ranks are seen differently while
-/// members come and go, and instances that start without the store ask anyone.
-const MOST_SUBSCRIBERS: usize = 2 * FAN_OUT;
+/// Maximum number of subscribers. Twice the fan-out of the tree: instances see ranks
+/// differently while members join and leave, and an instance that starts without the
+/// store asks any other.
+const MAX_SUBSCRIBERS: usize = 2 * FAN_OUT;
 
 /// Accepts subscribers until the process ends.
 pub(crate) async fn publish(listener: TcpListener, shared: Arc<SharedCopy>, log: Logger) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                let task = serve(stream, peer, Arc::clone(&shared), log.clone());
+                let task = serve_connection(stream, peer, Arc::clone(&shared), log.clone());
                 tokio::spawn(task);
             }
             Err(error) => {
                 warn!(log, "accepting subscriber failed"; "error" => %error);
-                // Out of descriptors, most likely; they come back with time.
-                time::sleep(HEARTBEAT).await;
+                // Most likely out of file descriptors, which become available again with time.
+                time::sleep(HEARTBEAT_INTERVAL).await;
             }
         }
     }
 }
 
-async fn serve(stream: TcpStream, peer: SocketAddr, shared: Arc<SharedCopy>, log: Logger) {
+async fn serve_connection(
+    stream: TcpStream,
+    peer: SocketAddr,
+    shared: Arc<SharedCopy>,
+    log: Logger,
+) {
     let mut framed = Framed::new(stream, message::codec());
-    let outcome = match read(&mut framed, peer).await {
-        Ok(subscribe) if subscribe.is_look => answer_look(&mut framed, peer, &shared).await,
+    let result = match read_request(&mut framed, peer).await {
+        Ok(subscribe) if subscribe.is_probe => answer_probe(&mut framed, peer, &shared).await,
         Ok(subscribe) => admit(&mut framed, peer, &subscribe, &shared, &log).await,
         Err(error) => Err(error),
     };
-    if let Err(error) = outcome {
+    if let Err(error) = result {
         info!(log, "subscriber lost"; "error" => %error);
     }
 }
 
-/// Tells that this instance runs, to whoever wants to know just that.
-async fn answer_look(framed: &mut Stream, peer: SocketAddr, shared: &SharedCopy) -> Result<()> {
-    let news = News {
-        is_leaving: shared.is_leaving(),
+/// Answers a liveness probe.
+async fn answer_probe(framed: &mut Stream, peer: SocketAddr, shared: &SharedCopy) -> Result<()> {
+    let message = UpstreamMessage {
+        is_stopping: shared.is_stopping(),
         is_withdrawn: shared.is_withdrawn(),
-        ..News::default()
+        ..UpstreamMessage::default()
     };
-    send(framed, peer, &news).await
+    send(framed, peer, &message).await
 }
 
-/// Serves a subscriber if there is room for it.
+/// Serves a subscriber if there is capacity for it.
 async fn admit(
     framed: &mut Stream,
     peer: SocketAddr,
-    subscribe: &Subscribe,
+    subscribe: &SubscribeRequest,
     shared: &Arc<SharedCopy>,
     log: &Logger,
 ) -> Result<()> {
-    let count = shared.join();
-    let outcome = if count > MOST_SUBSCRIBERS {
+    let count = shared.increment_subscribers();
+    let result = if count > MAX_SUBSCRIBERS {
         Err(Error::Refused {
             step: "subscription",
             peer: peer.to_string(),
             reason: "too many subscribers".to_owned(),
         })
     } else {
-        tell(framed, peer, subscribe, shared, log).await
+        serve_subscriber(framed, peer, subscribe, shared, log).await
     };
-    shared.leave();
-    outcome
+    shared.decrement_subscribers();
+    result
 }
 
-async fn tell(
+async fn serve_subscriber(
     framed: &mut Stream,
     peer: SocketAddr,
-    subscribe: &Subscribe,
+    subscribe: &SubscribeRequest,
     shared: &Arc<SharedCopy>,
     log: &Logger,
 ) -> Result<()> {
     info!(log, "subscriber joined"; "subscriber" => &subscribe.instance,
-        "peer" => %peer, "horizon" => subscribe.horizon, "held" => subscribe.held.len());
-    introduce(subscribe, shared, log);
+        "peer" => %peer, "horizon" => subscribe.synced_revision, "held" => subscribe.held.len());
+    remember_copy_holder(subscribe, shared, log);
     let subscriber = shared.outcomes.add_subscriber();
-    let mut outbox = Outbox::new(subscribe, shared.known(&subscribe.held));
-    let outcome = feed(framed, peer, shared, &mut outbox, subscriber).await;
+    let mut outbox = Outbox::new(subscribe, shared.known_bases(&subscribe.held));
+    let result = send_updates(framed, peer, shared, &mut outbox, subscriber).await;
     shared.outcomes.remove_subscriber(subscriber);
-    let waiting = outbox.waiting();
-    if waiting.rows > 0 || waiting.bytes > 0 {
-        // Tells a link that is too slow from a subscriber that is gone.
+    let pending = outbox.pending();
+    if pending.rows > 0 || pending.bytes > 0 {
+        // Distinguishes a link that is too slow from a subscriber that is gone.
         info!(log, "subscriber left behind"; "subscriber" => &subscribe.instance,
-            "rows_waiting" => waiting.rows, "bytes_waiting" => waiting.bytes);
+            "rows_waiting" => pending.rows, "bytes_waiting" => pending.bytes);
     }
-    outcome
+    result
 }
 
-/// Remembers whoever comes with a copy.
+/// Remembers the address of a subscriber that has a copy.
 ///
-/// An instance that has lost its own while the store is away knows its seeds only,
-/// which may have lost theirs, too. Those that followed it before come back to it, and
-/// have what it needs.
-fn introduce(subscribe: &Subscribe, shared: &SharedCopy, log: &Logger) {
-    if subscribe.horizon.is_none() {
+/// An instance that loses its own copy while the store is unreachable only knows its
+/// seeds, which may have lost theirs as well. Instances that followed it before
+/// subscribe again and have the copy that it needs.
+fn remember_copy_holder(subscribe: &SubscribeRequest, shared: &SharedCopy, log: &Logger) {
+    if subscribe.synced_revision.is_none() {
         return;
     }
     match subscribe.address.parse() {
-        Ok(address) => shared.introduce(address),
+        Ok(address) => shared.add_copy_holder(address),
         Err(_) => info!(log, "subscriber without an address";
             "subscriber" => &subscribe.instance, "address" => &subscribe.address),
     }
 }
 
-async fn feed(
+async fn send_updates(
     framed: &mut Stream,
     peer: SocketAddr,
     shared: &Arc<SharedCopy>,
     outbox: &mut Outbox,
     subscriber: u64,
 ) -> Result<()> {
-    let mut changed = shared.watch();
+    let mut changes = shared.watch();
     loop {
-        changed.mark_unchanged();
-        let news = compose(shared, outbox, peer)?;
-        let is_more = news.part.is_some();
-        let has_remarks = !news.outcomes.is_empty();
-        send(framed, peer, &news).await?;
-        if news.has_more || is_more && outbox.has_parts() {
+        changes.mark_unchanged();
+        let message = compose(shared, outbox, peer)?;
+        let has_part = message.part.is_some();
+        let has_outcomes = !message.outcomes.is_empty();
+        send(framed, peer, &message).await?;
+        if message.has_more || has_part && outbox.has_parts() {
             continue;
         }
-        let pause = if has_remarks {
+        let pause = if has_outcomes {
             OUTCOME_REPORT_INTERVAL
         } else {
-            HEARTBEAT
+            HEARTBEAT_INTERVAL
         };
         let next = Instant::now() + pause;
-        // What the subscriber tells is no cause to answer: each answer would be one
-        // for it to tell again, without end.
+        // A report from the subscriber must not trigger a message, since that message would
+        // in turn trigger a report, without end.
         loop {
-            // The copy outlives this task, so that the channel never closes; a change
-            // and a pause mean the same here.
+            // The copy outlives this task, so the channel never closes; a change and the end
+            // of the pause are handled alike.
             tokio::select! {
-                _ = changed.changed() => break,
-                () = shared.pacer.rest(), if outbox.next_part().is_some() => break,
+                _ = changes.changed() => break,
+                () = shared.pacer.wait_for_budget(), if outbox.next_part_size().is_some() => break,
                 () = time::sleep_until(next) => break,
-                remarks = hear(framed, peer) => {
-                    shared.outcomes.receive_from_subscriber(Instant::now(), subscriber, remarks?);
+                outcomes = receive_report(framed, peer) => {
+                    shared.outcomes.receive_from_subscriber(Instant::now(), subscriber, outcomes?);
                 }
             }
         }
     }
 }
 
-/// What the subscriber tells of servers.
-async fn hear(framed: &mut Stream, peer: SocketAddr) -> Result<OutcomeReport> {
+/// Receives a subscriber's report of request outcomes.
+async fn receive_report(framed: &mut Stream, peer: SocketAddr) -> Result<OutcomeReport> {
     const STEP: &str = "remarks of subscriber";
     let frame = framed
         .next()
         .await
-        .ok_or_else(|| lost(STEP, peer, "closed"))?;
-    let frame = frame.map_err(|error| lost(STEP, peer, error))?;
-    let remarks: OutcomeReport = message::decode(STEP, &peer.to_string(), frame)?;
-    if remarks.outcomes.len() > MOST_REMARKS {
-        return Err(lost(STEP, peer, "too many"));
+        .ok_or_else(|| subscriber_error(STEP, peer, "closed"))?;
+    let frame = frame.map_err(|error| subscriber_error(STEP, peer, error))?;
+    let outcomes: OutcomeReport = message::decode(STEP, &peer.to_string(), frame)?;
+    if outcomes.outcomes.len() > MAX_ENTRIES {
+        return Err(subscriber_error(
+            STEP,
+            peer,
+            "too many servers in one report",
+        ));
     }
-    Ok(remarks)
+    Ok(outcomes)
 }
 
-/// The next message, of which parts are counted against the pace.
-fn compose(shared: &SharedCopy, outbox: &mut Outbox, peer: SocketAddr) -> Result<News> {
+/// Composes the next message; its parts are charged to the pacer.
+fn compose(shared: &SharedCopy, outbox: &mut Outbox, peer: SocketAddr) -> Result<UpstreamMessage> {
     let now = Instant::now();
     let age_ms = shared.age(now).map(|age| age.as_millis() as u64);
-    let pack = |value: &Base, base: Option<&Base>| shared.shelf.pack(value, base);
+    let pack = |value: &BaseValue, base: Option<&BaseValue>| shared.pack_cache.pack(value, base);
     let may_send = |bytes: usize| shared.pacer.may_send(bytes, now);
-    let news = shared.look(|copy| outbox.compose(copy, age_ms, &pack, may_send));
-    let mut news = news.map_err(|error| lost("packing for subscriber", peer, error))?;
-    news.outcomes = shared.outcomes.zone_outcomes(now);
-    news.is_detour = shared.is_detour();
-    news.is_leaving = shared.is_leaving();
-    let packed = news.pack_rows();
-    packed.map_err(|error| lost("packing for subscriber", peer, error))?;
-    let rows: usize = news.rows.iter().map(Message::encoded_len).sum();
-    let packed = news.packed.as_ref().map_or(0, Message::encoded_len);
-    shared.pacer.count(rows + packed, now);
-    Ok(news)
+    let message = shared.with_copy(|copy| outbox.compose(copy, age_ms, &pack, may_send));
+    let mut message =
+        message.map_err(|error| subscriber_error("packing for subscriber", peer, error))?;
+    message.outcomes = shared.outcomes.zone_outcomes(now);
+    message.is_on_fallback = shared.is_on_fallback();
+    message.is_stopping = shared.is_stopping();
+    let packed = message.pack_rows();
+    packed.map_err(|error| subscriber_error("packing for subscriber", peer, error))?;
+    let rows: usize = message.rows.iter().map(Message::encoded_len).sum();
+    let packed = message.packed.as_ref().map_or(0, Message::encoded_len);
+    shared.pacer.charge(rows + packed, now);
+    Ok(message)
 }
 
 type Stream = Framed<TcpStream, LengthDelimitedCodec>;
 
-fn lost(step: &'static str, peer: SocketAddr, reason: impl ToString) -> Error {
+fn subscriber_error(step: &'static str, peer: SocketAddr, reason: impl ToString) -> Error {
     Error::Unanswered {
         step,
         peer: peer.to_string(),
@@ -231,19 +242,19 @@
     }
 }
 
-async fn read(framed: &mut Stream, peer: SocketAddr) -> Result<Subscribe> {
+async fn read_request(framed: &mut Stream, peer: SocketAddr) -> Result<SubscribeRequest> {
     const STEP: &str = "subscription";
-    let first = time::timeout(PATIENCE, framed.next()).await;
-    let first = first.map_err(|_| lost(STEP, peer, "timed out"))?;
-    let frame = first.ok_or_else(|| lost(STEP, peer, "closed"))?;
-    let frame = frame.map_err(|error| lost(STEP, peer, error))?;
+    let first = time::timeout(MESSAGE_TIMEOUT, framed.next()).await;
+    let first = first.map_err(|_| subscriber_error(STEP, peer, "timed out"))?;
+    let frame = first.ok_or_else(|| subscriber_error(STEP, peer, "closed"))?;
+    let frame = frame.map_err(|error| subscriber_error(STEP, peer, error))?;
     message::decode(STEP, &peer.to_string(), frame)
 }
 
-async fn send(framed: &mut Stream, peer: SocketAddr, news: &News) -> Result<()> {
+async fn send(framed: &mut Stream, peer: SocketAddr, message: &UpstreamMessage) -> Result<()> {
     const STEP: &str = "news to subscriber";
-    let bytes = Bytes::from(news.encode_to_vec());
-    let sent = time::timeout(PATIENCE, framed.send(bytes)).await;
-    let sent = sent.map_err(|_| lost(STEP, peer, "timed out"))?;
-    sent.map_err(|error| lost(STEP, peer, error))
+    let bytes = Bytes::from(message.encode_to_vec());
+    let sent = time::timeout(MESSAGE_TIMEOUT, framed.send(bytes)).await;
+    let sent = sent.map_err(|_| subscriber_error(STEP, peer, "timed out"))?;
+    sent.map_err(|error| subscriber_error(STEP, peer, error))
 }
--- a/src/replica/store.rs
+++ b/src/replica/store.rs
@@ -1,7 +1,7 @@
-//! Following the store itself, by listings and long polls.
+//! Follows the store itself, by listings and long polls.
 //!
-//! A failed poll is repeated from the same revision, so that nothing is missed;
-//! only when the store has dropped that history is the prefix listed again.
+//! A failed poll is repeated from the same revision, so that no change is missed. Only
+//! when the store has dropped that part of its history is the prefix listed again.
 
 use std::time::Duration;
 
@@ -14,65 +14,66 @@
 use crate::platform::poll::Reader;
 use crate::platform::poll::UnreadableEntry;
 
-/// Where in the store everything lies.
+/// Prefixes and keys of the store's content.
 #[derive(Clone, Copy, Debug)]
 pub struct KeyLayout {
     /// Prefix of all keys.
     pub root_prefix: &'static str,
-    /// Prefix under it of small values that are urgent.
+    /// Prefix of the small, urgent values.
     pub server_prefix: &'static str,
-    /// Prefix under it of all that operators write: orders and the large value.
+    /// Prefix of everything that operators write: orders and the large value.
     pub operator_prefix: &'static str,
-    /// Prefix under that of their orders, which are small and few.
+    /// Prefix of the operators' orders, which are small and few.
     pub evacuation_prefix: &'static str,
-    /// Key under it of the large value.
+    /// Key of the large value.
     pub config_key: &'static str,
 }
 
-/// Times of polling.
+/// Wait times and age limits of polling.
 #[derive(Clone, Copy, Debug)]
 pub struct PollTiming {
-    /// Longest time that a poll of what changes seldom waits beside others.
+    /// Longest wait of a poll for keys that seldom change, when other polls run beside
+    /// it.
     ///
-    /// A connection that something in between has forgotten shows only by the
-    /// missing answer, so this bounds how old the copy can become unnoticed.
+    /// When a middlebox drops a connection, only the missing response shows it, so this
+    /// bounds how old the copy can become unnoticed.
     pub background_wait: Duration,
-    /// Longest time that a poll waits on which subscribers depend; shorter,
-    /// since what they need beside it adds up.
+    /// Longest wait of a poll whose results subscribers depend on. It is shorter, since
+    /// the other delays on the way to them add up.
     pub subscribed_wait: Duration,
-    /// Pause after changes, in which further ones gather for the next poll.
+    /// Pause after changes, so that the next poll collects several of them.
     ///
-    /// Without it, each change of any server costs a call.
+    /// Without it, each change of any server costs one call.
     pub gather_pause: Duration,
     /// Longest time that the first instance after the heads of a zone waits for another
-    /// one's copy, when it starts, before it reads the store as well.
+    /// instance's copy at the start, before it reads the store as well.
     pub copy_wait: Duration,
     /// Age of the last contact with the store at which an upstream is left.
     pub max_age: Duration,
-    /// Age below which an upstream is worth a subscription; lower than
-    /// `max_age`, or instances would come and go around it.
+    /// Age below which an upstream is worth a subscription. It is lower than `max_age`,
+    /// otherwise instances would join and leave an upstream whose age is near that limit.
     pub fresh_age: Duration,
 }
 
-/// A whole listing.
+/// A complete listing.
 pub(crate) struct Listing {
     pub(crate) entries: Vec<Entry>,
     pub(crate) refused: Vec<UnreadableEntry>,
     pub(crate) revision: u64,
-    /// When it was asked for: all that was written before is in it.
-    pub(crate) asked: Instant,
+    /// Time of the request: everything written before it is included.
+    pub(crate) requested_at: Instant,
 }
 
-/// Reads all pages. They are no snapshot, so that polling goes on from the first
-/// page's revision: what changed since then is told again.
+/// Reads all pages. Together they are no snapshot, so polling continues from the
+/// revision of the first page, and changes since then are received again.
 pub(crate) async fn list(reader: &Reader, prefix: &str) -> Result<Listing> {
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     let first = reader.page(prefix, None).await?;
     let mut listing = Listing {
         entries: first.entries,
         refused: first.unreadable,
         revision: first.revision,
-        asked,
+        requested_at,
     };
     let mut after = first.next;
     while let Some(key) = after {
@@ -84,12 +85,18 @@
     Ok(listing)
 }
 
-/// The pause before the next poll.
+/// Pauses before the next poll.
 ///
-/// A store that answers at once without a change would be asked without end.
-pub(crate) async fn pause(pace: &PollTiming, started: Instant, wait: Duration, has_changes: bool) {
+/// Without the pause, a store that responds at once without a change would be polled in
+/// a busy loop.
+pub(crate) async fn pause_after_poll(
+    timing: &PollTiming,
+    started: Instant,
+    wait: Duration,
+    has_changes: bool,
+) {
     if has_changes || started.elapsed() < wait / 2 {
-        time::sleep(pace.gather_pause).await;
+        time::sleep(timing.gather_pause).await;
     }
 }
 
--- a/src/replica/subscribe.rs
+++ b/src/replica/subscribe.rs
@@ -1,4 +1,4 @@
-//! Following another instance.
+//! The subscriber's side of a subscription to another instance.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -20,249 +20,255 @@
 use crate::platform::Change;
 use crate::platform::Entry;
 use crate::replica::Member;
-use crate::replica::inbox::Complete;
-use crate::replica::inbox::Inbox;
+use crate::replica::assembler::AssembledValue;
+use crate::replica::assembler::PartAssembler;
 use crate::replica::message;
-use crate::replica::message::Held;
-use crate::replica::message::News;
-use crate::replica::message::Subscribe;
+use crate::replica::message::HeldValue;
+use crate::replica::message::SubscribeRequest;
+use crate::replica::message::UpstreamMessage;
 use crate::replica::outcome::OutcomeEntry;
 use crate::replica::outcome::OutcomeReport;
-use crate::replica::pack::Base;
+use crate::replica::pack::BaseValue;
 
-/// Time for a connection and its first message.
+/// Time limit for a connection and its first message.
 ///
-/// Instances of a zone are a tenth of a millisecond apart, zones some
-/// milliseconds. While this is tried, the copy grows older.
-const JOIN_TIMEOUT: Duration = Duration::from_millis(300);
+/// The round trip takes a tenth of a millisecond within a zone, and some milliseconds
+/// between zones. The copy grows older during the attempt.
+const SUBSCRIBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time after which another connection is tried beside one that does not stand yet.
+/// Time after which a second connection is attempted in parallel with one that is not
+/// established yet.
 ///
-/// Load pattern: machines have their power back within 0.3 s of each other. The opening
-/// packet to one that is still without is lost, and the operating system repeats it
-/// only after a second.
-const CONNECT_AGAIN: Duration = Duration::from_millis(50);
+/// Load pattern: machines regain power within 0.3 s of each other. A SYN packet to one
+/// that has no power yet is lost, and the operating system retransmits it only after a
+/// second.
+const CONNECT_HEDGE_DELAY: Duration = Duration::from_millis(50);
 
 /// Silence after which the upstream is left: three heartbeats.
-const SILENCE: Duration = Duration::from_millis(800);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// A large value or copy that has come in parts.
+/// A large value or complete copy that was received in parts.
 #[derive(Clone, Debug)]
-pub(crate) struct Received {
-    /// Revision at which it was written, or up to which the copy is whole.
+pub(crate) struct ReceivedValue {
+    /// Revision at which it was written, or up to which the copy is complete.
     pub(crate) revision: u64,
-    /// Bytes of its parts.
+    /// Total bytes of its parts.
     pub(crate) bytes: u64,
     /// Time from its first part to its last.
-    pub(crate) took: Duration,
+    pub(crate) transfer_time: Duration,
 }
 
-/// What an upstream tells at once.
+/// A decoded message, or several merged ones, from an upstream.
 #[derive(Clone, Debug)]
-pub(crate) struct Report {
-    /// Whether the changes are all entries there are.
-    pub(crate) is_everything: bool,
+pub(crate) struct UpstreamUpdate {
+    /// Whether `changes` is a complete copy.
+    pub(crate) is_full_copy: bool,
     pub(crate) changes: Vec<Change>,
-    /// Revision up to which everything is known with them.
+    /// Revision up to which all changes are known with this update.
     pub(crate) revision: u64,
-    /// Time since the upstream's last contact with the store; `None` when it never
-    /// had any, and while a copy is on its way.
+    /// Time since the upstream's last contact with the store; `None` when there was none,
+    /// and while a copy is being sent.
     pub(crate) age: Option<Duration>,
-    /// Whether a whole copy is on its way.
+    /// Whether a complete copy is being sent.
     pub(crate) awaits_copy: bool,
     /// Whether more small changes follow at once.
     pub(crate) has_more: bool,
-    /// Whether the upstream follows one that is not above it.
-    pub(crate) is_detour: bool,
-    /// Whether the upstream is about to end.
-    pub(crate) is_leaving: bool,
-    /// What the zone's instances counted against servers.
-    pub(crate) remarks: Vec<OutcomeEntry>,
-    /// The value that is complete with this.
-    pub(crate) received: Option<Received>,
+    /// Whether the upstream itself follows a fallback upstream, which is not above it.
+    pub(crate) is_on_fallback: bool,
+    /// Whether the upstream is about to stop.
+    pub(crate) is_stopping: bool,
+    /// Request outcomes counted by the zone's instances.
+    pub(crate) outcomes: Vec<OutcomeEntry>,
+    /// The value whose last part came with this update.
+    pub(crate) received: Option<ReceivedValue>,
 }
 
-impl Report {
-    /// Whether what was announced with it has not all come.
-    fn is_partial(&self) -> bool {
-        self.has_more || self.awaits_copy && !self.is_everything
+impl UpstreamUpdate {
+    /// Whether changes that it announces are still to come.
+    fn is_incomplete(&self) -> bool {
+        self.has_more || self.awaits_copy && !self.is_full_copy
     }
 
-    /// Adds the report that came after this one.
+    /// Merges the update that follows this one.
     fn extend(&mut self, next: Self) {
-        let before = std::mem::replace(self, next);
-        if self.is_everything {
+        let previous = std::mem::replace(self, next);
+        if self.is_full_copy {
             return;
         }
         let later = std::mem::take(&mut self.changes);
-        self.is_everything = before.is_everything;
-        self.received = self.received.take().or(before.received);
-        self.changes = if before.is_everything {
-            merge(before.changes, later)
+        self.is_full_copy = previous.is_full_copy;
+        self.received = self.received.take().or(previous.received);
+        self.changes = if previous.is_full_copy {
+            apply_to_copy(previous.changes, later)
         } else {
-            before.changes.into_iter().chain(later).collect()
+            previous.changes.into_iter().chain(later).collect()
         };
     }
 }
 
-/// A subscription that stands.
+/// An established subscription.
 pub(crate) struct Subscription {
     framed: Framed<TcpStream, LengthDelimitedCodec>,
-    inbox: Inbox,
+    assembler: PartAssembler,
     peer: SocketAddrV4,
-    /// When it was last heard.
-    heard: Instant,
-    /// When the first part of what is on its way came.
-    begun: Instant,
+    /// When the last message arrived.
+    last_received: Instant,
+    /// When the first part of the current value arrived.
+    transfer_started: Instant,
 }
 
 impl Subscription {
-    /// Connects, says what is known here, and waits for the first message.
-    pub(crate) async fn join(
+    /// Connects, sends what is known here, and waits for the first message.
+    pub(crate) async fn open(
         peer: SocketAddrV4,
         me: &Member,
-        horizon: Option<u64>,
-        bases: Vec<Base>,
-    ) -> Result<(Self, Report)> {
-        let joining = async {
-            let stream = pacing::hedge(CONNECT_AGAIN, || TcpStream::connect(peer)).await;
-            let stream = stream.map_err(|error| unreachable(peer, &error))?;
+        synced_revision: Option<u64>,
+        bases: Vec<BaseValue>,
+    ) -> Result<(Self, UpstreamUpdate)> {
+        let opening = async {
+            let stream = pacing::hedge(CONNECT_HEDGE_DELAY, || TcpStream::connect(peer)).await;
+            let stream = stream.map_err(|error| connect_error(peer, &error))?;
             let framed = Framed::new(stream, message::codec());
-            let subscribe = Subscribe {
+            let subscribe = SubscribeRequest {
                 instance: me.instance.to_string(),
-                horizon,
-                held: bases.iter().map(Held::from).collect(),
+                synced_revision,
+                held: bases.iter().map(HeldValue::from).collect(),
                 address: me.address.to_string(),
-                is_look: false,
+                is_probe: false,
             };
             let mut subscription = Self {
                 framed,
-                inbox: Inbox::new(bases),
+                assembler: PartAssembler::new(bases),
                 peer,
-                heard: Instant::now(),
-                begun: Instant::now(),
+                last_received: Instant::now(),
+                transfer_started: Instant::now(),
             };
-            subscription.ask(&subscribe).await?;
-            let report = subscription.next().await?;
-            Ok((subscription, report))
+            subscription.send_request(&subscribe).await?;
+            let update = subscription.next_update().await?;
+            Ok((subscription, update))
         };
-        let joined = time::timeout(JOIN_TIMEOUT, joining).await;
-        joined.unwrap_or_else(|_| Err(lost(peer, "timed out")))
+        let opened = time::timeout(SUBSCRIBE_TIMEOUT, opening).await;
+        opened.unwrap_or_else(|_| Err(subscription_error(peer, "timed out")))
     }
 
-    /// Waits for everything that was announced with a report.
+    /// Waits for all changes that an update announces.
     ///
-    /// Whoever took a part of it only would know itself to be behind, leave, and begin
-    /// anew with the same part.
-    pub(crate) async fn complete(&mut self, mut report: Report) -> Result<Report> {
-        while report.is_partial() {
-            report.extend(self.next().await?);
+    /// An instance that applied only some of them would consider itself outdated, leave,
+    /// and start again with the same ones.
+    pub(crate) async fn complete(&mut self, mut update: UpstreamUpdate) -> Result<UpstreamUpdate> {
+        while update.is_incomplete() {
+            update.extend(self.next_update().await?);
         }
-        Ok(report)
+        Ok(update)
     }
 
-    async fn ask(&mut self, subscribe: &Subscribe) -> Result<()> {
+    async fn send_request(&mut self, subscribe: &SubscribeRequest) -> Result<()> {
         let bytes: Bytes = subscribe.encode_to_vec().into();
         let sent = self.framed.send(bytes).await;
-        sent.map_err(|error| lost(self.peer, error))
+        sent.map_err(|error| subscription_error(self.peer, error))
     }
 
-    /// Tells the upstream of servers.
-    pub(crate) async fn tell(&mut self, remarks: &OutcomeReport) -> Result<()> {
-        let bytes: Bytes = remarks.encode_to_vec().into();
-        let sent = time::timeout(SILENCE, self.framed.send(bytes)).await;
-        let sent = sent.map_err(|_| lost(self.peer, "takes nothing"))?;
-        sent.map_err(|error| lost(self.peer, error))
+    /// Sends request outcomes to the upstream.
+    pub(crate) async fn send_report(&mut self, outcomes: &OutcomeReport) -> Result<()> {
+        let bytes: Bytes = outcomes.encode_to_vec().into();
+        let sent = time::timeout(SILENCE_TIMEOUT, self.framed.send(bytes)).await;
+        let sent = sent.map_err(|_| subscription_error(self.peer, "sending timed out"))?;
+        sent.map_err(|error| subscription_error(self.peer, error))
     }
 
-    /// The next message; an error when it stays away. A part of a large value is
-    /// a message like any other: a link that is slow is not silent.
-    pub(crate) async fn next(&mut self) -> Result<Report> {
-        let next = time::timeout_at(self.heard + SILENCE, self.framed.next()).await;
-        let next = next.map_err(|_| lost(self.peer, "silent"))?;
-        let frame = next.ok_or_else(|| lost(self.peer, "closed"))?;
-        let frame = frame.map_err(|error| lost(self.peer, error))?;
-        self.heard = Instant::now();
-        let mut news: News = message::decode("news from upstream", &self.peer.to_string(), frame)?;
-        let unpacked = news.unpack_rows();
-        unpacked.map_err(|error| lost(self.peer, error))?;
-        self.read(news)
+    /// Waits for the next message; returns an error when none arrives in time. A part of
+    /// a large value counts as a message, so a slow link is not taken for silence.
+    pub(crate) async fn next_update(&mut self) -> Result<UpstreamUpdate> {
+        let next = time::timeout_at(self.last_received + SILENCE_TIMEOUT, self.framed.next()).await;
+        let next = next.map_err(|_| subscription_error(self.peer, "silent"))?;
+        let frame = next.ok_or_else(|| subscription_error(self.peer, "closed"))?;
+        let frame = frame.map_err(|error| subscription_error(self.peer, error))?;
+        self.last_received = Instant::now();
+        let mut message: UpstreamMessage =
+            message::decode("message from upstream", &self.peer.to_string(), frame)?;
+        let unpacked = message.unpack_rows();
+        unpacked.map_err(|error| subscription_error(self.peer, error))?;
+        self.decode(message)
     }
 
-    fn read(&mut self, news: News) -> Result<Report> {
-        let mut report = Report {
-            is_everything: false,
-            changes: news.rows.into_iter().map(Change::from).collect(),
-            revision: news.revision,
-            age: news.age_ms.map(Duration::from_millis),
-            awaits_copy: news.awaits_copy,
-            has_more: news.has_more,
-            is_detour: news.is_detour,
-            is_leaving: news.is_leaving,
-            remarks: news.outcomes,
+    fn decode(&mut self, message: UpstreamMessage) -> Result<UpstreamUpdate> {
+        let mut update = UpstreamUpdate {
+            is_full_copy: false,
+            changes: message.rows.into_iter().map(Change::from).collect(),
+            revision: message.revision,
+            age: message.age_ms.map(Duration::from_millis),
+            awaits_copy: message.awaits_copy,
+            has_more: message.has_more,
+            is_on_fallback: message.is_on_fallback,
+            is_stopping: message.is_stopping,
+            outcomes: message.outcomes,
             received: None,
         };
-        let Some(part) = news.part else {
-            return Ok(report);
+        let Some(part) = message.part else {
+            return Ok(update);
         };
         if part.offset == 0 {
-            self.begun = self.heard;
+            self.transfer_started = self.last_received;
         }
-        report.received = part.is_last.then(|| Received {
+        update.received = part.is_last.then(|| ReceivedValue {
             revision: part.mod_revision,
             bytes: part.offset + part.bytes.len() as u64,
-            took: self.heard - self.begun,
+            transfer_time: self.last_received - self.transfer_started,
         });
-        let complete = self.inbox.take(part);
-        match complete.map_err(|misfit| lost(self.peer, misfit))? {
+        let complete = self.assembler.add(part);
+        match complete.map_err(|error| subscription_error(self.peer, error))? {
             None => {}
-            Some(Complete::Entry(entry)) => report.changes.push(Change::Put(entry)),
-            Some(Complete::Copy(entries, revision)) => {
-                report.is_everything = true;
-                report.revision = report.revision.max(revision);
+            Some(AssembledValue::Entry(entry)) => update.changes.push(Change::Put(entry)),
+            Some(AssembledValue::Copy(entries, revision)) => {
+                update.is_full_copy = true;
+                update.revision = update.revision.max(revision);
                 let entries = entries.into_iter().map(Change::Put);
-                report.changes = merge(entries.collect(), report.changes);
+                update.changes = apply_to_copy(entries.collect(), update.changes);
             }
         }
-        Ok(report)
+        Ok(update)
     }
 }
 
-/// What an instance answers to a look.
+/// Response to a liveness probe.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Sign {
-    /// Whether it has withdrawn from its routers.
+pub(crate) struct ProbeResponse {
+    /// Whether the instance has withdrawn from its routers.
     pub(crate) is_withdrawn: bool,
 }
 
-/// Looks whether an instance runs: a process that stands still takes connections as
-/// before, and answers nothing.
-pub(crate) async fn look(peer: SocketAddrV4, me: &Member) -> Result<Sign> {
-    let looking = async {
+/// Probes whether an instance is running: a frozen process still accepts connections,
+/// but does not respond.
+pub(crate) async fn probe(peer: SocketAddrV4, me: &Member) -> Result<ProbeResponse> {
+    let probing = async {
         let stream = TcpStream::connect(peer).await;
-        let stream = stream.map_err(|error| unreachable(peer, &error))?;
+        let stream = stream.map_err(|error| connect_error(peer, &error))?;
         let mut framed = Framed::new(stream, message::codec());
-        let subscribe = Subscribe {
+        let subscribe = SubscribeRequest {
             instance: me.instance.to_string(),
-            is_look: true,
-            ..Subscribe::default()
+            is_probe: true,
+            ..SubscribeRequest::default()
         };
         let bytes: Bytes = subscribe.encode_to_vec().into();
         let sent = framed.send(bytes).await;
-        sent.map_err(|error| lost(peer, error))?;
-        let frame = framed.next().await.ok_or_else(|| lost(peer, "closed"))?;
-        let frame = frame.map_err(|error| lost(peer, error))?;
-        let news: News = message::decode("answer to a look", &peer.to_string(), frame)?;
-        Ok(Sign {
-            is_withdrawn: news.is_withdrawn,
+        sent.map_err(|error| subscription_error(peer, error))?;
+        let frame = framed
+            .next()
+            .await
+            .ok_or_else(|| subscription_error(peer, "closed"))?;
+        let frame = frame.map_err(|error| subscription_error(peer, error))?;
+        let message: UpstreamMessage =
+            message::decode("response to a probe", &peer.to_string(), frame)?;
+        Ok(ProbeResponse {
+            is_withdrawn: message.is_withdrawn,
         })
     };
-    let looked = time::timeout(JOIN_TIMEOUT, looking).await;
-    looked.unwrap_or_else(|_| Err(lost(peer, "timed out")))
+    let probed = time::timeout(SUBSCRIBE_TIMEOUT, probing).await;
+    probed.unwrap_or_else(|_| Err(subscription_error(peer, "timed out")))
 }
 
-/// A whole copy with the changes after it.
-fn merge(copy: Vec<Change>, later: Vec<Change>) -> Vec<Change> {
+/// Applies later changes to a complete copy.
+fn apply_to_copy(copy: Vec<Change>, later: Vec<Change>) -> Vec<Change> {
     let mut merged: BTreeMap<String, Entry> = BTreeMap::new();
     for change in copy.into_iter().chain(later) {
         match change {
@@ -277,7 +283,7 @@
     merged.into_values().map(Change::Put).collect()
 }
 
-pub(crate) fn lost(peer: SocketAddrV4, reason: impl ToString) -> Error {
+pub(crate) fn subscription_error(peer: SocketAddrV4, reason: impl ToString) -> Error {
     Error::Unanswered {
         step: "subscription",
         peer: peer.to_string(),
@@ -285,7 +291,7 @@
     }
 }
 
-fn unreachable(peer: SocketAddrV4, error: &std::io::Error) -> Error {
+fn connect_error(peer: SocketAddrV4, error: &std::io::Error) -> Error {
     Error::Unreachable {
         step: "subscription",
         peer: peer.to_string(),
--- a/tests/replication/board.rs
+++ b/tests/replication/board.rs
@@ -1,4 +1,4 @@
-//! What instances of a zone tell each other of servers.
+//! Aggregation of request outcomes per server among the instances of a zone.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use godwitreel::replica::OutcomeReport;
 use tokio::time::Instant;
 
-fn remark(serial: u64, answers: f32, stalls: f32) -> OutcomeEntry {
+fn entry(serial: u64, answers: f32, stalls: f32) -> OutcomeEntry {
     OutcomeEntry {
         serial,
         incarnation: Some(5),
@@ -18,17 +18,17 @@
     }
 }
 
-/// A sum of which one instance counted so many stalls.
+/// A sum in which one single instance counted `worst_instance_stalls` of the stalls.
 fn sum(serial: u64, answers: f32, stalls: f32, worst_instance_stalls: f32) -> OutcomeEntry {
     OutcomeEntry {
         worst_instance_stalls,
-        ..remark(serial, answers, stalls)
+        ..entry(serial, answers, stalls)
     }
 }
 
-fn from(instances: u32, remarks: Vec<OutcomeEntry>) -> OutcomeReport {
+fn report(instances: u32, outcomes: Vec<OutcomeEntry>) -> OutcomeReport {
     OutcomeReport {
-        outcomes: remarks,
+        outcomes,
         instances,
     }
 }
@@ -36,91 +36,97 @@
 #[test]
 fn counts_are_added_up_on_the_way_up() {
     let now = Instant::now();
-    let board = OutcomeAggregator::default();
-    board.set_local(vec![remark(1, 4.0, 1.0)]);
-    let (first, second) = (board.add_subscriber(), board.add_subscriber());
-    board.receive_from_subscriber(now, first, from(3, vec![remark(1, 2.0, 1.5)]));
-    board.receive_from_subscriber(now, second, from(1, vec![remark(2, 1.0, 1.0)]));
-    let up = board.report_for_upstream(now);
+    let aggregator = OutcomeAggregator::default();
+    aggregator.set_local(vec![entry(1, 4.0, 1.0)]);
+    let (first, second) = (aggregator.add_subscriber(), aggregator.add_subscriber());
+    aggregator.receive_from_subscriber(now, first, report(3, vec![entry(1, 2.0, 1.5)]));
+    aggregator.receive_from_subscriber(now, second, report(1, vec![entry(2, 1.0, 1.0)]));
+    let up = aggregator.report_for_upstream(now);
     assert_eq!(up.instances, 5);
     let sums = vec![sum(1, 6.0, 2.5, 1.0), sum(2, 1.0, 1.0, 1.0)];
     assert_eq!(up.outcomes, sums);
-    assert_eq!(board.zone_outcomes(now), up.outcomes, "nobody is above");
-    board.remove_subscriber(second);
-    assert_eq!(board.report_for_upstream(now).outcomes.len(), 1);
+    assert_eq!(
+        aggregator.zone_outcomes(now),
+        up.outcomes,
+        "there is no upstream"
+    );
+    aggregator.remove_subscriber(second);
+    assert_eq!(aggregator.report_for_upstream(now).outcomes.len(), 1);
 }
 
 #[test]
 fn the_sum_comes_down_from_above() {
     let now = Instant::now();
-    let board = OutcomeAggregator::default();
-    board.set_local(vec![remark(1, 4.0, 1.0)]);
-    board.receive_from_upstream(now, vec![remark(1, 90.0, 2.0)]);
-    assert_eq!(board.zone_outcomes(now), vec![remark(1, 90.0, 2.0)]);
+    let aggregator = OutcomeAggregator::default();
+    aggregator.set_local(vec![entry(1, 4.0, 1.0)]);
+    aggregator.receive_from_upstream(now, vec![entry(1, 90.0, 2.0)]);
+    assert_eq!(aggregator.zone_outcomes(now), vec![entry(1, 90.0, 2.0)]);
     assert_eq!(
-        board.report_for_upstream(now).outcomes,
+        aggregator.report_for_upstream(now).outcomes,
         vec![sum(1, 4.0, 1.0, 1.0)]
     );
 }
 
-// The instance above is frozen or gone, a subscriber is cut off: what they said
-// must not count for ever.
+// Guards against counts that outlive their sender: the upstream is frozen or gone, or a
+// subscriber is cut off.
 #[test]
-fn what_was_told_long_ago_is_forgotten() {
+fn old_reports_expire() {
     let now = Instant::now();
-    let board = OutcomeAggregator::default();
-    let below = board.add_subscriber();
-    board.receive_from_subscriber(now, below, from(1, vec![remark(1, 0.0, 1.0)]));
-    board.receive_from_upstream(now, vec![remark(2, 0.0, 1.0)]);
+    let aggregator = OutcomeAggregator::default();
+    let below = aggregator.add_subscriber();
+    aggregator.receive_from_subscriber(now, below, report(1, vec![entry(1, 0.0, 1.0)]));
+    aggregator.receive_from_upstream(now, vec![entry(2, 0.0, 1.0)]);
     let later = now + Duration::from_secs(2);
-    assert_eq!(board.zone_outcomes(later), Vec::new());
-    assert_eq!(board.report_for_upstream(later), from(1, Vec::new()));
+    assert_eq!(aggregator.zone_outcomes(later), Vec::new());
+    assert_eq!(aggregator.report_for_upstream(later), report(1, Vec::new()));
 }
 
-// One instance lies, or is confused. It can say no more than one instance can have
-// seen, for no more servers than a message holds, and rubbish counts nothing.
+// Guards against an instance that reports wrong counts. Its counts are limited to what
+// one instance can have seen and to the servers that fit in one message, and invalid
+// numbers count as zero.
 #[test]
-fn one_instance_moves_the_sum_little() {
+fn one_instance_has_little_effect_on_the_sum() {
     let now = Instant::now();
-    let board = OutcomeAggregator::default();
-    let liar = board.add_subscriber();
-    let wild = OutcomeEntry {
+    let aggregator = OutcomeAggregator::default();
+    let faulty = aggregator.add_subscriber();
+    let invalid = OutcomeEntry {
         premature: f32::NAN,
         answers: -7.0,
         stalls: 1e30,
-        ..remark(1, 0.0, 0.0)
+        ..entry(1, 0.0, 0.0)
     };
-    board.receive_from_subscriber(now, liar, from(1, vec![wild; 500]));
-    let sum = board.report_for_upstream(now).outcomes[0];
+    aggregator.receive_from_subscriber(now, faulty, report(1, vec![invalid; 500]));
+    let sum = aggregator.report_for_upstream(now).outcomes[0];
     assert_eq!((sum.answers, sum.premature), (0.0, 0.0));
-    assert_eq!(sum.stalls, 2.0, "once, and within its limit");
-    let many: Vec<OutcomeEntry> = (0..500).map(|serial| remark(serial, 0.0, 1.0)).collect();
-    board.receive_from_subscriber(now, liar, from(u32::MAX, many));
-    let up = board.report_for_upstream(now);
+    assert_eq!(sum.stalls, 2.0, "counted once, and within its limit");
+    let many: Vec<OutcomeEntry> = (0..500).map(|serial| entry(serial, 0.0, 1.0)).collect();
+    aggregator.receive_from_subscriber(now, faulty, report(u32::MAX, many));
+    let up = aggregator.report_for_upstream(now);
     assert_eq!(up.outcomes.len(), 16);
-    assert_eq!(up.instances, 18, "itself and at most a whole branch");
+    assert_eq!(up.instances, 18, "itself and at most one whole subtree");
 }
 
-// The loudest of all instances is known at the top, by whichever ways the sums came, and
-// counts no more than all others together.
+// The counts of the instance with the most failures are known at the top of the tree,
+// whichever path the sums took, and they weigh no more than those of all other
+// instances together.
 #[test]
-fn the_loudest_counts_no_more_than_all_others() {
+fn the_worst_instance_counts_no_more_than_all_others() {
     let now = Instant::now();
-    let board = OutcomeAggregator::default();
-    board.set_local(vec![remark(1, 4.0, 0.5)]);
-    let (first, second) = (board.add_subscriber(), board.add_subscriber());
-    board.receive_from_subscriber(now, first, from(3, vec![sum(1, 2.0, 2.5, 1.5)]));
-    board.receive_from_subscriber(now, second, from(1, vec![remark(1, 0.0, 1.0)]));
-    assert_eq!(board.zone_outcomes(now), vec![sum(1, 6.0, 4.0, 1.5)]);
-    assert_eq!(board.confirmed_outcomes(now)[0].stalls, 4.0);
-    board.remove_subscriber(first);
-    assert_eq!(board.zone_outcomes(now), vec![sum(1, 4.0, 1.5, 1.0)]);
-    assert_eq!(board.confirmed_outcomes(now)[0].stalls, 1.0);
+    let aggregator = OutcomeAggregator::default();
+    aggregator.set_local(vec![entry(1, 4.0, 0.5)]);
+    let (first, second) = (aggregator.add_subscriber(), aggregator.add_subscriber());
+    aggregator.receive_from_subscriber(now, first, report(3, vec![sum(1, 2.0, 2.5, 1.5)]));
+    aggregator.receive_from_subscriber(now, second, report(1, vec![entry(1, 0.0, 1.0)]));
+    assert_eq!(aggregator.zone_outcomes(now), vec![sum(1, 6.0, 4.0, 1.5)]);
+    assert_eq!(aggregator.confirmed_outcomes(now)[0].stalls, 4.0);
+    aggregator.remove_subscriber(first);
+    assert_eq!(aggregator.zone_outcomes(now), vec![sum(1, 4.0, 1.5, 1.0)]);
+    assert_eq!(aggregator.confirmed_outcomes(now)[0].stalls, 1.0);
     let lower = OutcomeAggregator::default();
-    lower.receive_from_upstream(now, board.zone_outcomes(now));
+    lower.receive_from_upstream(now, aggregator.zone_outcomes(now));
     assert_eq!(
         lower.confirmed_outcomes(now)[0].stalls,
         1.0,
-        "held down once, not again"
+        "limited once, not again"
     );
 }
