--- a/tests/adapter/mod.rs
+++ b/tests/adapter/mod.rs
@@ -1,8 +1,8 @@
-//! Connects a bench of another kind to the decision core.
+//! Drives the decision engine from a test bench that speaks JSON lines.
 //!
-//! The bench speaks JSON lines and calls callers and servers by name. Each line
-//! is one event with its time; the answer is the list of actions, one line each.
-//! The core keeps its opaque endpoints: names are mapped to them here alone.
+//! The bench identifies callers and servers by name. Each line is one event with its
+//! time; the response is the list of resulting actions, one per line. The engine knows
+//! only opaque endpoints; the mapping between names and endpoints is kept here.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -38,14 +38,15 @@
 use serde_json::json;
 use tokio::time::Instant;
 
-/// Port of every endpoint that stands for a name.
+/// Port of every endpoint that is assigned to a name.
 const PORT: u16 = 5_683;
 
-/// How long a server counts as confirmed after the bench said that it is up.
+/// How long a server counts as confirmed after the bench reported its health.
 const CONFIRMED_FOR: Duration = Duration::from_secs(3_600);
 
+/// An event with its time, as the bench sends it.
 #[derive(Deserialize)]
-struct Line {
+struct TimedInput {
     at_ms: u64,
     #[serde(flatten)]
     input: Input,
@@ -55,7 +56,7 @@
 #[serde(tag = "event", rename_all = "kebab-case")]
 enum Input {
     Snapshot {
-        services: Vec<Choice>,
+        services: Vec<ServiceInput>,
     },
     Health {
         server: id::Server,
@@ -73,7 +74,7 @@
         service: id::Service,
         id: u64,
         token: u64,
-        kind: Kind,
+        kind: RequestKind,
         payload: String,
     },
     Receipt {
@@ -99,14 +100,14 @@
 }
 
 #[derive(Deserialize)]
-struct Choice {
+struct ServiceInput {
     name: id::Service,
     profile: document::Profile,
-    servers: Vec<Listed>,
+    servers: Vec<ServerInput>,
 }
 
 #[derive(Deserialize)]
-struct Listed {
+struct ServerInput {
     name: id::Server,
     zone: id::Zone,
     slots: u32,
@@ -114,18 +115,19 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-enum Kind {
+enum RequestKind {
     Idempotent,
     Once,
     Open,
     Close,
 }
 
-/// Endpoints that stand for the bench's names.
+/// Endpoints by the name that the bench uses.
 #[derive(Default)]
-struct Names(BTreeMap<String, id::Endpoint>);
+struct EndpointsByName(BTreeMap<String, id::Endpoint>);
 
-impl Names {
+impl EndpointsByName {
+    /// The endpoint of a name; a new name gets the next free address.
     fn endpoint(&mut self, name: &str) -> id::Endpoint {
         let next = u32::from(Ipv4Addr::new(10, 0, 0, 1)) + self.0.len() as u32;
         let address = (Ipv4Addr::from(next), PORT).into();
@@ -141,16 +143,16 @@
     }
 }
 
-/// One engine under the bench.
+/// One engine, driven by the bench.
 pub(crate) struct Adapter {
     engine: Engine,
-    names: Names,
+    endpoints: EndpointsByName,
     servers: BTreeMap<id::Server, Arc<Server>>,
     start: Instant,
 }
 
 impl Adapter {
-    /// An engine of this instance's life, with one worker.
+    /// Creates an engine with one worker for the instance `me`.
     pub(crate) fn new(me: id::Holder, zone: id::Zone) -> Self {
         Self {
             engine: Engine::new(engine::Settings {
@@ -163,15 +165,15 @@
                 max_flows: 1_000,
                 seed: 1,
             }),
-            names: Names::default(),
+            endpoints: EndpointsByName::default(),
             servers: BTreeMap::new(),
             start: Instant::now(),
         }
     }
 
-    /// Takes one line and returns the actions that follow from it.
-    pub(crate) fn take(&mut self, line: &str) -> Result<Vec<Value>, String> {
-        let line: Line = serde_json::from_str(line).map_err(|error| error.to_string())?;
+    /// Handles one line and returns the resulting actions.
+    pub(crate) fn handle_line(&mut self, line: &str) -> Result<Vec<Value>, String> {
+        let line: TimedInput = serde_json::from_str(line).map_err(|error| error.to_string())?;
         let now = self.start + Duration::from_millis(line.at_ms);
         let Some(event) = self.event(now, line.input)? else {
             return Ok(Vec::new());
@@ -180,7 +182,8 @@
         Ok(actions.iter().map(|action| self.action(action)).collect())
     }
 
-    /// The event of a line; none if it concerns what servers and engine share.
+    /// The engine event of an input; `None` for health, which goes directly into the
+    /// server state that the engine shares.
     fn event(&mut self, now: Instant, input: Input) -> Result<Option<Event>, String> {
         Ok(Some(match input {
             Input::Snapshot { services } => Event::Snapshot(self.snapshot(services)),
@@ -236,7 +239,7 @@
                 feed,
                 payload,
             } => Event::Answer {
-                from: self.names.endpoint(&from),
+                from: self.endpoints.endpoint(&from),
                 attempt,
                 answer: request::Answer {
                     verdict: if refused {
@@ -259,39 +262,39 @@
     }
 
     fn flow(&mut self, caller: &str, service: id::Service) -> Flow {
-        let caller = self.names.endpoint(caller);
+        let caller = self.endpoints.endpoint(caller);
         Flow { service, caller }
     }
 
-    fn snapshot(&mut self, choices: Vec<Choice>) -> Arc<Snapshot> {
-        let services = choices.into_iter().map(|choice| {
-            let listed = choice.servers.iter();
-            let servers = listed.map(|listed| self.server(&choice.name, listed));
+    fn snapshot(&mut self, inputs: Vec<ServiceInput>) -> Arc<Snapshot> {
+        let services = inputs.into_iter().map(|input| {
+            let server_inputs = input.servers.iter();
+            let servers = server_inputs.map(|server| self.server(&input.name, server));
             let service = Service {
-                id: choice.name.clone(),
+                id: input.name.clone(),
                 profile_id: "bench".parse().expect("a name"),
                 revision: id::Revision(1),
-                profile: Arc::new(choice.profile),
+                profile: Arc::new(input.profile),
                 servers: servers.collect(),
             };
-            (choice.name.clone(), Arc::new(service))
+            (input.name.clone(), Arc::new(service))
         });
         Arc::new(Snapshot {
             services: services.collect(),
         })
     }
 
-    fn server(&mut self, service: &id::Service, listed: &Listed) -> Arc<Server> {
+    fn server(&mut self, service: &id::Service, input: &ServerInput) -> Arc<Server> {
         let document = document::Server {
             service: service.clone(),
-            zone: listed.zone.clone(),
-            address: self.names.endpoint(listed.name.as_str()),
-            health: self.names.endpoint(&format!("{}/health", listed.name)),
-            slots: listed.slots,
+            zone: input.zone.clone(),
+            address: self.endpoints.endpoint(input.name.as_str()),
+            health: self.endpoints.endpoint(&format!("{}/health", input.name)),
+            slots: input.slots,
             state: document::State::Up,
         };
-        let server = Server::new(listed.name.clone(), &document);
-        let known = self.servers.entry(listed.name.clone());
+        let server = Server::new(input.name.clone(), &document);
+        let known = self.servers.entry(input.name.clone());
         Arc::clone(known.or_insert(Arc::new(server)))
     }
 
@@ -319,7 +322,7 @@
                 "attempt": attempt, "remaining_ms": remaining.as_millis() as u64,
                 "payload": text(datagram)}),
             Action::Reject { to, attempt, .. } => {
-                json!({"action": "reject", "server": self.names.name(*to), "attempt": attempt})
+                json!({"action": "reject", "server": self.endpoints.name(*to), "attempt": attempt})
             }
             Action::Answer {
                 flow,
@@ -329,12 +332,12 @@
                 sequence,
                 outcome,
                 ..
-            } => json!({"action": "answer", "caller": self.names.name(flow.caller),
+            } => json!({"action": "answer", "caller": self.endpoints.name(flow.caller),
                 "service": flow.service, "id": id.0 as u64, "token": token.0 as u64,
                 "separate": matches!(delivery, Delivery::Separate { .. }),
                 "sequence": sequence, "outcome": self::outcome(outcome)}),
             Action::Acknowledge { flow, id } => json!({"action": "acknowledge",
-                "caller": self.names.name(flow.caller), "service": flow.service,
+                "caller": self.endpoints.name(flow.caller), "service": flow.service,
                 "id": id.0 as u64}),
             Action::Notify {
                 flow,
@@ -343,7 +346,7 @@
                 sequence,
                 datagram,
                 ..
-            } => json!({"action": "notify", "caller": self.names.name(flow.caller),
+            } => json!({"action": "notify", "caller": self.endpoints.name(flow.caller),
                 "service": flow.service, "token": token.0 as u64, "message": message,
                 "sequence": sequence, "payload": datagram.as_ref().map(text)}),
             Action::Peer { to, body } => json!({"action": "peer", "to": to,
@@ -356,13 +359,13 @@
     }
 }
 
-impl From<Kind> for request::Kind {
-    fn from(kind: Kind) -> Self {
+impl From<RequestKind> for request::Kind {
+    fn from(kind: RequestKind) -> Self {
         match kind {
-            Kind::Idempotent => Self::Idempotent,
-            Kind::Once => Self::Once,
-            Kind::Open => Self::Open,
-            Kind::Close => Self::Close,
+            RequestKind::Idempotent => Self::Idempotent,
+            RequestKind::Once => Self::Once,
+            RequestKind::Open => Self::Open,
+            RequestKind::Close => Self::Close,
         }
     }
 }
@@ -387,7 +390,7 @@
     String::from_utf8_lossy(datagram).into_owned()
 }
 
-/// Peer messages stay opaque to the bench, which only carries them.
+/// Encodes a peer message in base64; the bench forwards the message without reading it.
 fn frame(body: &Body) -> String {
     let envelope = Envelope {
         body: Some(body.clone()),
--- a/tests/bench.rs
+++ b/tests/bench.rs
@@ -18,7 +18,9 @@
     let mut adapter = adapter();
     let mut answers = Vec::new();
     for (place, line) in events.lines().enumerate() {
-        let actions = adapter.take(line).expect("a line that is understood");
+        let actions = adapter
+            .handle_line(line)
+            .expect("a line that is understood");
         let number = place + 1;
         answers.extend(actions.into_iter().map(|action| (number, action)));
     }
@@ -62,6 +64,6 @@
         r#"{"at_ms": 0, "event": "health", "server": "nobody", "state": "up"}"#,
         r#"{"at_ms": 0, "event": "peer", "from": "kality-1#1", "frame": "!"}"#,
     ] {
-        assert!(adapter.take(line).is_err(), "{line}");
+        assert!(adapter.handle_line(line).is_err(), "{line}");
     }
 }
