--- a/tests/view.rs
+++ b/tests/view.rs
@@ -1,4 +1,4 @@
-//! The tool's view of one entry instance, which answers as a real one does.
+//! `godwitreel view` against a stub of an entry instance's status port.
 
 use std::net::SocketAddr;
 
@@ -84,11 +84,11 @@
     }
 }
 
-/// Serves an answer at an address of its own.
-async fn serve<T: serde::Serialize + Clone + Send + Sync + 'static>(answer: T) -> SocketAddr {
+/// Serves `body` as JSON under `/status` on a free port.
+async fn serve<T: serde::Serialize + Clone + Send + Sync + 'static>(body: T) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let router = Router::new().route("/status", get(move || async move { Json(answer.clone()) }));
+    let router = Router::new().route("/status", get(move || async move { Json(body.clone()) }));
     tokio::spawn(async move { axum::serve(listener, router).await });
     address
 }
@@ -103,46 +103,46 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_view_shows_what_an_instance_believes() {
+async fn a_view_shows_the_status_of_an_instance() {
     let address = serve(status()).await;
-    let shown = |text| predicate::str::contains(text);
+    let contains = |text| predicate::str::contains(text);
     view(address, &[])
         .await
         .success()
         .stdout(
-            shown("edge-bole-1")
-                .and(shown("edge-bole-2"))
-                .and(shown("17")),
+            contains("edge-bole-1")
+                .and(contains("edge-bole-2"))
+                .and(contains("17")),
         )
         .stdout(
-            shown("draining")
-                .and(shown("suspected"))
-                .and(shown("missing")),
+            contains("draining")
+                .and(contains("suspected"))
+                .and(contains("missing")),
         )
         .stdout(
-            shown("evacuated zone")
-                .and(shown("merkato"))
-                .and(shown("4200")),
+            contains("evacuated zone")
+                .and(contains("merkato"))
+                .and(contains("4200")),
         )
         .stdout(
-            shown("unreadable")
-                .and(shown("servers/i-9"))
-                .and(shown("missing field `addr`")),
+            contains("unreadable")
+                .and(contains("servers/i-9"))
+                .and(contains("missing field `addr`")),
         );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_view_as_json_is_the_answer_itself() {
+async fn a_view_as_json_is_the_unchanged_response() {
     let address = serve(status()).await;
     let assert = view(address, &["--output", "json"]).await.success();
-    let shown: Status = serde_json::from_slice(&assert.get_output().stdout).unwrap();
-    assert_eq!(shown, status());
+    let printed: Status = serde_json::from_slice(&assert.get_output().stdout).unwrap();
+    assert_eq!(printed, status());
 }
 
-// Nobody answers at the address, or something else does: the operator must not
-// take what is printed for an instance's view.
+// With no listener at the address, or with another service there, the command must
+// fail, so that operators don't mistake its output for the status of an instance.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_view_of_nobody_or_of_something_else_fails() {
+async fn a_view_of_an_address_without_an_instance_fails() {
     let free = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = free.local_addr().unwrap();
     drop(free);
--- a/tests/withdrawal.rs
+++ b/tests/withdrawal.rs
@@ -1,4 +1,4 @@
-//! Telling routers to go elsewhere while most of a zone stands still.
+//! Withdrawal: an instance reports "not ready" while most of its zone is frozen.
 
 use godwitreel::entry::Withdrawal;
 use godwitreel::replica::Headcount;
@@ -19,44 +19,55 @@
     }
 }
 
-/// What an instance says after each of these looks.
-fn said(looks: &[Tally]) -> Vec<bool> {
+/// Whether an instance is withdrawn after each of these tallies.
+fn withdrawn_after_each(tallies: &[Tally]) -> Vec<bool> {
     let mut withdrawal = Withdrawal::default();
-    let looks = looks.iter().map(|tally| {
+    let states = tallies.iter().map(|tally| {
         withdrawal.note(tally);
         withdrawal.is_withdrawn()
     });
-    looks.collect()
+    states.collect()
 }
 
-// Two of three stand still for five seconds, and two flows of three go to them. The one
-// that is left withdraws after two looks, and is back two looks after they are.
+// Two of three instances freeze for five seconds, and routers send two flows of three to
+// them. The third instance withdraws after two tallies, and returns two tallies after the
+// others answer again.
 #[test]
 fn the_last_of_a_zone_withdraws_while_most_stand_still() {
-    let still = tally(zone(1, 3), &[zone(3, 3)]);
-    let well = tally(zone(3, 3), &[]);
-    let looks = [still.clone(), still.clone(), still, well.clone(), well];
-    assert_eq!(said(&looks), [false, true, true, true, false]);
+    let frozen = tally(zone(1, 3), &[zone(3, 3)]);
+    let healthy = tally(zone(3, 3), &[]);
+    let tallies = [
+        frozen.clone(),
+        frozen.clone(),
+        frozen,
+        healthy.clone(),
+        healthy,
+    ];
+    assert_eq!(
+        withdrawn_after_each(&tallies),
+        [false, true, true, true, false]
+    );
 }
 
-// One answer was late. Nothing changes, however often that happens in between.
+// A late answer makes a single tally show a minority. As long as the next tally is good,
+// that changes nothing, however often it happens.
 #[test]
 fn one_late_answer_changes_nothing() {
-    let still = tally(zone(1, 3), &[zone(3, 3)]);
-    let well = tally(zone(3, 3), &[]);
-    let looks = [still.clone(), well.clone(), still, well];
-    assert_eq!(said(&looks), [false; 4]);
+    let late = tally(zone(1, 3), &[zone(3, 3)]);
+    let healthy = tally(zone(3, 3), &[]);
+    let tallies = [late.clone(), healthy.clone(), late, healthy];
+    assert_eq!(withdrawn_after_each(&tallies), [false; 4]);
 }
 
-// Half of the zone answers: routers leave out those that do not.
+// While half of the zone answers, routers skip only the instances that do not.
 #[test]
 fn half_of_a_zone_is_enough() {
     let half = tally(zone(2, 4), &[zone(4, 4)]);
-    assert_eq!(said(&[half.clone(), half]), [false; 2]);
+    assert_eq!(withdrawn_after_each(&[half.clone(), half]), [false; 2]);
 }
 
-// No other zone can take the callers: none answers, most of it stands still, or it has
-// withdrawn itself. If all withdrew, nobody would be left.
+// No other zone can take the callers, as it does not answer, is mostly frozen or has
+// withdrawn itself. Withdrawing here as well could leave callers without any zone.
 #[test]
 fn nobody_withdraws_where_no_other_zone_is_better() {
     let withdrawn = Headcount {
@@ -65,6 +76,10 @@
     };
     for elsewhere in [&[][..], &[zone(0, 3)], &[zone(1, 3)], &[withdrawn]] {
         let alone = tally(zone(1, 3), elsewhere);
-        assert_eq!(said(&[alone.clone(), alone]), [false; 2], "{elsewhere:?}");
+        assert_eq!(
+            withdrawn_after_each(&[alone.clone(), alone]),
+            [false; 2],
+            "{elsewhere:?}"
+        );
     }
 }
