--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -1,4 +1,4 @@
-//! Availability zones that are cut off from each other and from the platform.
+//! Network partitions between availability zones, and between zones and the platform.
 
 mod utils;
 
@@ -22,8 +22,9 @@
 
 const BOOKINGS: u64 = 30;
 
-/// Longest pause of a feed whose home is cut off, for a busy machine.
-const LONGEST_GAP: Duration = Duration::from_secs(8);
+/// Longest allowed time between two notifications of a feed whose home is cut off; wide
+/// enough for a busy test machine.
+const MAX_NOTIFICATION_GAP: Duration = Duration::from_secs(8);
 
 async fn book(caller: Caller, payload: String) -> (String, Outcome, Caller) {
     let body = payload.clone();
@@ -33,25 +34,27 @@
     (payload, outcome, caller)
 }
 
-/// [`quick`], with a log that says why a caller was told "unknown".
-fn told() -> Value {
+/// [`quick`] with debug logs, which give the reason for each "unknown" outcome.
+fn settings_with_debug_log() -> Value {
     let mut settings = quick();
     settings["log"] = json!({"level": "debug", "format": "text"});
     settings
 }
 
-/// A seed that no other caller of this file's bookings has.
+/// A seed that no other caller of the bookings in this file has.
 ///
-/// A caller may get the port of one that is gone. With that one's seed its request
-/// has the same id, too, and is a copy to whoever takes it: it is told the outcome
-/// of the earlier one.
+/// The operating system may reuse the port of a caller that has ended. With the same seed
+/// the new caller would also reuse the request id, so that its request would count as a
+/// duplicate and get the outcome of the earlier request.
 fn next_seed() -> u64 {
-    // Tests name smaller ones themselves.
+    // Seeds below 100 are chosen by the tests themselves.
     static NEXT: AtomicU64 = AtomicU64::new(100);
     NEXT.fetch_add(1, Ordering::Relaxed)
 }
 
-/// Bookings by callers of their own, each through one of the instances.
+/// Sends [`BOOKINGS`] bookings, each from a new caller, through `places` in turn.
+///
+/// Returns the number of each outcome, and every payload with its outcome.
 async fn bookings(
     cluster: &Cluster,
     tag: &str,
@@ -64,7 +67,7 @@
         tasks.spawn(book(caller, format!("{tag}-{number}")));
     }
     let mut counts = BTreeMap::new();
-    let mut told = Vec::new();
+    let mut outcomes = Vec::new();
     for (payload, outcome, _) in tasks.join_all().await {
         let name = match outcome {
             Outcome::Answered { .. } => "answered",
@@ -73,14 +76,15 @@
             Outcome::Silent => "silent",
         };
         *counts.entry(name).or_default() += 1;
-        told.push((payload, outcome));
+        outcomes.push((payload, outcome));
     }
     println!("{tag}: {counts:?}");
-    (counts, told)
+    (counts, outcomes)
 }
 
-fn is_true(cluster: &Cluster, told: &[(String, Outcome)]) {
-    for (payload, outcome) in told {
+/// Asserts that each reported outcome matches how often the request ran.
+fn assert_outcomes_match_runs(cluster: &Cluster, outcomes: &[(String, Outcome)]) {
+    for (payload, outcome) in outcomes {
         let starts = cluster.starts(payload);
         match outcome {
             Outcome::Answered { .. } => assert_eq!(starts, 1, "{payload}"),
@@ -90,17 +94,17 @@
     }
 }
 
-/// One zone is cut off from the others and from the platform; callers reach both
-/// sides. Feeds and idempotent requests go on everywhere. Bookings whose home and
-/// backup are on both sides get "unknown" in the zone that is cut off, and run on
-/// the side that has the platform once the backup is promoted there. After
-/// healing every slice has one home again and nothing has run twice.
+/// One zone is cut off from the other zones and from the platform, while callers reach
+/// both sides. Feeds and idempotent requests continue on both sides. Bookings of a slice
+/// whose home is on one side and whose backup is on the other get "unknown" in the
+/// isolated zone; on the side with the platform they run once the backup is promoted.
+/// After the partition heals, each slice has one home again and no booking has run twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_cut_off_from_all_serves_what_it_can() {
     let cluster = Cluster::start(Plan {
         zones: vec!["bole", "kality", "merkato", "bole"],
         services: vec![("dispatch", 6)],
-        settings: told(),
+        settings: settings_with_debug_log(),
         profile: json!({"slow_start_s": 0, "feed_silence_s": 2, "deadline_ms": 4_000}),
         proxied: true,
         ..Plan::default()
@@ -124,7 +128,8 @@
         let feed = caller.observe("/route", PATIENCE).await;
         feed.expect("a feed").cancel(PATIENCE).await;
     }
-    // The others notice, and promote or replace what they cannot hear.
+    // The reachable instances detect the partition and take over the slices of the
+    // isolated ones: they promote backups or assign new homes.
     cluster
         .until("the side with the platform has all slices", async || {
             let mut homes = 0;
@@ -135,41 +140,41 @@
             homes == 64
         })
         .await;
-    let (counts, near) = bookings(&cluster, "with platform", &[1, 2]).await;
+    let (counts, connected) = bookings(&cluster, "with platform", &[1, 2]).await;
     assert_eq!(counts.get("answered"), Some(&BOOKINGS), "{counts:?}");
-    let (counts, far) = bookings(&cluster, "cut off", &[0, 3]).await;
+    let (counts, isolated) = bookings(&cluster, "cut off", &[0, 3]).await;
     assert_eq!(counts.get("silent"), None, "{counts:?}");
     cluster.part(&[]);
     cluster.cut_platform(0, false);
     cluster.cut_platform(3, false);
     cluster.settled().await;
     sleep(Duration::from_secs(2)).await;
-    is_true(&cluster, &near);
-    is_true(&cluster, &far);
+    assert_outcomes_match_runs(&cluster, &connected);
+    assert_outcomes_match_runs(&cluster, &isolated);
     let (counts, healed) = bookings(&cluster, "healed", &[0, 1, 2, 3]).await;
     assert_eq!(counts.get("answered"), Some(&BOOKINGS), "{counts:?}");
-    is_true(&cluster, &healed);
+    assert_outcomes_match_runs(&cluster, &healed);
     for feed in feeds {
         let watched = feed.finish().await;
         assert_eq!(watched.ended, None);
         println!("longest pause {:?}", watched.longest);
-        assert!(watched.longest < LONGEST_GAP, "{watched:?}");
+        assert!(watched.longest < MAX_NOTIFICATION_GAP, "{watched:?}");
     }
 }
 
-/// All zones lose each other and the platform at once, in the middle of
-/// bookings. Claims cannot be acknowledged, so that bookings get "unknown" and
-/// are not run by two homes; idempotent requests go on in every zone.
+/// All zones are cut off from each other and from the platform at once, while bookings
+/// are in progress. Homes get no acknowledgement of their claims, so bookings get
+/// "unknown" and never run on two homes. Idempotent requests continue in every zone.
 #[tokio::test(flavor = "multi_thread")]
-async fn zones_that_lose_everything_tell_no_split_outcome() {
+async fn fully_isolated_zones_report_no_conflicting_outcomes() {
     let cluster = Cluster::start(Plan {
-        settings: told(),
+        settings: settings_with_debug_log(),
         profile: json!({"slow_start_s": 0, "deadline_ms": 4_000}),
         proxied: true,
         ..Plan::default()
     })
     .await;
-    let before = {
+    let during = {
         let cluster = &cluster;
         async move { bookings(cluster, "during the cut", &[0, 1, 2]).await }
     };
@@ -180,10 +185,10 @@
             cluster.cut_platform(place, true);
         }
     };
-    let ((_, mut told), ()) = tokio::join!(before, cut);
+    let ((_, mut outcomes), ()) = tokio::join!(during, cut);
     let (counts, later) = bookings(&cluster, "cut off", &[0, 1, 2]).await;
     assert_eq!(counts.get("unknown"), Some(&BOOKINGS), "{counts:?}");
-    told.extend(later);
+    outcomes.extend(later);
     for place in 0..3 {
         let caller = cluster.caller_at("dispatch", place, 50).await;
         let outcome = caller
@@ -197,21 +202,21 @@
     }
     cluster.settled().await;
     sleep(Duration::from_secs(2)).await;
-    is_true(&cluster, &told);
+    assert_outcomes_match_runs(&cluster, &outcomes);
     let (counts, healed) = bookings(&cluster, "healed", &[0, 1, 2]).await;
     assert_eq!(counts.get("answered"), Some(&BOOKINGS), "{counts:?}");
-    is_true(&cluster, &healed);
+    assert_outcomes_match_runs(&cluster, &healed);
 }
 
-/// A caller's feed goes on while its home and its backup cannot hear each other
-/// and the platform is down, and after they can again. The backup takes the feed
-/// for orphaned and serves it under greater numbers; then it hears the home and
-/// stops. The home must go on above those numbers, or the caller drops all that
-/// follows as old.
+/// A feed continues while its home and its backup are partitioned and the platform is
+/// down, and after they reconnect. During the partition the backup considers the feed
+/// orphaned and serves it with higher sequence numbers, and stops once it is connected
+/// to the home again. The home must continue above those numbers; otherwise the caller
+/// drops every later notification as out of date.
 #[tokio::test(flavor = "multi_thread")]
-async fn feeds_survive_zones_that_lose_and_find_each_other() {
+async fn feeds_survive_zones_that_split_and_reconnect() {
     let cluster = Cluster::start(Plan {
-        settings: told(),
+        settings: settings_with_debug_log(),
         profile: json!({"slow_start_s": 0}),
         proxied: true,
         ..Plan::default()
@@ -231,10 +236,10 @@
         sleep(Duration::from_secs(3)).await;
     }
     cluster.platform.down(false);
-    sleep(LONGEST_GAP + Duration::from_secs(1)).await;
+    sleep(MAX_NOTIFICATION_GAP + Duration::from_secs(1)).await;
     for feed in feeds {
         let watched = feed.finish().await;
         assert_eq!(watched.ended, None);
-        assert!(watched.longest < LONGEST_GAP, "{watched:?}");
+        assert!(watched.longest < MAX_NOTIFICATION_GAP, "{watched:?}");
     }
 }
