--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP ports: readiness for the routers, metrics and status for operators.
+//! HTTP ports: readiness for routers, metrics and status for operators.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -24,17 +24,17 @@
 use crate::error::Result;
 use crate::metric::CONTENT_TYPE as OPEN_METRICS;
 
-/// Asks the task that holds the state.
-pub(crate) type Question = oneshot::Sender<Status>;
+/// Request for the status, answered by the main loop of the instance.
+pub(crate) type StatusRequest = oneshot::Sender<Status>;
 
-/// What the ports share with that task.
+/// State that the HTTP handlers share with the main loop.
 pub(crate) struct Shared {
     pub(crate) is_ready: AtomicBool,
     pub(crate) metrics: Metrics,
-    pub(crate) questions: mpsc::Sender<Question>,
+    pub(crate) status_requests: mpsc::Sender<StatusRequest>,
 }
 
-/// Serves both ports until the process ends.
+/// Binds both ports and serves them in the background until the process ends.
 pub(crate) async fn serve(
     ready: SocketAddrV4,
     metrics: SocketAddrV4,
@@ -42,20 +42,20 @@
     log: &Logger,
 ) -> Result<()> {
     let routers = Router::new()
-        .route("/ready", get(tell_ready))
+        .route("/ready", get(get_ready))
         .with_state(Arc::clone(&shared));
     let operators = Router::new()
-        .route("/metrics", get(tell_metrics))
-        .route("/status", get(tell_status))
+        .route("/metrics", get(get_metrics))
+        .route("/status", get(get_status))
         .with_state(shared);
-    let first = listen(ready).await?;
-    let second = listen(metrics).await?;
-    tokio::spawn(keep(first, routers, log.clone()));
-    tokio::spawn(keep(second, operators, log.clone()));
+    let ready_listener = listen(ready).await?;
+    let metrics_listener = listen(metrics).await?;
+    tokio::spawn(serve_port(ready_listener, routers, log.clone()));
+    tokio::spawn(serve_port(metrics_listener, operators, log.clone()));
     Ok(())
 }
 
-async fn keep(listener: TcpListener, router: Router, log: Logger) {
+async fn serve_port(listener: TcpListener, router: Router, log: Logger) {
     if let Err(error) = axum::serve(listener, router).await {
         error!(log, "HTTP port failed"; "error" => %error);
     }
@@ -71,7 +71,7 @@
         })
 }
 
-async fn tell_ready(State(shared): State<Arc<Shared>>) -> StatusCode {
+async fn get_ready(State(shared): State<Arc<Shared>>) -> StatusCode {
     if shared.is_ready.load(Ordering::Relaxed) {
         StatusCode::OK
     } else {
@@ -79,13 +79,13 @@
     }
 }
 
-async fn tell_metrics(State(shared): State<Arc<Shared>>) -> impl IntoResponse {
+async fn get_metrics(State(shared): State<Arc<Shared>>) -> impl IntoResponse {
     ([(CONTENT_TYPE, OPEN_METRICS)], shared.metrics.encode())
 }
 
-async fn tell_status(State(shared): State<Arc<Shared>>) -> impl IntoResponse {
-    let (answer, status) = oneshot::channel();
-    if shared.questions.send(answer).await.is_err() {
+async fn get_status(State(shared): State<Arc<Shared>>) -> impl IntoResponse {
+    let (sender, status) = oneshot::channel();
+    if shared.status_requests.send(sender).await.is_err() {
         return Err(StatusCode::SERVICE_UNAVAILABLE);
     }
     let status = status.await.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
--- a/src/entry/metric.rs
+++ b/src/entry/metric.rs
@@ -1,6 +1,6 @@
 //! Metrics of an entry instance, as OpenMetrics text.
 //!
-//! All labels come from fixed lists, so that no caller can make the text grow.
+//! All label values come from fixed lists, so that callers can't grow the output.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,13 +19,13 @@
 use crate::platform::transport::Transport;
 use crate::replica;
 
-/// Bounds of the handshake's buckets, in seconds: one round trip between caller
-/// and instance up to the third copy of an opening packet.
-const HANDSHAKE: [f64; 10] = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.4];
+/// Bucket bounds of the handshake histogram, in seconds: from one round trip between
+/// caller and instance to the second retransmission of an opening packet.
+const HANDSHAKE_BUCKETS: [f64; 10] = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.4];
 
-/// Bounds of the answers' buckets, in seconds: the shortest request known to the
-/// longest deadline.
-const ANSWER: [f64; 11] = [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.5, 5.0, 10.0];
+/// Bucket bounds of the answer histogram, in seconds: from the shortest known request to
+/// the longest deadline.
+const ANSWER_BUCKETS: [f64; 11] = [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.5, 5.0, 10.0];
 
 /// Counters and gauges.
 pub(crate) struct Metrics {
@@ -42,8 +42,8 @@
     pub(crate) version: Gauge,
     pub(crate) evacuated: Gauge,
     pub(crate) ready: Gauge,
-    /// Bytes that wait for this instance's link.
-    pub(crate) waiting: Gauge,
+    /// Bytes queued for this instance's link.
+    pub(crate) link_queue: Gauge,
 }
 
 impl Metrics {
@@ -55,14 +55,14 @@
             decisions: Family::default(),
             refused_entries: Counter::default(),
             omitted_lines: Counter::default(),
-            handshake: Histogram::new(HANDSHAKE),
-            answer: Histogram::new(ANSWER),
+            handshake: Histogram::new(HANDSHAKE_BUCKETS),
+            answer: Histogram::new(ANSWER_BUCKETS),
             servers: Gauge::default(),
             flows: Gauge::default(),
             version: Gauge::default(),
             evacuated: Gauge::default(),
             ready: Gauge::default(),
-            waiting: Gauge::default(),
+            link_queue: Gauge::default(),
         };
         metrics.register(store, replica);
         metrics
@@ -121,7 +121,7 @@
         registry.register(
             "link_waiting_bytes",
             "Bytes of callers' packets that wait for this instance's link",
-            self.waiting.clone(),
+            self.link_queue.clone(),
         );
         registry.register_collector(Box::new(Platform(store)));
         registry.register_collector(Box::new(View(replica)));
@@ -143,12 +143,13 @@
         self.decisions.get_or_create(&KindLabels { kind }).inc();
     }
 
-    pub(crate) fn observe(histogram: &Histogram, taken: Duration) {
-        histogram.observe(taken.as_secs_f64());
+    pub(crate) fn observe(histogram: &Histogram, duration: Duration) {
+        histogram.observe(duration.as_secs_f64());
     }
 
-    /// Creates every reason's counter, so that a rate can be taken from the first.
-    pub(crate) fn prepare(&self) {
+    /// Creates the counter of each drop reason with value 0, so that monitoring can
+    /// compute a rate from the first drop on.
+    pub(crate) fn create_drop_counters(&self) {
         for reason in flow::Drop::ALL {
             let kind = reason.code();
             drop(self.dropped.get_or_create(&KindLabels { kind }));
@@ -157,7 +158,7 @@
 
     pub(crate) fn encode(&self) -> String {
         let mut text = String::new();
-        // Writing into a string fails only when a metric does, and none here does.
+        // Encoding into a string fails only if a metric fails to encode, and none here does.
         if text::encode(&mut text, &self.registry).is_err() {
             text.clear();
         }
--- a/src/entry/refusals.rs
+++ b/src/entry/refusals.rs
@@ -1,7 +1,7 @@
-//! Entries of the store that cannot be read at present.
+//! Entries of the store that cannot be decoded at present.
 //!
-//! Anybody may write to the store. One writer's rubbish must neither fill the log
-//! nor the memory, and operators have to see which keys it is.
+//! Any client can write to the store. Invalid entries must fill neither the log nor the
+//! memory, and operators must be able to see their keys.
 
 use std::collections::BTreeMap;
 
@@ -15,16 +15,17 @@
 use crate::platform::poll::Refusal;
 use crate::replica::Update;
 
-/// Log lines a second: enough to see a fault begin, few beside the decisions'.
-const LINES: Rate = Rate(5);
+/// Log lines per second: enough to see a fault begin, and few compared with the lines
+/// about flow decisions.
+const LOG_RATE: Rate = Rate(5);
 
-/// Keys that are remembered for the view.
-const MOST_KEYS: usize = 32;
+/// Number of keys kept for the status.
+const MAX_KEYS: usize = 32;
 
-/// Longest reason that is kept, in characters: errors quote what they refuse.
-const MOST_REASON: usize = 200;
+/// Longest stored reason in characters, since errors quote the invalid value.
+const MAX_REASON_CHARS: usize = 200;
 
-/// The entries that cannot be read, and the allowance to say so.
+/// The entries that cannot be decoded, and the rate limit of their log lines.
 pub(crate) struct Refusals {
     by_key: BTreeMap<String, String>,
     bucket: Bucket,
@@ -35,13 +36,13 @@
     pub(crate) fn new(now: Instant) -> Self {
         Self {
             by_key: BTreeMap::new(),
-            bucket: Bucket::new(LINES, now),
+            bucket: Bucket::new(LOG_RATE, now),
             omitted: 0,
         }
     }
 
-    /// Forgets what an update says anew.
-    pub(crate) fn renew(&mut self, update: &Update) {
+    /// Removes the keys that an update rewrites or deletes.
+    pub(crate) fn forget_updated(&mut self, update: &Update) {
         match update {
             Update::Reset { .. } => self.by_key.clear(),
             Update::Change(Change::Put(entry)) => {
@@ -54,9 +55,9 @@
         }
     }
 
-    /// Remembers an entry, and logs it if the rate allows.
+    /// Stores an entry's reason, and logs it if the rate allows.
     pub(crate) fn note(&mut self, now: Instant, refusal: &Refusal, log: &Logger) {
-        let reason: String = refusal.reason.chars().take(MOST_REASON).collect();
+        let reason: String = refusal.reason.chars().take(MAX_REASON_CHARS).collect();
         if self.bucket.take_urgent(now) {
             let omitted = std::mem::take(&mut self.omitted);
             warn!(log, "entry of the store refused"; "key" => &refusal.key,
@@ -64,12 +65,12 @@
         } else {
             self.omitted += 1;
         }
-        if self.by_key.len() < MOST_KEYS || self.by_key.contains_key(&refusal.key) {
+        if self.by_key.len() < MAX_KEYS || self.by_key.contains_key(&refusal.key) {
             self.by_key.insert(refusal.key.clone(), reason);
         }
     }
 
-    /// The keys, with the reasons.
+    /// The keys with the reasons.
     pub(crate) fn list(&self) -> Vec<Refusal> {
         let row = |(key, reason): (&String, &String)| Refusal {
             key: key.clone(),
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -31,7 +31,7 @@
 use crate::entry::refusals::Refusals;
 use crate::entry::remarks::remark;
 use crate::entry::remarks::testimony;
-use crate::entry::signals::Asked;
+use crate::entry::signals::SignalAction;
 use crate::entry::signals::Signals;
 use crate::entry::socket::Socket;
 use crate::entry::start;
@@ -60,15 +60,16 @@
 use crate::replica::Tally;
 use crate::replica::Update;
 
-/// Packets taken before anything else gets its turn.
+/// Largest number of packets received in a row before other events are handled.
 const BATCH: usize = 256;
 
-/// Longest time between two looks at what is due.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+/// Longest time between two checks for expired timers.
+const MAX_TIMER_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Questions for the status that may wait.
-const QUESTIONS: usize = 16;
+/// Capacity of the queue of status requests.
+const STATUS_QUEUE_LEN: usize = 16;
 
+/// State of an instance, owned by its main loop.
 struct Instance {
     settings: Settings,
     adapter: Adapter,
@@ -79,7 +80,7 @@
     refusals: Refusals,
     shared: Arc<Shared>,
     log: Logger,
-    /// Where changes come from; `None` for the store itself.
+    /// The instance that changes come from; `None` for the store itself.
     upstream: Option<id::Instance>,
     /// The copy of the store, and what instances tell each other.
     replica: Arc<replica::Shared>,
@@ -94,7 +95,7 @@
     kept: mpsc::Sender<()>,
 }
 
-/// Runs an entry instance until it is told to stop.
+/// Runs an entry instance until a signal stops it.
 ///
 /// # Errors
 ///
@@ -109,13 +110,13 @@
     let (sender, mut tallies) = mpsc::channel(1);
     let me = start::member(&settings);
     tokio::spawn(replica::take_census(me, Arc::clone(&replica), sender));
-    let (questions, mut asked) = mpsc::channel(QUESTIONS);
+    let (status_requests, mut requested) = mpsc::channel(STATUS_QUEUE_LEN);
     let metrics = Metrics::new(transport, Arc::clone(&replica));
-    metrics.prepare();
+    metrics.create_drop_counters();
     let shared = Arc::new(Shared {
         is_ready: AtomicBool::new(false),
         metrics,
-        questions,
+        status_requests,
     });
     let link = settings.link_mbps.bytes_per_second();
     let egress = Egress::new(link, Instant::now());
@@ -143,8 +144,8 @@
         adapter,
         settings,
     };
-    while !instance.is_over(Instant::now()) {
-        let wake = instance.wake();
+    while !instance.has_stopped(Instant::now()) {
+        let wake = instance.next_wake();
         tokio::select! {
             biased;
             signal = signals.next() => instance.signal(signal, &file),
@@ -152,7 +153,7 @@
             Some(tally) = tallies.recv() => instance.note_tally(&tally),
             Some(()) = is_kept.recv() => {
                 if let Some(stop) = &mut instance.stop {
-                    stop.note_kept();
+                    stop.note_copy_available();
                 }
             }
             readable = instance.socket.readable() => {
@@ -160,25 +161,26 @@
                     warn!(instance.log, "packet socket failed"; "error" => %error);
                 }
             }
-            Some(question) = asked.recv() => {
-                // Whoever asked may have left.
-                let _ = question.send(instance.status());
+            Some(reply) = requested.recv() => {
+                // The HTTP client may have disconnected.
+                let _ = reply.send(instance.status());
             }
             () = time::sleep_until(wake) => {}
         }
-        instance.work();
+        instance.process();
     }
     info!(instance.log, "stopped"; "flows" => instance.plane.flows());
     Ok(())
 }
 
 impl Instance {
-    fn is_over(&self, now: Instant) -> bool {
+    fn has_stopped(&self, now: Instant) -> bool {
         self.stop.is_some_and(|stop| now >= stop.ends_at())
     }
 
-    fn wake(&self) -> Instant {
-        let mut wake = Instant::now() + LOOK_EVERY;
+    /// When the main loop must run again even without an event.
+    fn next_wake(&self) -> Instant {
+        let mut wake = Instant::now() + MAX_TIMER_INTERVAL;
         let dues = [self.plane.next_due(), self.socket.next_due()];
         for due in dues.into_iter().flatten() {
             wake = wake.min(due);
@@ -189,9 +191,9 @@
         wake
     }
 
-    /// Takes the packets that wait, then looks at what is due: in this order,
-    /// since the answers that something waits for may be among the packets.
-    fn work(&mut self) {
+    /// Handles the waiting packets, then the expired timers. Packets come first, since
+    /// they may contain the answers that a timer waits for.
+    fn process(&mut self) {
         let mut is_drained = false;
         for _ in 0..BATCH {
             match self.socket.receive() {
@@ -207,10 +209,10 @@
                 }
             }
         }
-        self.send_waiting();
+        self.send_queued();
         if is_drained {
-            self.expire();
-            self.share();
+            self.expire_timers();
+            self.exchange_outcomes();
         }
         self.report();
     }
@@ -238,11 +240,11 @@
             });
             return;
         }
-        self.handle(now, &segment, length);
+        self.handle_packet(now, &segment, length);
     }
 
-    /// Decides about the packet in the socket's buffer.
-    fn handle(&mut self, now: Instant, segment: &Segment, length: usize) {
+    /// Forwards, resets or drops the packet in the socket's buffer.
+    fn handle_packet(&mut self, now: Instant, segment: &Segment, length: usize) {
         let packet = self.socket.packet(length);
         let verdict = self.plane.receive(now, segment, packet);
         let (outcome, sent) = match verdict {
@@ -257,7 +259,7 @@
         self.count_send(sent);
     }
 
-    /// Handles what came before the first copy, once there is one.
+    /// Handles the packets that came before the first copy, once there is a copy.
     fn handle_backlog(&mut self) {
         if self.backlog.is_empty() || !self.plane.is_ready() {
             return;
@@ -271,7 +273,7 @@
         } in early
         {
             let length = self.socket.load(&packet);
-            self.handle(now, &segment, length);
+            self.handle_packet(now, &segment, length);
         }
     }
 
@@ -292,11 +294,11 @@
         }
     }
 
-    /// Sends what waits and what the link has room for.
-    fn send_waiting(&mut self) {
+    /// Sends queued packets while the link has room.
+    fn send_queued(&mut self) {
         let now = Instant::now();
         while let Some(sent) = self.socket.send_next(now) {
-            // A stop must not cut off what waits here.
+            // A graceful stop must not drop queued packets.
             if let Some(stop) = &mut self.stop {
                 stop.note_packet(now);
             }
@@ -304,18 +306,18 @@
         }
         self.shared
             .metrics
-            .waiting
-            .set(self.socket.waiting() as i64);
+            .link_queue
+            .set(self.socket.queued_bytes() as i64);
     }
 
-    /// A packet that cannot be sent is lost like any other; its sender repeats it.
+    /// Counts a failed send. The packet counts as lost, and its sender retransmits it.
     fn count_send(&mut self, sent: io::Result<()>) {
         if sent.is_err() {
             self.shared.metrics.count_packet("send_failed");
         }
     }
 
-    fn expire(&mut self) {
+    fn expire_timers(&mut self) {
         let now = Instant::now();
         for resend in self.plane.expire(now) {
             let sent = self.socket.resend(now, &resend);
@@ -324,8 +326,9 @@
         }
     }
 
-    /// Tells the zone what speaks against servers here, and hears what it counted.
-    fn share(&mut self) {
+    /// Publishes this instance's request outcomes to the zone, and applies the outcomes
+    /// that the zone's other instances counted.
+    fn exchange_outcomes(&mut self) {
         let now = Instant::now();
         if now < self.told + TELL_EVERY {
             return;
@@ -369,7 +372,7 @@
     fn learn(&mut self, update: Update) {
         let now = Instant::now();
         self.tell_contact(now, &update);
-        self.refusals.renew(&update);
+        self.refusals.forget_updated(&update);
         let reading = Reading::new(&self.adapter.vocabulary, update);
         for refusal in &reading.refused {
             self.shared.metrics.refused_entries.inc();
@@ -425,9 +428,9 @@
         metrics.version.set(self.plane.version() as i64);
     }
 
-    fn signal(&mut self, signal: Asked, file: &Path) {
+    fn signal(&mut self, signal: SignalAction, file: &Path) {
         match signal {
-            Asked::Stop if self.stop.is_none() => {
+            SignalAction::Stop if self.stop.is_none() => {
                 info!(self.log, "stopping"; "flows" => self.plane.flows());
                 self.backlog.clear();
                 self.stop = Some(Stop::new(Instant::now(), self.settings.grace()));
@@ -435,8 +438,8 @@
                 self.replica.begin_leaving();
                 self.hand_over();
             }
-            Asked::Stop => {}
-            Asked::Reload => self.reload(file),
+            SignalAction::Stop => {}
+            SignalAction::Reload => self.reload(file),
         }
     }
 
@@ -465,15 +468,15 @@
         };
         let kept = self.kept.clone();
         tokio::spawn(async move {
-            time::sleep(stop::HAND_OVER_AFTER).await;
+            time::sleep(stop::HANDOVER_DELAY).await;
             handover.wait().await;
-            // The process may be ending.
+            // The main loop may have ended already.
             let _ = kept.send(()).await;
         });
     }
 
-    /// Takes over what can change while the process runs. Settings that cannot
-    /// be read leave those in force.
+    /// Reloads the settings that can change at run time. If the file is invalid, the
+    /// current settings stay in force.
     fn reload(&mut self, file: &Path) {
         match Settings::load(file) {
             Ok(settings) => {
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one entry instance, in JSON with comments.
+//! Settings of an entry instance, read from JSON with comments.
 
 use std::net::SocketAddrV4;
 use std::path::Path;
@@ -16,30 +16,30 @@
 use crate::settings::Log;
 use crate::settings::jsonc::Source;
 
-/// The store and this instance's share of it.
+/// Addresses of the store and how this instance uses it.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Store {
-    /// Its addresses, which are one store.
+    /// Addresses of the store; all of them must lead to the same data.
     pub addresses: Vec<Base>,
-    /// Reads that this instance may make.
+    /// Rate limit of this instance's reads.
     #[serde(default = "default_reads")]
     pub reads_per_second: Rate,
-    /// Longest time in which a dead connection may go unnoticed, in
-    /// milliseconds. Operators' changes must be in force 3 to 5 s after they
-    /// can reach the instance.
+    /// Longest time until a dead connection to the store is detected, in milliseconds.
+    /// Operators' changes must take effect 3 to 5 s after the instance can read them.
     #[serde(default = "default_notice_ms")]
     pub notice_ms: u64,
-    /// Times in which changes of the store must be in force here, in
-    /// milliseconds; the least counts. 3 s when none is given.
+    /// Times in which changes of the store must take effect here, in milliseconds.
+    /// The shortest one applies; without any the limit is 3 s.
     #[serde(default)]
     pub bounds_ms: Vec<u64>,
-    /// Pause in which changes gather, in milliseconds.
+    /// Pause between polls in which changes are collected, in milliseconds.
     #[serde(default = "default_gather_ms")]
     pub gather_ms: u64,
-    /// Longest time that the first instance after the three heads of a zone waits for
-    /// another one's copy, when it starts, before it reads the store as well, in
-    /// milliseconds; each further one waits half as long more, 1.5 s at most.
+    /// Longest time that a starting instance waits for a copy from another instance
+    /// before it reads the store as well, in milliseconds. This applies to the first
+    /// instance after the three heads of a zone; each further instance waits half this
+    /// time longer than the one before, 1.5 s at most.
     #[serde(default = "default_copy_wait_ms")]
     pub copy_wait_ms: u64,
 }
@@ -48,52 +48,53 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of this instance.
+    /// Name of the instance.
     pub instance: id::Instance,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: id::Zone,
-    /// UDP address for callers' packets, bound here.
+    /// UDP listen address for callers' packets.
     pub packets: SocketAddrV4,
-    /// HTTP address that tells whether to send packets here, bound here.
+    /// HTTP listen address of the readiness probe for routers.
     pub ready: SocketAddrV4,
-    /// HTTP address for metrics and status, bound here.
+    /// HTTP listen address for metrics and status.
     pub metrics: SocketAddrV4,
-    /// TCP address for other instances' subscriptions, bound here.
+    /// TCP listen address for other instances' subscriptions.
     pub peers: SocketAddrV4,
-    /// Where others find that address, if a relay stands before this instance.
+    /// Address under which other instances reach `peers`, if that differs because of a
+    /// relay or proxy in between.
     #[serde(default)]
     pub peers_advertised: Option<SocketAddrV4>,
-    /// Such addresses of some instances, to ask when the store does not answer
-    /// at the start.
+    /// Peer addresses of some instances, used to get a copy when the store does not
+    /// answer at startup.
     #[serde(default)]
     pub seeds: Vec<SocketAddrV4>,
     /// The store.
     pub store: Store,
-    /// Longest life of a flow, in seconds.
+    /// Longest lifetime of a flow, in seconds.
     #[serde(default = "default_flow_ttl_s")]
     pub flow_ttl_s: u64,
-    /// Longest planned stop, in milliseconds.
+    /// Longest duration of a graceful stop, in milliseconds.
     #[serde(default = "default_grace_ms")]
     pub grace_ms: u64,
-    /// Requests a slot by which a server of another zone must be less loaded
-    /// than this zone's to get a new flow.
+    /// Margin, in requests per slot, by which a server of another zone must be less
+    /// loaded than the servers of this zone before it gets a new flow.
     #[serde(default = "default_spill")]
     pub spill: f64,
-    /// Rate of this instance's link, in Mbit/s.
+    /// Bandwidth of this instance's network link, in Mbit/s.
     #[serde(default = "default_link")]
     pub link_mbps: Bandwidth,
-    /// Flows remembered at most.
+    /// Largest number of flows in the flow table.
     #[serde(default = "default_max_flows")]
     pub max_flows: u32,
-    /// Log lines a second at most; what is beyond is counted.
+    /// Largest number of log lines per second; lines beyond it are only counted.
     #[serde(default = "default_log_rate")]
     pub log_lines_per_second: Rate,
-    /// Logs.
+    /// Log level and format.
     #[serde(default)]
     pub log: Log,
 }
 
-/// A hundredth of what the smallest store known serves.
+/// A hundredth of the read rate that the smallest known store serves.
 fn default_reads() -> Rate {
     Rate(20)
 }
@@ -106,7 +107,8 @@
     400
 }
 
-/// Instances that read the store are ready 25 to 50 ms after their start.
+/// Slightly more than the 25 to 50 ms after which instances that read the store
+/// themselves are ready.
 fn default_copy_wait_ms() -> u64 {
     60
 }
@@ -119,9 +121,9 @@
     6_000
 }
 
-/// Measured from 0.75 to 4 on days with bursts, cut zones and lost servers: less
-/// loses flows when a zone is cut off, more lets queues overflow in a zone that
-/// lost servers.
+/// Chosen from the range 0.75 to 4 under bursts, partitions and server failures. A
+/// smaller margin loses flows when a zone is cut off; a larger one lets queues overflow
+/// in a zone that lost servers.
 fn default_spill() -> f64 {
     2.5
 }
@@ -152,7 +154,7 @@
     ///
     /// # Errors
     ///
-    /// [`crate::Error::Field`] for the first field that is refused.
+    /// [`crate::Error::Field`] for the first invalid field.
     pub fn parse(file: &Path, text: &str) -> Result<Self> {
         let source = Source::new(file, text)?;
         let settings: Self = source.parse()?;
@@ -162,8 +164,8 @@
         }
     }
 
-    /// What other instances are told to subscribe to.
-    pub(crate) fn advertised(&self) -> SocketAddrV4 {
+    /// Address at which other instances subscribe to this one.
+    pub(crate) fn advertised_address(&self) -> SocketAddrV4 {
         self.peers_advertised.unwrap_or(self.peers)
     }
 
@@ -171,10 +173,10 @@
         Duration::from_millis(self.store.notice_ms)
     }
 
-    /// The least time in which changes must be in force, if one is given.
+    /// The shortest time in which changes must take effect, if one is configured.
     pub(crate) fn bound(&self) -> Option<Duration> {
-        let least = self.store.bounds_ms.iter().min();
-        least.copied().map(Duration::from_millis)
+        let shortest = self.store.bounds_ms.iter().min();
+        shortest.copied().map(Duration::from_millis)
     }
 
     pub(crate) fn copy_wait(&self) -> Duration {
--- a/src/entry/signals.rs
+++ b/src/entry/signals.rs
@@ -1,4 +1,4 @@
-//! What signals ask of an entry instance.
+//! Unix signals that an entry instance handles.
 
 use tokio::signal::unix::Signal;
 use tokio::signal::unix::SignalKind;
@@ -6,14 +6,14 @@
 use crate::error::Result;
 use crate::signal;
 
-/// What a signal asks for.
+/// Action that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Asked {
+pub(crate) enum SignalAction {
     Stop,
     Reload,
 }
 
-/// The signals that an instance obeys.
+/// Streams of the handled signals.
 pub(crate) struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -29,11 +29,11 @@
         })
     }
 
-    pub(crate) async fn next(&mut self) -> Asked {
+    pub(crate) async fn next(&mut self) -> SignalAction {
         tokio::select! {
-            _ = self.terminate.recv() => Asked::Stop,
-            _ = self.interrupt.recv() => Asked::Stop,
-            _ = self.hangup.recv() => Asked::Reload,
+            _ = self.terminate.recv() => SignalAction::Stop,
+            _ = self.interrupt.recv() => SignalAction::Stop,
+            _ = self.hangup.recv() => SignalAction::Reload,
         }
     }
 }
--- a/src/entry/socket.rs
+++ b/src/entry/socket.rs
@@ -1,4 +1,4 @@
-//! The UDP socket between callers and backend servers.
+//! UDP socket that receives callers' packets and forwards them to backend servers.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -17,7 +17,7 @@
 use crate::flow::Segment;
 use crate::flow::Target;
 
-/// A socket with room for one packet and the bytes in front of it.
+/// The socket, with a buffer for one packet and its server header.
 pub(crate) struct Socket {
     udp: UdpSocket,
     codec: Codec,
@@ -32,7 +32,7 @@
             peer: address.to_string(),
             source,
         })?;
-        // One byte more than the largest packet shows one that is too large.
+        // The extra byte makes an oversized packet visible instead of truncating it.
         let buffer = vec![0; ENVELOPE + codec.largest + 1];
         Ok(Self {
             udp,
@@ -46,7 +46,8 @@
         self.udp.readable().await
     }
 
-    /// Reads the next packet that waits; its length, or `None`.
+    /// Reads the next packet into the buffer and returns its length; `None` if no packet
+    /// is waiting.
     pub(crate) fn receive(&mut self) -> io::Result<Option<usize>> {
         match self.udp.try_recv(&mut self.buffer[ENVELOPE..]) {
             Ok(length) => Ok(Some(length)),
@@ -55,19 +56,20 @@
         }
     }
 
-    /// Puts a packet back in the place of the one read last; its length.
+    /// Copies a packet into the buffer as if it had just been read, and returns its
+    /// length.
     pub(crate) fn load(&mut self, packet: &[u8]) -> usize {
         self.buffer[ENVELOPE..ENVELOPE + packet.len()].copy_from_slice(packet);
         packet.len()
     }
 
-    /// The packet read last.
+    /// The packet in the buffer.
     pub(crate) fn packet(&self, length: usize) -> &[u8] {
         &self.buffer[ENVELOPE..ENVELOPE + length]
     }
 
-    /// Passes on the packet read last, or lets it wait for the link; `false` when too
-    /// much waits already.
+    /// Sends the packet in the buffer to its server, or queues it for the link. Returns
+    /// `false` if the queue is full and the packet is dropped.
     pub(crate) fn forward(
         &mut self,
         now: Instant,
@@ -76,7 +78,7 @@
         target: &Target,
     ) -> io::Result<bool> {
         let datagram = &mut self.buffer[..ENVELOPE + length];
-        address(&self.codec, datagram, target);
+        write_target(&self.codec, datagram, target);
         if self.egress.passes(now, datagram.len()) {
             self.udp.try_send_to(datagram, target.address.into())?;
             return Ok(true);
@@ -88,36 +90,37 @@
         Ok(self.egress.wait(segment, datagram) != Admission::Refused)
     }
 
-    /// Sends the next packet that waits, if the link has room for it.
+    /// Sends the next queued packet, if the link has room for it.
     pub(crate) fn send_next(&mut self, now: Instant) -> Option<io::Result<()>> {
         let datagram = self.egress.next(now)?;
         let sent = self.udp.try_send_to(&datagram.bytes, datagram.to.into());
         Some(sent.map(|_| ()))
     }
 
-    /// When the link has room for the next packet that waits.
+    /// When the link will have room for the next queued packet.
     pub(crate) fn next_due(&self) -> Option<Instant> {
         self.egress.next_due()
     }
 
-    /// Bytes that wait for the link.
-    pub(crate) fn waiting(&self) -> usize {
+    /// Bytes in the queue for the link.
+    pub(crate) fn queued_bytes(&self) -> usize {
         self.egress.bytes()
     }
 
-    /// Sends a kept packet. It is small, and its caller has waited already.
+    /// Sends a stored opening packet to another server. It bypasses the queue, since it
+    /// is small and its caller has been waiting already.
     pub(crate) fn resend(&mut self, now: Instant, resend: &Resend) -> io::Result<()> {
         let mut datagram = vec![0; ENVELOPE];
         datagram.extend_from_slice(&resend.packet);
-        address(&self.codec, &mut datagram, &resend.target);
+        write_target(&self.codec, &mut datagram, &resend.target);
         let to = resend.target.address.into();
         self.egress.count(now, datagram.len());
         self.udp.try_send_to(&datagram, to)?;
         Ok(())
     }
 
-    /// Resets the flow of a caller's packet. Callers take packets at the port
-    /// number of the packet address, whatever their own.
+    /// Sends the packet that resets the flow of a caller's packet. Callers receive on the
+    /// port number of this socket, whatever port they send from.
     pub(crate) fn reset(&self, segment: &Segment) -> io::Result<()> {
         let port = self.udp.local_addr()?.port();
         let to = SocketAddrV4::new(*segment.pair.caller.ip(), port);
@@ -127,7 +130,8 @@
     }
 }
 
-fn address(codec: &Codec, datagram: &mut [u8], target: &Target) {
+/// Writes the server header and the routing tag into a datagram.
+fn write_target(codec: &Codec, datagram: &mut [u8], target: &Target) {
     let (envelope, packet) = datagram.split_at_mut(ENVELOPE);
     envelope.copy_from_slice(&(codec.envelope)(target.serial));
     (codec.set_tag)(packet, target.tag);
--- a/src/entry/start.rs
+++ b/src/entry/start.rs
@@ -1,4 +1,4 @@
-//! What an entry instance is started with.
+//! Sets up an entry instance: options, store client and replication.
 
 use std::hash::Hash;
 use std::hash::Hasher;
@@ -28,45 +28,46 @@
 use crate::replica::Sources;
 use crate::replica::Update;
 
-/// Updates of the copy that may wait; its source waits for room beyond.
-const UPDATES: usize = 256;
+/// Capacity of the queue of updates from the copy; its source blocks while it is full.
+const UPDATE_QUEUE_LEN: usize = 256;
 
-/// Flow forgotten after this silence while no configuration says.
+/// Idle time after which a flow is removed, until a configuration sets another.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Time for a call to the store beside the time that it may wait. Answers take
-/// 4 ms, in bad hours 250.
+/// Timeout of a store call, in addition to its long-poll wait. The store responds in 4 ms,
+/// and in 250 ms while it is slow.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Time in which changes must be in force, by which the following ones are meant;
-/// where the platform wants less, all shrink alike. Longer bounds change nothing,
-/// since what that would save is few calls.
-const USUAL_BOUND: Duration = Duration::from_millis(3_000);
+/// Default time in which changes must take effect. The times below fit this bound and are
+/// scaled down in proportion for a shorter one. A longer bound does not scale them up,
+/// since that would save only few calls.
+const DEFAULT_BOUND: Duration = Duration::from_millis(3_000);
 
-/// Least bound that can be kept: a silent upstream is noticed after 0.8 s, and a
-/// call in the store's slow hours takes 0.25 s. Less is taken as this.
-const LEAST_BOUND: Duration = Duration::from_millis(1_200);
+/// Shortest bound that can be met; shorter settings are raised to it. Detecting an
+/// unresponsive upstream takes 0.8 s, and a call takes 0.25 s while the store is slow.
+const MIN_BOUND: Duration = Duration::from_millis(1_200);
 
-/// Age of the last contact with the store at which an upstream is left: changes
-/// must be in force within the bound also where only the upstream is cut off.
-/// Asking the store takes some milliseconds from there, in its slow hours half a
-/// second.
-const MOST_AGE: Duration = Duration::from_millis(2_000);
+/// Age of an upstream's last contact with the store at which this instance leaves it.
+/// Changes must take effect within the bound even if only the upstream is cut off from
+/// the store. Reading the store directly then takes a few milliseconds, and half a second
+/// while the store is slow.
+const MAX_UPSTREAM_AGE: Duration = Duration::from_millis(2_000);
 
-/// Age below which an upstream is worth a subscription.
-const FRESH: Duration = Duration::from_millis(1_500);
+/// Age of an upstream's last contact with the store below which this instance may
+/// subscribe to it.
+const FRESH_UPSTREAM_AGE: Duration = Duration::from_millis(1_500);
 
-/// Longest wait of a poll on which others depend. What they may be behind adds
-/// up: this wait, the pause in which changes gather, a third of this wait and a
-/// heartbeat have to stay below [`MOST_AGE`].
-const WAIT_FOR_OTHERS: Duration = Duration::from_millis(1_000);
+/// Longest long-poll wait while other instances subscribe to this one. Their lag is up to
+/// the sum of this wait, the pause that collects changes, a third of this wait and one
+/// heartbeat; that sum must stay below [`MAX_UPSTREAM_AGE`].
+const SUBSCRIBED_WAIT: Duration = Duration::from_millis(1_000);
 
-/// Time for connecting to the store.
+/// Timeout for connecting to the store.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Delays between tries while the store is silent. A tenth of a second at first,
-/// as most outages at the start of an instance are its own; a second at most,
-/// since new flows must follow the store 4 s after it is back.
+/// Retry delays while the store does not respond. The first is short, since most outages
+/// at the start of an instance are local to it. The longest is a second, since new flows
+/// must use the store's state again 4 s after the store recovers.
 const BACKOFF: pacing::Bounds = pacing::Bounds {
     first: Duration::from_millis(100),
     most: Duration::from_secs(1),
@@ -84,7 +85,7 @@
     }
 }
 
-/// Differs between instances, so that they do not act in step.
+/// Seed of the jitter; it differs between instances so that they don't act in step.
 fn seed(settings: &Settings) -> u64 {
     let mut hasher = SipHasher13::new();
     settings.instance.hash(&mut hasher);
@@ -105,33 +106,34 @@
 }
 
 fn pace(settings: &Settings) -> Pace {
-    let bound = settings.bound().unwrap_or(USUAL_BOUND);
-    let bound = bound.clamp(LEAST_BOUND, USUAL_BOUND);
-    let share = bound.div_duration_f64(USUAL_BOUND);
+    let bound = settings.bound().unwrap_or(DEFAULT_BOUND);
+    let bound = bound.clamp(MIN_BOUND, DEFAULT_BOUND);
+    let share = bound.div_duration_f64(DEFAULT_BOUND);
     Pace {
         wait: settings
             .notice()
             .saturating_sub(CALL_TIMEOUT)
             .mul_f64(share),
-        wait_for_others: WAIT_FOR_OTHERS.mul_f64(share),
+        wait_for_others: SUBSCRIBED_WAIT.mul_f64(share),
         gather: settings.gather().mul_f64(share),
         copy_wait: settings.copy_wait(),
-        most_age: MOST_AGE.mul_f64(share),
-        fresh: FRESH.mul_f64(share),
+        most_age: MAX_UPSTREAM_AGE.mul_f64(share),
+        fresh: FRESH_UPSTREAM_AGE.mul_f64(share),
     }
 }
 
-/// This instance, as others know it.
+/// This instance, as it registers with the others.
 pub(crate) fn member(settings: &Settings) -> Member {
     Member {
         instance: settings.instance.clone(),
         zone: settings.zone.clone(),
-        address: settings.advertised(),
+        address: settings.advertised_address(),
         link_mbps: settings.link_mbps,
     }
 }
 
-/// Starts what keeps the copy of the store, and what passes it on.
+/// Starts the tasks that keep a copy of the store, publish it to other instances and
+/// register this instance.
 pub(crate) async fn follow(
     settings: &Settings,
     adapter: &Adapter,
@@ -146,7 +148,7 @@
     })?;
     let pacer = Pacer::new(settings.link_mbps, Instant::now());
     let shared = Arc::new(replica::Shared::new(pacer));
-    let (sender, updates) = mpsc::channel(UPDATES);
+    let (sender, updates) = mpsc::channel(UPDATE_QUEUE_LEN);
     let member = member(settings);
     let sources = Sources {
         reader: reader.clone(),
--- a/src/entry/stop.rs
+++ b/src/entry/stop.rs
@@ -1,65 +1,67 @@
-//! A planned stop: not ready at once, gone when no packets come any more.
+//! Graceful stop: the instance reports "not ready" at once and exits when packets no
+//! longer arrive.
 //!
-//! It stays for longer while its copy of the store would be lost with it, see
+//! It waits longer while no other instance has its copy of the store, see
 //! [`crate::replica::Handover`].
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Least time between the signal and the end.
+/// Shortest time between the signal and the exit.
 ///
-/// Routers ask twice a second and need two refusals; flows that they still send
-/// here are passed on until then.
-const LEAST: Duration = Duration::from_millis(1_800);
+/// Routers probe readiness twice a second and need two negative results. Until then they
+/// send flows here, which are still forwarded.
+const MIN_STOP_TIME: Duration = Duration::from_millis(1_800);
 
-/// Silence that shows that the routers have left.
-const QUIET: Duration = Duration::from_millis(700);
+/// Time without packets after which routers are assumed to have stopped sending here.
+const QUIET_TIME: Duration = Duration::from_millis(700);
 
-/// Time after the signal at which is asked who else has the copy. Also with a store that
-/// does not answer this is known at [`LEAST`], and is not much older than the end.
-pub(crate) const HAND_OVER_AFTER: Duration = Duration::from_millis(1_000);
+/// Time between the signal and the check whether other instances have the copy. The
+/// result is known before [`MIN_STOP_TIME`] even if the store does not answer, and is
+/// still recent when the process exits.
+pub(crate) const HANDOVER_DELAY: Duration = Duration::from_millis(1_000);
 
-/// Part of the grace time kept for ending, in milliseconds: at the end of the
-/// grace time the process is killed.
-const MARGIN: Duration = Duration::from_millis(1_000);
+/// Part of the grace time reserved for shutting down, since the process is killed at the
+/// end of the grace time.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// A stop in progress.
+/// A graceful stop in progress.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Stop {
-    begun: Instant,
+    started_at: Instant,
     grace: Duration,
-    last_packet: Instant,
-    /// Whether whoever starts next can get elsewhere what goes with this instance.
-    is_copy_kept: bool,
+    last_packet_at: Instant,
+    /// Whether instances that start later can get the copy from elsewhere.
+    is_copy_available_elsewhere: bool,
 }
 
 impl Stop {
     pub(crate) fn new(now: Instant, grace: Duration) -> Self {
         Self {
-            begun: now,
+            started_at: now,
             grace,
-            last_packet: now,
-            is_copy_kept: false,
+            last_packet_at: now,
+            is_copy_available_elsewhere: false,
         }
     }
 
-    /// The copy is elsewhere, too.
-    pub(crate) fn note_kept(&mut self) {
-        self.is_copy_kept = true;
+    /// Records that instances that start later can get the copy from elsewhere.
+    pub(crate) fn note_copy_available(&mut self) {
+        self.is_copy_available_elsewhere = true;
     }
 
     pub(crate) fn note_packet(&mut self, now: Instant) {
-        self.last_packet = now;
+        self.last_packet_at = now;
     }
 
-    /// When the process may end, as far as is known now.
+    /// When the process may exit; later packets postpone it.
     pub(crate) fn ends_at(&self) -> Instant {
-        let latest = self.begun + self.grace.saturating_sub(MARGIN);
-        if !self.is_copy_kept {
+        let latest = self.started_at + self.grace.saturating_sub(SHUTDOWN_MARGIN);
+        if !self.is_copy_available_elsewhere {
             return latest;
         }
-        let quiet = (self.last_packet + QUIET).max(self.begun + LEAST);
+        let quiet = (self.last_packet_at + QUIET_TIME).max(self.started_at + MIN_STOP_TIME);
         quiet.min(latest)
     }
 }
--- a/src/entry/withdrawal.rs
+++ b/src/entry/withdrawal.rs
@@ -1,49 +1,49 @@
-//! When an instance tells its routers to go elsewhere although it serves.
+//! Decides when an instance reports "not ready" although it works.
 //!
-//! Load pattern: two of three instances of a zone stand still for five seconds. Less than
-//! half of the zone is ready, so that routers use all of it, and two flows of three go to
-//! those that stand still. Only when none of the zone is ready do they turn to the next
-//! one. So whoever is left says that it is not ready, for as long as
+//! Load pattern: two of three instances of a zone freeze for five seconds. Since less than
+//! half of the zone is ready, routers send to all of its instances, and two flows of three
+//! go to frozen ones. Routers use the next zone only if no instance of the zone is ready.
+//! So the remaining instances withdraw, that is they report "not ready", while
 //!
-//! - less than half of its zone answers, itself counted,
-//! - another zone can take the callers: half of it answers and nobody there has withdrawn,
-//!   so that never all zones withdraw,
-//! - both was so at two looks: one answer that is late is no sign.
+//! - less than half of their zone answers liveness probes, themselves included,
+//! - another zone can take the callers: at least half of it answers and none of its
+//!   instances has withdrawn, so that never all zones withdraw,
+//! - two probe rounds in a row have shown both, since a single late answer proves nothing.
 //!
-//! It goes on to pass on what it gets. What it may be wrong about costs its zone's callers the
-//! way to the next zone.
+//! A withdrawn instance keeps forwarding the packets it gets. A wrong decision costs the
+//! callers of the zone only the longer path to the next zone.
 
 use crate::replica::Headcount;
 use crate::replica::Tally;
 
-/// Looks in a row that must agree before anything changes, either way.
-const LOOKS: u32 = 2;
+/// Number of probe rounds in a row that must agree before the state changes either way.
+const ROUNDS: u32 = 2;
 
 /// Whether this instance has withdrawn.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Withdrawal {
     is_withdrawn: bool,
-    /// Looks in a row that spoke against the present state.
-    contrary: u32,
+    /// Number of probe rounds in a row that contradict the current state.
+    contrary_rounds: u32,
 }
 
 impl Withdrawal {
-    /// Takes in a look.
+    /// Takes in the result of a probe round.
     pub fn note(&mut self, tally: &Tally) {
-        let is_better_elsewhere = tally.elsewhere.iter().any(can_take_callers);
-        let should_withdraw = tally.here.is_minority() && is_better_elsewhere;
+        let has_better_zone = tally.elsewhere.iter().any(can_take_callers);
+        let should_withdraw = tally.here.is_minority() && has_better_zone;
         if should_withdraw == self.is_withdrawn {
-            self.contrary = 0;
+            self.contrary_rounds = 0;
             return;
         }
-        self.contrary += 1;
-        if self.contrary >= LOOKS {
+        self.contrary_rounds += 1;
+        if self.contrary_rounds >= ROUNDS {
             self.is_withdrawn = should_withdraw;
-            self.contrary = 0;
+            self.contrary_rounds = 0;
         }
     }
 
-    /// Whether routers should go elsewhere.
+    /// Whether the instance reports "not ready" so that routers use another zone.
     pub fn is_withdrawn(&self) -> bool {
         self.is_withdrawn
     }
--- a/tests/withdrawal.rs
+++ b/tests/withdrawal.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// Whether an instance is withdrawn after each of these tallies.
+/// Whether an instance is withdrawn after each of these probe rounds.
 fn withdrawn_after_each(tallies: &[Tally]) -> Vec<bool> {
     let mut withdrawal = Withdrawal::default();
     let states = tallies.iter().map(|tally| {
@@ -30,10 +30,10 @@
 }
 
 // Two of three instances freeze for five seconds, and routers send two flows of three to
-// them. The third instance withdraws after two tallies, and returns two tallies after the
-// others answer again.
+// them. The third instance withdraws after two probe rounds, and returns two rounds after
+// the others answer again.
 #[test]
-fn the_last_of_a_zone_withdraws_while_most_stand_still() {
+fn the_last_of_a_zone_withdraws_while_most_are_frozen() {
     let frozen = tally(zone(1, 3), &[zone(3, 3)]);
     let healthy = tally(zone(3, 3), &[]);
     let tallies = [
@@ -49,7 +49,7 @@
     );
 }
 
-// A late answer makes a single tally show a minority. As long as the next tally is good,
+// A late answer makes a single probe round bad. As long as the next round is good,
 // that changes nothing, however often it happens.
 #[test]
 fn one_late_answer_changes_nothing() {
