--- a/src/entry/beliefs.rs
+++ b/src/entry/beliefs.rs
@@ -1,9 +1,9 @@
-//! Log lines of what is believed, at a bounded rate.
+//! Rate-limited log of state updates.
 //!
 //! Load pattern: hundreds of servers announce themselves while an instance starts, and a
-//! line for each of them from each instance is more than all other lines of a day. A
-//! single change has a line of its own; of many at once the lines beyond the rate are
-//! counted, and one line tells the counts.
+//! line for each of them from each instance would exceed all other lines of a day. A
+//! single change gets its own line. When many come at once, those beyond the rate are
+//! counted by kind, and one line per kind gives the count.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,104 +17,109 @@
 use crate::platform::allowance::Bucket;
 use crate::platform::allowance::Rate;
 
-/// Lines a second. On an ordinary day servers come and go one by one.
-const RATE: Rate = Rate(20);
+/// Log lines per second; enough in normal operation, where servers come and go one by
+/// one.
+const LOG_RATE: Rate = Rate(20);
 
-/// Time in which counts gather for a line.
-const GATHER: Duration = Duration::from_secs(1);
+/// Time for which updates are counted before a line gives their number.
+const COUNT_PERIOD: Duration = Duration::from_secs(1);
 
-/// Writes beliefs as log lines.
-pub(crate) struct Beliefs {
+/// Writes state updates as log lines.
+pub(crate) struct StateLog {
     log: Logger,
     bucket: Bucket,
-    /// Beliefs without a line of their own, by what they say.
+    /// Number of updates without a line of their own, by kind.
     counts: BTreeMap<&'static str, u64>,
-    /// When the first of them came.
-    since: Option<Instant>,
+    /// When the first of them was counted.
+    counting_since: Option<Instant>,
 }
 
-impl Beliefs {
+impl StateLog {
     pub(crate) fn new(log: Logger, now: Instant) -> Self {
         Self {
             log,
-            bucket: Bucket::new(RATE, now),
+            bucket: Bucket::new(LOG_RATE, now),
             counts: BTreeMap::new(),
-            since: None,
+            counting_since: None,
         }
     }
 
-    /// Tells of a belief, or counts it.
-    pub(crate) fn tell(&mut self, now: Instant, told: Told, is_new: bool) {
-        let has_room = match told.is_rare {
+    /// Logs an update, or counts it if the rate is exceeded.
+    pub(crate) fn write(&mut self, now: Instant, line: StateLine, is_new: bool) {
+        let has_room = match line.is_urgent {
             true => self.bucket.take_urgent(now),
             false => self.bucket.take(now),
         };
         if has_room {
-            info!(self.log, "belief"; "what" => told.what, "subject" => told.subject,
+            info!(self.log, "state update"; "what" => line.kind, "subject" => line.subject,
                 "is_new" => is_new);
             return;
         }
-        *self.counts.entry(told.what).or_default() += 1;
-        self.since.get_or_insert(now);
+        *self.counts.entry(line.kind).or_default() += 1;
+        self.counting_since.get_or_insert(now);
     }
 
-    /// Writes the counts that have gathered for long enough.
+    /// Writes the counts once the counting period is over.
     pub(crate) fn flush(&mut self, now: Instant) {
-        if self.since.is_none_or(|since| now < since + GATHER) {
+        if self
+            .counting_since
+            .is_none_or(|since| now < since + COUNT_PERIOD)
+        {
             return;
         }
-        self.since = None;
-        for (what, count) in std::mem::take(&mut self.counts) {
-            info!(self.log, "beliefs counted"; "what" => what, "count" => count);
+        self.counting_since = None;
+        for (kind, count) in std::mem::take(&mut self.counts) {
+            info!(self.log, "state updates counted"; "what" => kind, "count" => count);
         }
     }
 }
 
-/// What a belief says, for the log.
-pub(crate) struct Told {
-    what: &'static str,
+/// A state update as it is logged.
+pub(crate) struct StateLine {
+    kind: &'static str,
     subject: String,
-    /// Whether it goes before the others: what may fail requests.
-    is_rare: bool,
+    /// Whether the line may use the reserve of the rate limit, because the update may
+    /// cause requests to fail.
+    is_urgent: bool,
 }
 
-impl Told {
-    fn rare(what: &'static str, subject: impl ToString) -> Self {
+impl StateLine {
+    fn urgent(kind: &'static str, subject: impl ToString) -> Self {
         Self {
-            what,
+            kind,
             subject: subject.to_string(),
-            is_rare: true,
+            is_urgent: true,
         }
     }
 
-    /// What a belief says; `None` for what has lines elsewhere.
+    /// The line of an update; `None` for updates that are logged elsewhere.
     pub(crate) fn of(belief: &Belief) -> Option<Self> {
-        let told = match belief {
-            Belief::Servers { listed, .. } => Self::rare("servers listed", listed.len()),
+        let line = match belief {
+            Belief::Servers { listed, .. } => Self::urgent("servers listed", listed.len()),
             Belief::Server(server) => match server.presence {
                 Presence::Ready => Self {
-                    what: "server ready",
+                    kind: "server ready",
                     subject: server.id.to_string(),
-                    is_rare: false,
+                    is_urgent: false,
                 },
-                Presence::Draining => Self::rare("server draining", &server.id),
+                Presence::Draining => Self::urgent("server draining", &server.id),
             },
-            Belief::Gone(server) => Self::rare("server gone", server),
-            Belief::Unreadable(server) => Self::rare("server unreadable", server),
-            Belief::Routes(routes) => Self::rare("configuration", routes.version),
-            Belief::Evacuated(zone) => Self::rare("zone evacuated", zone),
-            Belief::Returned(zone) => Self::rare("zone taken back", zone),
+            Belief::Gone(server) => Self::urgent("server gone", server),
+            Belief::Unreadable(server) => Self::urgent("server unreadable", server),
+            Belief::Routes(routes) => Self::urgent("configuration", routes.version),
+            Belief::Evacuated(zone) => Self::urgent("zone evacuated", zone),
+            Belief::Returned(zone) => Self::urgent("zone taken back", zone),
             Belief::Evacuation(zones) => {
                 let zones: Vec<&str> = zones.iter().map(|zone| zone.as_str()).collect();
-                Self::rare("zones evacuated", zones.join(" "))
+                Self::urgent("zones evacuated", zones.join(" "))
             }
             Belief::Peers(peers) => Self {
-                what: "instances",
+                kind: "instances",
                 subject: peers.len().to_string(),
-                is_rare: false,
+                is_urgent: false,
             },
             Belief::Contact(_) | Belief::Silence | Belief::Testimony(_) => return None,
         };
-        Some(told)
+        Some(line)
     }
 }
--- a/src/entry/journal.rs
+++ b/src/entry/journal.rs
@@ -1,8 +1,7 @@
-//! Log lines of an entry instance, at a bounded rate.
+//! Rate-limited log of flow decisions.
 //!
-//! Each decision about a flow is one line with the flow, the inputs and the
-//! outcome. Lines beyond the rate are left out; the next line that is written
-//! says how many.
+//! Each decision about a flow is one line with the flow, the inputs and the outcome.
+//! Lines beyond the rate are omitted; the next written line gives their number.
 
 use slog::Logger;
 use slog::info;
@@ -14,21 +13,21 @@
 use crate::platform::allowance::Bucket;
 use crate::platform::allowance::Rate;
 
-/// What the lines tell beside the decision itself.
+/// Values logged with every decision.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Context {
-    /// Time since the store last answered, in milliseconds.
+    /// Time since the last contact with the store, in milliseconds.
     pub(crate) contact_age_ms: Option<u64>,
 }
 
-/// Writes notes as log lines.
-pub(crate) struct Journal {
+/// Writes flow events as log lines.
+pub(crate) struct FlowLog {
     log: Logger,
     bucket: Bucket,
     omitted: u64,
 }
 
-impl Journal {
+impl FlowLog {
     pub(crate) fn new(log: Logger, rate: Rate, now: Instant) -> Self {
         Self {
             log,
@@ -37,14 +36,14 @@
         }
     }
 
-    /// Counts lines that were left out before they came here.
-    pub(crate) fn omit(&mut self, count: u64) {
+    /// Adds events that were dropped before they could be written.
+    pub(crate) fn add_omitted(&mut self, count: u64) {
         self.omitted += count;
     }
 
-    /// Writes a note, or counts it; says whether it was written.
+    /// Writes an event, or counts it as omitted; returns whether it was written.
     pub(crate) fn write(&mut self, now: Instant, note: &Note, context: Context) -> bool {
-        let has_room = if is_rare(note) {
+        let has_room = if is_urgent(note) {
             self.bucket.take_urgent(now)
         } else {
             self.bucket.take(now)
@@ -56,17 +55,18 @@
         let omitted = std::mem::take(&mut self.omitted);
         let age = context.contact_age_ms;
         let log = self.log.new(o!("omitted" => omitted, "view_age_ms" => age));
-        line(&log, note);
+        write_line(&log, note);
         true
     }
 }
 
-/// What explains failures goes before what is usual.
-fn is_rare(note: &Note) -> bool {
+/// Whether an event may use the reserve of the rate limit. Events that explain failures
+/// take precedence over placed flows and dropped packets, which are frequent.
+fn is_urgent(note: &Note) -> bool {
     !matches!(note, Note::Placed { .. } | Note::Dropped { .. })
 }
 
-/// The kind of a note, for the counters.
+/// Label value of an event for the decision counters.
 pub(crate) fn kind(note: &Note) -> &'static str {
     match note {
         Note::Placed {
@@ -85,7 +85,7 @@
     }
 }
 
-fn line(log: &Logger, note: &Note) {
+fn write_line(log: &Logger, note: &Note) {
     let kind = kind(note);
     match note {
         Note::Placed {
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -1,4 +1,4 @@
-//! The task that holds an instance's state, and the loop around it.
+//! Main loop of an entry instance, and the state that it owns.
 
 use std::io;
 use std::path::Path;
@@ -20,13 +20,13 @@
 use crate::entry::Server;
 use crate::entry::Settings;
 use crate::entry::Status;
-use crate::entry::beliefs::Beliefs;
-use crate::entry::beliefs::Told;
+use crate::entry::beliefs::StateLine;
+use crate::entry::beliefs::StateLog;
 use crate::entry::http;
 use crate::entry::http::Shared;
 use crate::entry::journal;
 use crate::entry::journal::Context;
-use crate::entry::journal::Journal;
+use crate::entry::journal::FlowLog;
 use crate::entry::metric::Metrics;
 use crate::entry::refusals::Refusals;
 use crate::entry::remarks::remark;
@@ -75,24 +75,24 @@
     adapter: Adapter,
     plane: Plane,
     socket: Socket,
-    journal: Journal,
-    beliefs: Beliefs,
+    flow_log: FlowLog,
+    state_log: StateLog,
     refusals: Refusals,
     shared: Arc<Shared>,
     log: Logger,
     /// The instance that changes come from; `None` for the store itself.
     upstream: Option<id::Instance>,
-    /// The copy of the store, and what instances tell each other.
+    /// The copy of the store, and the state exchanged with other instances.
     replica: Arc<replica::Shared>,
-    /// When servers were last told of.
-    told: Instant,
+    /// When request outcomes were last reported to the zone.
+    outcomes_reported_at: Instant,
     stop: Option<Stop>,
-    /// Packets that came before the first copy.
+    /// Packets received before the first copy.
     backlog: Backlog,
     withdrawal: Withdrawal,
     reader: Reader,
-    /// Told after the signal to stop, once the copy may go.
-    kept: mpsc::Sender<()>,
+    /// Signals during a graceful stop that the copy is available elsewhere.
+    copy_available: mpsc::Sender<()>,
 }
 
 /// Runs an entry instance until a signal stops it.
@@ -106,7 +106,7 @@
     let transport = reader.client().transport();
     let following = start::follow(&settings, &adapter, reader.clone(), &log).await?;
     let (mut updates, replica) = following;
-    let (kept, mut is_kept) = mpsc::channel(1);
+    let (copy_available, mut copy_available_signals) = mpsc::channel(1);
     let (sender, mut tallies) = mpsc::channel(1);
     let me = start::member(&settings);
     tokio::spawn(replica::take_census(me, Arc::clone(&replica), sender));
@@ -127,20 +127,20 @@
     let now = Instant::now();
     let mut instance = Instance {
         plane: Plane::new(start::options(&settings)),
-        journal: Journal::new(log.clone(), settings.log_lines_per_second, now),
-        beliefs: Beliefs::new(log.clone(), now),
+        flow_log: FlowLog::new(log.clone(), settings.log_lines_per_second, now),
+        state_log: StateLog::new(log.clone(), now),
         refusals: Refusals::new(now),
         socket,
         shared,
         log,
         upstream: None,
         replica,
-        told: now,
+        outcomes_reported_at: now,
         stop: None,
         backlog: Backlog::default(),
         withdrawal: Withdrawal::default(),
         reader,
-        kept,
+        copy_available,
         adapter,
         settings,
     };
@@ -148,10 +148,10 @@
         let wake = instance.next_wake();
         tokio::select! {
             biased;
-            signal = signals.next() => instance.signal(signal, &file),
-            Some(update) = updates.recv() => instance.learn(update),
+            action = signals.next() => instance.handle_signal(action, &file),
+            Some(update) = updates.recv() => instance.handle_update(update),
             Some(tally) = tallies.recv() => instance.note_tally(&tally),
-            Some(()) = is_kept.recv() => {
+            Some(()) = copy_available_signals.recv() => {
                 if let Some(stop) = &mut instance.stop {
                     stop.note_copy_available();
                 }
@@ -265,9 +265,9 @@
             return;
         }
         let now = Instant::now();
-        let waited = self.backlog.len();
+        let buffered = self.backlog.len();
         let early: Vec<Early> = self.backlog.take(now).collect();
-        info!(self.log, "early packets"; "kept" => waited, "handled" => early.len());
+        info!(self.log, "early packets"; "kept" => buffered, "handled" => early.len());
         for Early {
             segment, packet, ..
         } in early
@@ -330,10 +330,10 @@
     /// that the zone's other instances counted.
     fn exchange_outcomes(&mut self) {
         let now = Instant::now();
-        if now < self.told + TELL_EVERY {
+        if now < self.outcomes_reported_at + TELL_EVERY {
             return;
         }
-        self.told = now;
+        self.outcomes_reported_at = now;
         let own = self.plane.testimony(now);
         self.replica.board.set_own(own.iter().map(remark).collect());
         let zone = self.replica.board.confirmed(now);
@@ -349,17 +349,17 @@
         let metrics = &self.shared.metrics;
         for timing in self.plane.take_timings() {
             match timing {
-                Timing::Handshake(taken) => Metrics::observe(&metrics.handshake, taken),
-                Timing::Answer(taken) => Metrics::observe(&metrics.answer, taken),
+                Timing::Handshake(duration) => Metrics::observe(&metrics.handshake, duration),
+                Timing::Answer(duration) => Metrics::observe(&metrics.answer, duration),
             }
         }
-        self.beliefs.flush(now);
+        self.state_log.flush(now);
         let (notes, omitted) = self.plane.take_notes();
-        self.journal.omit(omitted);
+        self.flow_log.add_omitted(omitted);
         metrics.omitted_lines.inc_by(omitted);
         for note in &notes {
             metrics.count_decision(journal::kind(note));
-            if !self.journal.write(now, note, context) {
+            if !self.flow_log.write(now, note, context) {
                 metrics.omitted_lines.inc();
             }
         }
@@ -369,9 +369,9 @@
         self.replica.age(now).map(|age| age.as_millis() as u64)
     }
 
-    fn learn(&mut self, update: Update) {
+    fn handle_update(&mut self, update: Update) {
         let now = Instant::now();
-        self.tell_contact(now, &update);
+        self.log_contact(now, &update);
         self.refusals.forget_updated(&update);
         let reading = Reading::new(&self.adapter.vocabulary, update);
         for refusal in &reading.refused {
@@ -379,14 +379,14 @@
             self.refusals.note(now, refusal, &self.log);
         }
         for belief in reading.beliefs {
-            self.believe(now, belief);
+            self.apply(now, belief);
         }
         self.set_gauges();
         self.handle_backlog();
     }
 
-    /// Logs lost and regained contact.
-    fn tell_contact(&mut self, now: Instant, update: &Update) {
+    /// Logs when the store is lost or read, and when the source of changes moves.
+    fn log_contact(&mut self, now: Instant, update: &Update) {
         match update {
             Update::Silent { reason } => {
                 warn!(self.log, "store lost"; "reason" => reason,
@@ -405,18 +405,18 @@
         }
     }
 
-    fn believe(&mut self, now: Instant, belief: Belief) {
-        let told = Told::of(&belief);
+    fn apply(&mut self, now: Instant, belief: Belief) {
+        let line = StateLine::of(&belief);
         let is_new = self.plane.learn(now, belief);
-        if let Some(told) = told {
-            self.beliefs.tell(now, told, is_new);
+        if let Some(line) = line {
+            self.state_log.write(now, line, is_new);
         }
     }
 
     fn set_gauges(&self) {
         let metrics = &self.shared.metrics;
-        let is_wanted = self.stop.is_none() && !self.withdrawal.is_withdrawn();
-        let is_ready = self.plane.is_ready() && is_wanted;
+        let accepts_traffic = self.stop.is_none() && !self.withdrawal.is_withdrawn();
+        let is_ready = self.plane.is_ready() && accepts_traffic;
         if is_ready != self.shared.is_ready.swap(is_ready, Ordering::Relaxed) {
             info!(self.log, "readiness"; "is_ready" => is_ready);
         }
@@ -428,15 +428,15 @@
         metrics.version.set(self.plane.version() as i64);
     }
 
-    fn signal(&mut self, signal: SignalAction, file: &Path) {
-        match signal {
+    fn handle_signal(&mut self, action: SignalAction, file: &Path) {
+        match action {
             SignalAction::Stop if self.stop.is_none() => {
                 info!(self.log, "stopping"; "flows" => self.plane.flows());
                 self.backlog.clear();
                 self.stop = Some(Stop::new(Instant::now(), self.settings.grace()));
                 self.set_gauges();
                 self.replica.begin_leaving();
-                self.hand_over();
+                self.start_handover();
             }
             SignalAction::Stop => {}
             SignalAction::Reload => self.reload(file),
@@ -458,20 +458,20 @@
         self.set_gauges();
     }
 
-    /// Finds out when the copy may go with this instance.
-    fn hand_over(&self) {
+    /// Starts the check whether the copy is available elsewhere.
+    fn start_handover(&self) {
         let handover = Handover {
             reader: self.reader.clone(),
             me: start::member(&self.settings),
             shared: Arc::clone(&self.replica),
             log: self.log.clone(),
         };
-        let kept = self.kept.clone();
+        let copy_available = self.copy_available.clone();
         tokio::spawn(async move {
             time::sleep(stop::HANDOVER_DELAY).await;
             handover.wait().await;
             // The main loop may have ended already.
-            let _ = kept.send(()).await;
+            let _ = copy_available.send(()).await;
         });
     }
 
@@ -495,7 +495,7 @@
     fn status(&self) -> Status {
         let now = Instant::now();
         let records = self.plane.directory().records();
-        let mut servers: Vec<Server> = records.map(|record| server(record, now)).collect();
+        let mut servers: Vec<Server> = records.map(|record| server_status(record, now)).collect();
         servers.sort_by(|a, b| a.server.cmp(&b.server));
         Status {
             instance: self.settings.instance.clone(),
@@ -505,13 +505,13 @@
             flows: self.plane.flows(),
             contact_age_ms: self.contact_age_ms(now),
             upstream: self.upstream.clone(),
-            evacuated: self.evacuated(now),
+            evacuated: self.evacuated_zones(now),
             servers,
             refused: self.refusals.list(),
         }
     }
 
-    fn evacuated(&self, now: Instant) -> Vec<Evacuated> {
+    fn evacuated_zones(&self, now: Instant) -> Vec<Evacuated> {
         let zones = self.plane.directory().evacuation().zones();
         let evacuated = zones.map(|(zone, since)| Evacuated {
             zone: zone.clone(),
@@ -521,7 +521,7 @@
     }
 }
 
-fn server(record: &Record, now: Instant) -> Server {
+fn server_status(record: &Record, now: Instant) -> Server {
     let age = |at: Instant| (now - at).as_millis() as u64;
     Server {
         server: record.server.id.clone(),
