--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,9 +1,8 @@
-//! One entry instance: sockets, the mirror of the store and the HTTP ports
-//! around the decisions of [`crate::flow`].
+//! Entry instance: the sockets, the copy of the store and the HTTP ports around the data
+//! plane in [`crate::flow`].
 //!
-//! What the packets and the store's entries look like is the adapter's to say,
-//! in [`Adapter`]; everything that decides, remembers or recovers is here and in
-//! [`crate::flow`].
+//! An [`Adapter`] defines the formats of the platform's packets and store entries.
+//! Decisions, state and recovery are here and in [`crate::flow`].
 
 mod adapter;
 mod beliefs;
--- a/src/entry/adapter.rs
+++ b/src/entry/adapter.rs
@@ -1,4 +1,4 @@
-//! What an adapter has to supply.
+//! Interface between godwitreel and a platform adapter.
 
 use crate::flow::Routes;
 use crate::flow::Segment;
@@ -10,72 +10,73 @@
 use crate::platform::gateway::Decoded;
 use crate::platform::poll::Dialect;
 
-/// Bytes in front of a packet that name the server it is meant for.
+/// Length in bytes of the header in front of a packet, which names the server that the
+/// packet is sent to.
 pub const ENVELOPE: usize = 8;
 
-/// How packets look.
+/// Decodes and encodes the platform's packets.
 #[derive(Clone, Copy, Debug)]
 pub struct Codec {
     /// Largest packet, in bytes.
     pub largest: usize,
-    /// Reads a packet; the error is a short code for logs and metrics.
+    /// Decodes a packet; the error is a short code for logs and metrics.
     pub decode: fn(&[u8]) -> Result<Segment, &'static str>,
-    /// Writes the routing tag into a packet that was decoded.
+    /// Writes the routing tag into a valid packet.
     pub set_tag: fn(&mut [u8], Tag),
-    /// The packet that resets the flow of a caller's packet.
+    /// Builds the packet that resets the flow of a caller's packet.
     pub reset: fn(&Segment) -> Vec<u8>,
-    /// What names the server in front of a packet.
+    /// Encodes the header that names the server.
     pub envelope: fn(Serial) -> [u8; ENVELOPE],
 }
 
-/// What an entry of the store means.
+/// A decoded entry of the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Entry {
     /// A backend server.
     Server(Server),
     /// The configuration.
     Routes(Routes),
-    /// An order that a zone's servers are to get no new flows.
+    /// The evacuation of a zone, whose servers then get no new flows.
     Evacuation(id::Zone),
-    /// Nothing that concerns an entry instance.
+    /// An entry that entry instances don't use.
     Other,
 }
 
-/// What an entry is about, as its key alone tells.
+/// The server or zone that a key refers to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Subject {
     /// A backend server.
     Server(id::Server),
-    /// The evacuation of a zone; the order is in force while the key exists.
+    /// The evacuation of a zone; it is in force while the key exists.
     Evacuation(id::Zone),
 }
 
-/// How the store's entries look.
+/// Key prefixes of the store, and decoders of its entries.
 #[derive(Clone, Copy, Debug)]
 pub struct Vocabulary {
     /// Prefix of all keys that are read.
     pub prefix: &'static str,
-    /// Prefix under it of small values that are urgent.
+    /// Prefix of the servers' entries, which are small and urgent.
     pub small: &'static str,
-    /// Prefix under it of all that operators write: orders and the large value.
+    /// Prefix of all that operators write: evacuations and the configuration.
     pub operators: &'static str,
-    /// Prefix under that of their orders, which are small and few.
+    /// Prefix of the evacuations, which are small and few; part of the operators' prefix.
     pub orders: &'static str,
-    /// Key under it of the large value.
+    /// Key of the configuration, the only large value; below the operators' prefix.
     pub large: &'static str,
-    /// Reads an entry.
+    /// Decodes an entry.
     pub read: fn(&platform::Entry) -> Decoded<Entry>,
-    /// What the entry of this key is about; `None` for what has no subject.
+    /// The server or zone that a key refers to; `None` for other keys.
     pub subject: fn(&str) -> Option<Subject>,
 }
 
-/// Everything that translates between the product and a platform.
+/// Everything that godwitreel needs to know about a platform.
 #[derive(Clone, Copy, Debug)]
 pub struct Adapter {
-    /// Packets.
+    /// Packet format.
     pub codec: Codec,
-    /// Calls to the store.
+    /// Format of the store's calls.
     pub dialect: Dialect,
-    /// The store's entries.
+    /// Layout of the store's entries.
     pub vocabulary: Vocabulary,
 }
--- a/src/entry/refusals.rs
+++ b/src/entry/refusals.rs
@@ -26,13 +26,13 @@
 const MAX_REASON_CHARS: usize = 200;
 
 /// The entries that cannot be decoded, and the rate limit of their log lines.
-pub(crate) struct Refusals {
+pub(crate) struct UnreadableEntries {
     by_key: BTreeMap<String, String>,
     bucket: Bucket,
     omitted: u64,
 }
 
-impl Refusals {
+impl UnreadableEntries {
     pub(crate) fn new(now: Instant) -> Self {
         Self {
             by_key: BTreeMap::new(),
@@ -56,17 +56,17 @@
     }
 
     /// Stores an entry's reason, and logs it if the rate allows.
-    pub(crate) fn note(&mut self, now: Instant, refusal: &Refusal, log: &Logger) {
-        let reason: String = refusal.reason.chars().take(MAX_REASON_CHARS).collect();
+    pub(crate) fn note(&mut self, now: Instant, entry: &Refusal, log: &Logger) {
+        let reason: String = entry.reason.chars().take(MAX_REASON_CHARS).collect();
         if self.bucket.take_urgent(now) {
             let omitted = std::mem::take(&mut self.omitted);
-            warn!(log, "entry of the store refused"; "key" => &refusal.key,
+            warn!(log, "entry of the store refused"; "key" => &entry.key,
                 "reason" => &reason, "omitted" => omitted);
         } else {
             self.omitted += 1;
         }
-        if self.by_key.len() < MAX_KEYS || self.by_key.contains_key(&refusal.key) {
-            self.by_key.insert(refusal.key.clone(), reason);
+        if self.by_key.len() < MAX_KEYS || self.by_key.contains_key(&entry.key) {
+            self.by_key.insert(entry.key.clone(), reason);
         }
     }
 
--- a/src/entry/remarks.rs
+++ b/src/entry/remarks.rs
@@ -1,5 +1,4 @@
-//! Counts of how requests end, between the decisions about flows and the messages to
-//! other instances.
+//! Converts request outcomes between the data plane and the messages to other instances.
 
 use crate::flow::Counts;
 use crate::flow::Incarnation;
@@ -7,27 +6,27 @@
 use crate::flow::Testimony;
 use crate::replica::Remark;
 
-/// What an instance counted, as it is told to the others.
-pub fn remark(told: &Testimony) -> Remark {
+/// The message entry of the outcomes that this instance counted at a server.
+pub fn remark(outcomes: &Testimony) -> Remark {
     Remark {
-        serial: told.serial.0,
-        incarnation: told.incarnation.map(|life| life.0),
-        answers: told.counts.answers as f32,
-        hollow: told.counts.hollow as f32,
-        stalls: told.counts.stalls as f32,
+        serial: outcomes.serial.0,
+        incarnation: outcomes.incarnation.map(|incarnation| incarnation.0),
+        answers: outcomes.counts.answers as f32,
+        hollow: outcomes.counts.hollow as f32,
+        stalls: outcomes.counts.stalls as f32,
         ..Remark::default()
     }
 }
 
-/// What others told, as the decisions take it.
-pub fn testimony(remark: &Remark) -> Testimony {
+/// The outcomes at a server that other instances reported.
+pub fn testimony(entry: &Remark) -> Testimony {
     Testimony {
-        serial: Serial(remark.serial),
-        incarnation: remark.incarnation.map(Incarnation),
+        serial: Serial(entry.serial),
+        incarnation: entry.incarnation.map(Incarnation),
         counts: Counts {
-            answers: remark.answers.into(),
-            hollow: remark.hollow.into(),
-            stalls: remark.stalls.into(),
+            answers: entry.answers.into(),
+            hollow: entry.hollow.into(),
+            stalls: entry.stalls.into(),
         },
     }
 }
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -28,7 +28,7 @@
 use crate::entry::journal::Context;
 use crate::entry::journal::FlowLog;
 use crate::entry::metric::Metrics;
-use crate::entry::refusals::Refusals;
+use crate::entry::refusals::UnreadableEntries;
 use crate::entry::remarks::remark;
 use crate::entry::remarks::testimony;
 use crate::entry::signals::SignalAction;
@@ -37,7 +37,7 @@
 use crate::entry::start;
 use crate::entry::stop;
 use crate::entry::stop::Stop;
-use crate::entry::view::Reading;
+use crate::entry::view::DecodedUpdate;
 use crate::entry::withdrawal::Withdrawal;
 use crate::error::Result;
 use crate::flow::Backlog;
@@ -77,7 +77,7 @@
     socket: Socket,
     flow_log: FlowLog,
     state_log: StateLog,
-    refusals: Refusals,
+    unreadable_entries: UnreadableEntries,
     shared: Arc<Shared>,
     log: Logger,
     /// The instance that changes come from; `None` for the store itself.
@@ -129,7 +129,7 @@
         plane: Plane::new(start::options(&settings)),
         flow_log: FlowLog::new(log.clone(), settings.log_lines_per_second, now),
         state_log: StateLog::new(log.clone(), now),
-        refusals: Refusals::new(now),
+        unreadable_entries: UnreadableEntries::new(now),
         socket,
         shared,
         log,
@@ -372,14 +372,14 @@
     fn handle_update(&mut self, update: Update) {
         let now = Instant::now();
         self.log_contact(now, &update);
-        self.refusals.forget_updated(&update);
-        let reading = Reading::new(&self.adapter.vocabulary, update);
-        for refusal in &reading.refused {
+        self.unreadable_entries.forget_updated(&update);
+        let decoded = DecodedUpdate::new(&self.adapter.vocabulary, update);
+        for entry in &decoded.unreadable {
             self.shared.metrics.refused_entries.inc();
-            self.refusals.note(now, refusal, &self.log);
+            self.unreadable_entries.note(now, entry, &self.log);
         }
-        for belief in reading.beliefs {
-            self.apply(now, belief);
+        for state_update in decoded.state_updates {
+            self.apply(now, state_update);
         }
         self.set_gauges();
         self.handle_backlog();
@@ -405,9 +405,9 @@
         }
     }
 
-    fn apply(&mut self, now: Instant, belief: Belief) {
-        let line = StateLine::of(&belief);
-        let is_new = self.plane.learn(now, belief);
+    fn apply(&mut self, now: Instant, state_update: Belief) {
+        let line = StateLine::of(&state_update);
+        let is_new = self.plane.learn(now, state_update);
         if let Some(line) = line {
             self.state_log.write(now, line, is_new);
         }
@@ -507,7 +507,7 @@
             upstream: self.upstream.clone(),
             evacuated: self.evacuated_zones(now),
             servers,
-            refused: self.refusals.list(),
+            refused: self.unreadable_entries.list(),
         }
     }
 
--- a/src/entry/status.rs
+++ b/src/entry/status.rs
@@ -1,4 +1,4 @@
-//! What an instance believes, as its status address tells it.
+//! Status of an entry instance, as its HTTP port reports it.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,29 +6,30 @@
 use crate::id;
 use crate::platform::poll::Refusal;
 
-/// What an instance believes.
+/// Status of an entry instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The instance.
+    /// Name of the instance.
     pub instance: id::Instance,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: id::Zone,
-    /// Whether routers are to send packets here.
+    /// Whether routers should send packets to the instance.
     pub is_ready: bool,
-    /// Version of the configuration, 0 before the first.
+    /// Version of the configuration in force; 0 before the first one.
     pub version: u64,
-    /// Flows remembered.
+    /// Number of flows in the flow table.
     pub flows: usize,
-    /// Time since everything that the store knew was known here, in milliseconds.
+    /// Time since the instance's copy was last known to match the store, in
+    /// milliseconds.
     pub contact_age_ms: Option<u64>,
     /// The instance that changes come from; `None` for the store itself.
     pub upstream: Option<id::Instance>,
-    /// Zones whose servers get no new flows, as operators ordered.
+    /// Zones that operators have evacuated; their servers get no new flows.
     #[serde(default)]
     pub evacuated: Vec<Evacuated>,
-    /// The backend servers, those that are gone included.
+    /// The backend servers, including those whose store entry is gone.
     pub servers: Vec<Server>,
-    /// Entries of the store that cannot be read at present, 32 at most.
+    /// Entries of the store that cannot be decoded at present, 32 at most.
     #[serde(default)]
     pub refused: Vec<Refusal>,
 }
@@ -38,50 +39,51 @@
 pub struct Evacuated {
     /// The zone.
     pub zone: id::Zone,
-    /// Time since the order is known here, in milliseconds.
+    /// Time for which the instance has known of the evacuation, in milliseconds.
     pub known_ms: u64,
 }
 
-/// What an instance believes about a backend server.
+/// State of a backend server, as the instance knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Server {
-    /// The server.
+    /// Name of the server.
     pub server: id::Server,
-    /// The service it runs.
+    /// Service that the server runs.
     pub service: id::Service,
-    /// Its availability zone.
+    /// Availability zone of the server.
     pub zone: id::Zone,
-    /// When it started, in Unix milliseconds, as it says itself.
+    /// Start time that the server reports, in Unix milliseconds.
     #[serde(default)]
     pub incarnation: Option<u64>,
-    /// Whether its entry cannot be read, so that it gets no new flows.
+    /// Whether its store entry cannot be decoded, so that it gets no new flows.
     #[serde(default)]
     pub is_unreadable: bool,
-    /// Whether it said that it leaves.
+    /// Whether the server has announced that it drains.
     pub is_draining: bool,
     /// Whether its zone is evacuated.
     #[serde(default)]
     pub is_evacuated: bool,
-    /// Time since its entry went missing, in milliseconds.
+    /// Time since its store entry was deleted, in milliseconds.
     pub missing_ms: Option<u64>,
-    /// Whether new flows avoid it, since callers heard nothing from it.
+    /// Whether new flows avoid the server because it did not answer callers.
     pub is_suspected: bool,
-    /// Silences in a row.
+    /// Number of unanswered attempts in a row.
     pub misses: u32,
-    /// Share of requests that seem to end badly there, in percent: those that fail
-    /// at once and those that are never answered.
+    /// Estimated share of failed requests, in percent: those that fail at once and those
+    /// that are never answered.
     #[serde(default)]
     pub bad_percent: u32,
-    /// Time since it last answered a caller of this instance, in milliseconds.
+    /// Time since the server last answered a caller of this instance, in milliseconds.
     pub heard_ms: Option<u64>,
-    /// Requests of this instance in progress there.
+    /// Number of this instance's requests in progress at the server.
     pub outstanding: u32,
-    /// Open flows of this instance.
+    /// Number of this instance's open flows to the server.
     pub flows: u32,
 }
 
 impl Server {
-    /// Its state in one word: what keeps new flows away, if anything does.
+    /// State of the server in one word: the main reason why it gets no new flows, or
+    /// "ready".
     pub fn state(&self) -> &'static str {
         match self {
             Self {
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -1,4 +1,4 @@
-//! From the store's entries to beliefs of the decisions.
+//! Decodes updates of the store's copy into state updates of the data plane.
 
 use crate::entry::Entry;
 use crate::entry::Subject;
@@ -11,76 +11,77 @@
 use crate::replica::Member;
 use crate::replica::Update;
 
-/// What an update of the copy says, and which entries could not be read.
+/// State updates decoded from an update of the copy, and the entries that could not be
+/// decoded.
 #[derive(Debug, Default)]
-pub(crate) struct Reading {
-    pub(crate) beliefs: Vec<Belief>,
-    pub(crate) refused: Vec<Refusal>,
+pub(crate) struct DecodedUpdate {
+    pub(crate) state_updates: Vec<Belief>,
+    pub(crate) unreadable: Vec<Refusal>,
 }
 
-impl Reading {
-    pub(crate) fn new(vocabulary: &Vocabulary, update: Update) -> Self {
-        let mut reading = Self::default();
+impl DecodedUpdate {
+    pub(crate) fn new(schema: &Vocabulary, update: Update) -> Self {
+        let mut decoded = Self::default();
         match update {
             Update::Reset {
                 entries, refused, ..
-            } => reading.reset(vocabulary, &entries, refused),
-            Update::Change(Change::Put(entry)) => reading.put(vocabulary, &entry),
+            } => decoded.reset(schema, &entries, refused),
+            Update::Change(Change::Put(entry)) => decoded.put(schema, &entry),
             Update::Change(Change::Delete { key, .. }) => {
-                let subject = (vocabulary.subject)(&key);
-                reading.beliefs.extend(subject.map(deleted));
+                let subject = (schema.subject)(&key);
+                decoded.state_updates.extend(subject.map(on_deleted));
             }
-            Update::Refused(refusal) => reading.refuse(vocabulary, refusal),
-            Update::Contact(contact) => reading.beliefs.push(Belief::Contact(contact)),
-            Update::Silent { .. } => reading.beliefs.push(Belief::Silence),
+            Update::Refused(entry) => decoded.add_unreadable(schema, entry),
+            Update::Contact(contact) => decoded.state_updates.push(Belief::Contact(contact)),
+            Update::Silent { .. } => decoded.state_updates.push(Belief::Silence),
             Update::Members(members) => {
                 let peers = members.into_iter().map(peer).collect();
-                reading.beliefs.push(Belief::Peers(peers));
+                decoded.state_updates.push(Belief::Peers(peers));
             }
             Update::Source { .. } => {}
         }
-        reading
+        decoded
     }
 
-    /// An entry that cannot be read names no server to use; what was known of the
-    /// server stays for its open flows.
-    fn put(&mut self, vocabulary: &Vocabulary, entry: &platform::Entry) {
-        match (vocabulary.read)(entry) {
-            Ok(Entry::Server(server)) => self.beliefs.push(Belief::Server(server)),
-            Ok(Entry::Routes(routes)) => self.beliefs.push(Belief::Routes(routes)),
-            Ok(Entry::Evacuation(zone)) => self.beliefs.push(Belief::Evacuated(zone)),
+    /// An entry that cannot be decoded makes its server unreadable: the server gets no new
+    /// flows, and its last known state stays for its open flows.
+    fn put(&mut self, schema: &Vocabulary, entry: &platform::Entry) {
+        match (schema.read)(entry) {
+            Ok(Entry::Server(server)) => self.state_updates.push(Belief::Server(server)),
+            Ok(Entry::Routes(routes)) => self.state_updates.push(Belief::Routes(routes)),
+            Ok(Entry::Evacuation(zone)) => self.state_updates.push(Belief::Evacuated(zone)),
             Ok(Entry::Other) => {}
             Err(reason) => {
                 let key = entry.key.clone();
-                self.refuse(vocabulary, Refusal { key, reason });
+                self.add_unreadable(schema, Refusal { key, reason });
             }
         }
     }
 
-    fn refuse(&mut self, vocabulary: &Vocabulary, refusal: Refusal) {
-        let subject = (vocabulary.subject)(&refusal.key);
-        self.beliefs.extend(subject.map(unreadable));
-        self.refused.push(refusal);
+    fn add_unreadable(&mut self, schema: &Vocabulary, entry: Refusal) {
+        let subject = (schema.subject)(&entry.key);
+        self.state_updates.extend(subject.map(on_unreadable));
+        self.unreadable.push(entry);
     }
 
     fn reset(
         &mut self,
-        vocabulary: &Vocabulary,
+        schema: &Vocabulary,
         entries: &[platform::Entry],
-        refused: Vec<Refusal>,
+        unreadable: Vec<Refusal>,
     ) {
-        for refusal in refused {
-            self.refuse(vocabulary, refusal);
+        for entry in unreadable {
+            self.add_unreadable(schema, entry);
         }
         for entry in entries {
-            self.put(vocabulary, entry);
+            self.put(schema, entry);
         }
         let mut listed = Vec::new();
         let mut unreadable = Vec::new();
         let mut evacuated = Vec::new();
         let mut others = Vec::new();
-        for belief in self.beliefs.drain(..) {
-            match belief {
+        for update in self.state_updates.drain(..) {
+            match update {
                 Belief::Server(server) => listed.push(server),
                 Belief::Unreadable(server) => unreadable.push(server),
                 Belief::Evacuated(zone) => evacuated.push(zone),
@@ -88,11 +89,12 @@
             }
         }
         let servers = Belief::Servers { listed, unreadable };
-        self.beliefs = others;
-        // No server must take new flows in between.
-        self.beliefs
+        self.state_updates = others;
+        // Evacuations come before the servers, so that no server of an evacuated zone gets
+        // new flows in between.
+        self.state_updates
             .push(Belief::Evacuation(evacuated.into_iter().collect()));
-        self.beliefs.push(servers);
+        self.state_updates.push(servers);
     }
 }
 
@@ -103,16 +105,17 @@
     }
 }
 
-/// What follows from an entry that is gone.
-fn deleted(subject: Subject) -> Belief {
+/// The state update that follows from a deleted entry.
+fn on_deleted(subject: Subject) -> Belief {
     match subject {
         Subject::Server(server) => Belief::Gone(server),
         Subject::Evacuation(zone) => Belief::Returned(zone),
     }
 }
 
-/// What follows from an entry whose value cannot be read.
-fn unreadable(subject: Subject) -> Belief {
+/// The state update that follows from an entry whose value cannot be decoded. An
+/// evacuation is in force while its key exists, whatever its value.
+fn on_unreadable(subject: Subject) -> Belief {
     match subject {
         Subject::Server(server) => Belief::Unreadable(server),
         Subject::Evacuation(zone) => Belief::Evacuated(zone),
