--- a/src/entry/adapter.rs
+++ b/src/entry/adapter.rs
@@ -7,31 +7,31 @@
 use crate::flow::Tag;
 use crate::id;
 use crate::platform;
-use crate::platform::gateway::Decoded;
+use crate::platform::gateway::DecodeResult;
 use crate::platform::poll::Dialect;
 
 /// Length in bytes of the header in front of a packet, which names the server that the
 /// packet is sent to.
-pub const ENVELOPE: usize = 8;
+pub const SERVER_HEADER_LEN: usize = 8;
 
 /// Decodes and encodes the platform's packets.
 #[derive(Clone, Copy, Debug)]
 pub struct Codec {
     /// Largest packet, in bytes.
-    pub largest: usize,
+    pub max_packet_len: usize,
     /// Decodes a packet; the error is a short code for logs and metrics.
     pub decode: fn(&[u8]) -> Result<Segment, &'static str>,
     /// Writes the routing tag into a valid packet.
     pub set_tag: fn(&mut [u8], Tag),
     /// Builds the packet that resets the flow of a caller's packet.
-    pub reset: fn(&Segment) -> Vec<u8>,
+    pub reset_packet: fn(&Segment) -> Vec<u8>,
     /// Encodes the header that names the server.
-    pub envelope: fn(Serial) -> [u8; ENVELOPE],
+    pub server_header: fn(Serial) -> [u8; SERVER_HEADER_LEN],
 }
 
 /// A decoded entry of the store.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Entry {
+pub enum DecodedEntry {
     /// A backend server.
     Server(Server),
     /// The configuration.
@@ -53,21 +53,21 @@
 
 /// Key prefixes of the store, and decoders of its entries.
 #[derive(Clone, Copy, Debug)]
-pub struct Vocabulary {
+pub struct StoreSchema {
     /// Prefix of all keys that are read.
-    pub prefix: &'static str,
+    pub root_prefix: &'static str,
     /// Prefix of the servers' entries, which are small and urgent.
-    pub small: &'static str,
+    pub server_prefix: &'static str,
     /// Prefix of all that operators write: evacuations and the configuration.
-    pub operators: &'static str,
+    pub operator_prefix: &'static str,
     /// Prefix of the evacuations, which are small and few; part of the operators' prefix.
-    pub orders: &'static str,
+    pub evacuation_prefix: &'static str,
     /// Key of the configuration, the only large value; below the operators' prefix.
-    pub large: &'static str,
+    pub config_key: &'static str,
     /// Decodes an entry.
-    pub read: fn(&platform::Entry) -> Decoded<Entry>,
+    pub decode_entry: fn(&platform::Entry) -> DecodeResult<DecodedEntry>,
     /// The server or zone that a key refers to; `None` for other keys.
-    pub subject: fn(&str) -> Option<Subject>,
+    pub key_subject: fn(&str) -> Option<Subject>,
 }
 
 /// Everything that godwitreel needs to know about a platform.
@@ -78,5 +78,5 @@
     /// Format of the store's calls.
     pub dialect: Dialect,
     /// Layout of the store's entries.
-    pub vocabulary: Vocabulary,
+    pub schema: StoreSchema,
 }
--- a/src/entry/beliefs.rs
+++ b/src/entry/beliefs.rs
@@ -12,10 +12,10 @@
 use slog::info;
 use tokio::time::Instant;
 
-use crate::flow::Belief;
-use crate::flow::Presence;
-use crate::platform::allowance::Bucket;
-use crate::platform::allowance::Rate;
+use crate::flow::ServerState;
+use crate::flow::StateUpdate;
+use crate::platform::rate_limit::Rate;
+use crate::platform::rate_limit::TokenBucket;
 
 /// Log lines per second; enough in normal operation, where servers come and go one by
 /// one.
@@ -27,7 +27,7 @@
 /// Writes state updates as log lines.
 pub(crate) struct StateLog {
     log: Logger,
-    bucket: Bucket,
+    bucket: TokenBucket,
     /// Number of updates without a line of their own, by kind.
     counts: BTreeMap<&'static str, u64>,
     /// When the first of them was counted.
@@ -38,7 +38,7 @@
     pub(crate) fn new(log: Logger, now: Instant) -> Self {
         Self {
             log,
-            bucket: Bucket::new(LOG_RATE, now),
+            bucket: TokenBucket::new(LOG_RATE, now),
             counts: BTreeMap::new(),
             counting_since: None,
         }
@@ -93,32 +93,34 @@
     }
 
     /// The line of an update; `None` for updates that are logged elsewhere.
-    pub(crate) fn of(belief: &Belief) -> Option<Self> {
-        let line = match belief {
-            Belief::Servers { listed, .. } => Self::urgent("servers listed", listed.len()),
-            Belief::Server(server) => match server.presence {
-                Presence::Ready => Self {
+    pub(crate) fn of(update: &StateUpdate) -> Option<Self> {
+        let line = match update {
+            StateUpdate::Servers { listed, .. } => Self::urgent("servers listed", listed.len()),
+            StateUpdate::Server(server) => match server.state {
+                ServerState::Ready => Self {
                     kind: "server ready",
                     subject: server.id.to_string(),
                     is_urgent: false,
                 },
-                Presence::Draining => Self::urgent("server draining", &server.id),
+                ServerState::Draining => Self::urgent("server draining", &server.id),
             },
-            Belief::Gone(server) => Self::urgent("server gone", server),
-            Belief::Unreadable(server) => Self::urgent("server unreadable", server),
-            Belief::Routes(routes) => Self::urgent("configuration", routes.version),
-            Belief::Evacuated(zone) => Self::urgent("zone evacuated", zone),
-            Belief::Returned(zone) => Self::urgent("zone taken back", zone),
-            Belief::Evacuation(zones) => {
+            StateUpdate::ServerRemoved(server) => Self::urgent("server gone", server),
+            StateUpdate::ServerUnreadable(server) => Self::urgent("server unreadable", server),
+            StateUpdate::Routes(routes) => Self::urgent("configuration", routes.version),
+            StateUpdate::ZoneEvacuated(zone) => Self::urgent("zone evacuated", zone),
+            StateUpdate::ZoneRestored(zone) => Self::urgent("zone taken back", zone),
+            StateUpdate::EvacuatedZones(zones) => {
                 let zones: Vec<&str> = zones.iter().map(|zone| zone.as_str()).collect();
                 Self::urgent("zones evacuated", zones.join(" "))
             }
-            Belief::Peers(peers) => Self {
+            StateUpdate::Peers(peers) => Self {
                 kind: "instances",
                 subject: peers.len().to_string(),
                 is_urgent: false,
             },
-            Belief::Contact(_) | Belief::Silence | Belief::Testimony(_) => return None,
+            StateUpdate::StoreContact(_)
+            | StateUpdate::StoreUnreachable
+            | StateUpdate::ZoneOutcomes(_) => return None,
         };
         Some(line)
     }
--- a/src/entry/refusals.rs
+++ b/src/entry/refusals.rs
@@ -10,9 +10,9 @@
 use tokio::time::Instant;
 
 use crate::platform::Change;
-use crate::platform::allowance::Bucket;
-use crate::platform::allowance::Rate;
-use crate::platform::poll::Refusal;
+use crate::platform::poll::UnreadableEntry;
+use crate::platform::rate_limit::Rate;
+use crate::platform::rate_limit::TokenBucket;
 use crate::replica::Update;
 
 /// Log lines per second: enough to see a fault begin, and few compared with the lines
@@ -28,7 +28,7 @@
 /// The entries that cannot be decoded, and the rate limit of their log lines.
 pub(crate) struct UnreadableEntries {
     by_key: BTreeMap<String, String>,
-    bucket: Bucket,
+    bucket: TokenBucket,
     omitted: u64,
 }
 
@@ -36,7 +36,7 @@
     pub(crate) fn new(now: Instant) -> Self {
         Self {
             by_key: BTreeMap::new(),
-            bucket: Bucket::new(LOG_RATE, now),
+            bucket: TokenBucket::new(LOG_RATE, now),
             omitted: 0,
         }
     }
@@ -56,7 +56,7 @@
     }
 
     /// Stores an entry's reason, and logs it if the rate allows.
-    pub(crate) fn note(&mut self, now: Instant, entry: &Refusal, log: &Logger) {
+    pub(crate) fn note(&mut self, now: Instant, entry: &UnreadableEntry, log: &Logger) {
         let reason: String = entry.reason.chars().take(MAX_REASON_CHARS).collect();
         if self.bucket.take_urgent(now) {
             let omitted = std::mem::take(&mut self.omitted);
@@ -71,8 +71,8 @@
     }
 
     /// The keys with the reasons.
-    pub(crate) fn list(&self) -> Vec<Refusal> {
-        let row = |(key, reason): (&String, &String)| Refusal {
+    pub(crate) fn list(&self) -> Vec<UnreadableEntry> {
+        let row = |(key, reason): (&String, &String)| UnreadableEntry {
             key: key.clone(),
             reason: reason.clone(),
         };
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 use crate::entry::Adapter;
-use crate::entry::Evacuated;
+use crate::entry::EvacuatedZone;
 use crate::entry::Server;
 use crate::entry::Settings;
 use crate::entry::Status;
@@ -28,9 +28,9 @@
 use crate::entry::journal::Context;
 use crate::entry::journal::FlowLog;
 use crate::entry::metric::Metrics;
+use crate::entry::outcome::outcomes_from_message;
+use crate::entry::outcome::outcomes_to_message;
 use crate::entry::refusals::UnreadableEntries;
-use crate::entry::remarks::remark;
-use crate::entry::remarks::testimony;
 use crate::entry::signals::SignalAction;
 use crate::entry::signals::Signals;
 use crate::entry::socket::Socket;
@@ -41,13 +41,13 @@
 use crate::entry::withdrawal::Withdrawal;
 use crate::error::Result;
 use crate::flow::Backlog;
-use crate::flow::Belief;
-use crate::flow::Drop;
-use crate::flow::Early;
+use crate::flow::DataPlane;
+use crate::flow::DropReason;
 use crate::flow::Egress;
-use crate::flow::Plane;
-use crate::flow::Presence;
+use crate::flow::PendingPacket;
 use crate::flow::Segment;
+use crate::flow::ServerState;
+use crate::flow::StateUpdate;
 use crate::flow::Target;
 use crate::flow::Timing;
 use crate::flow::Verdict;
@@ -55,9 +55,9 @@
 use crate::id;
 use crate::poll::Reader;
 use crate::replica;
+use crate::replica::FleetLiveness;
 use crate::replica::Handover;
-use crate::replica::TELL_EVERY;
-use crate::replica::Tally;
+use crate::replica::OUTCOME_REPORT_INTERVAL;
 use crate::replica::Update;
 
 /// Largest number of packets received in a row before other events are handled.
@@ -73,7 +73,7 @@
 struct Instance {
     settings: Settings,
     adapter: Adapter,
-    plane: Plane,
+    plane: DataPlane,
     socket: Socket,
     flow_log: FlowLog,
     state_log: StateLog,
@@ -83,7 +83,7 @@
     /// The instance that changes come from; `None` for the store itself.
     upstream: Option<id::Instance>,
     /// The copy of the store, and the state exchanged with other instances.
-    replica: Arc<replica::Shared>,
+    replica: Arc<replica::SharedCopy>,
     /// When request outcomes were last reported to the zone.
     outcomes_reported_at: Instant,
     stop: Option<Stop>,
@@ -107,9 +107,9 @@
     let following = start::follow(&settings, &adapter, reader.clone(), &log).await?;
     let (mut updates, replica) = following;
     let (copy_available, mut copy_available_signals) = mpsc::channel(1);
-    let (sender, mut tallies) = mpsc::channel(1);
+    let (sender, mut liveness_rounds) = mpsc::channel(1);
     let me = start::member(&settings);
-    tokio::spawn(replica::take_census(me, Arc::clone(&replica), sender));
+    tokio::spawn(replica::monitor_liveness(me, Arc::clone(&replica), sender));
     let (status_requests, mut requested) = mpsc::channel(STATUS_QUEUE_LEN);
     let metrics = Metrics::new(transport, Arc::clone(&replica));
     metrics.create_drop_counters();
@@ -126,7 +126,7 @@
         "packets" => %settings.packets, "version" => env!("CARGO_PKG_VERSION"));
     let now = Instant::now();
     let mut instance = Instance {
-        plane: Plane::new(start::options(&settings)),
+        plane: DataPlane::new(start::options(&settings)),
         flow_log: FlowLog::new(log.clone(), settings.log_lines_per_second, now),
         state_log: StateLog::new(log.clone(), now),
         unreadable_entries: UnreadableEntries::new(now),
@@ -150,7 +150,7 @@
             biased;
             action = signals.next() => instance.handle_signal(action, &file),
             Some(update) = updates.recv() => instance.handle_update(update),
-            Some(tally) = tallies.recv() => instance.note_tally(&tally),
+            Some(liveness) = liveness_rounds.recv() => instance.handle_liveness(&liveness),
             Some(()) = copy_available_signals.recv() => {
                 if let Some(stop) = &mut instance.stop {
                     stop.note_copy_available();
@@ -233,7 +233,7 @@
         };
         if !self.plane.is_ready() && self.stop.is_none() {
             self.shared.metrics.count_packet("kept");
-            self.backlog.keep(Early {
+            self.backlog.push(PendingPacket {
                 at: now,
                 segment,
                 packet: packet.to_vec(),
@@ -266,9 +266,9 @@
         }
         let now = Instant::now();
         let buffered = self.backlog.len();
-        let early: Vec<Early> = self.backlog.take(now).collect();
+        let early: Vec<PendingPacket> = self.backlog.drain(now).collect();
         info!(self.log, "early packets"; "kept" => buffered, "handled" => early.len());
-        for Early {
+        for PendingPacket {
             segment, packet, ..
         } in early
         {
@@ -287,7 +287,7 @@
         match self.socket.forward(now, segment, length, target) {
             Ok(true) => ("forwarded", Ok(())),
             Ok(false) => {
-                self.shared.metrics.count_drop(Drop::FullLink.code());
+                self.shared.metrics.count_drop(DropReason::FullLink.code());
                 ("dropped", Ok(()))
             }
             Err(error) => ("forwarded", Err(error)),
@@ -330,15 +330,17 @@
     /// that the zone's other instances counted.
     fn exchange_outcomes(&mut self) {
         let now = Instant::now();
-        if now < self.outcomes_reported_at + TELL_EVERY {
+        if now < self.outcomes_reported_at + OUTCOME_REPORT_INTERVAL {
             return;
         }
         self.outcomes_reported_at = now;
-        let own = self.plane.testimony(now);
-        self.replica.board.set_own(own.iter().map(remark).collect());
-        let zone = self.replica.board.confirmed(now);
-        let zone = zone.iter().map(testimony).collect();
-        self.plane.learn(now, Belief::Testimony(zone));
+        let own = self.plane.server_outcomes(now);
+        self.replica
+            .outcomes
+            .set_local(own.iter().map(outcomes_to_message).collect());
+        let zone = self.replica.outcomes.confirmed_outcomes(now);
+        let zone = zone.iter().map(outcomes_from_message).collect();
+        self.plane.apply(now, StateUpdate::ZoneOutcomes(zone));
     }
 
     fn report(&mut self) {
@@ -354,7 +356,7 @@
             }
         }
         self.state_log.flush(now);
-        let (notes, omitted) = self.plane.take_notes();
+        let (notes, omitted) = self.plane.take_events();
         self.flow_log.add_omitted(omitted);
         metrics.omitted_lines.inc_by(omitted);
         for note in &notes {
@@ -373,7 +375,7 @@
         let now = Instant::now();
         self.log_contact(now, &update);
         self.unreadable_entries.forget_updated(&update);
-        let decoded = DecodedUpdate::new(&self.adapter.vocabulary, update);
+        let decoded = DecodedUpdate::new(&self.adapter.schema, update);
         for entry in &decoded.unreadable {
             self.shared.metrics.refused_entries.inc();
             self.unreadable_entries.note(now, entry, &self.log);
@@ -388,7 +390,7 @@
     /// Logs when the store is lost or read, and when the source of changes moves.
     fn log_contact(&mut self, now: Instant, update: &Update) {
         match update {
-            Update::Silent { reason } => {
+            Update::StoreUnreachable { reason } => {
                 warn!(self.log, "store lost"; "reason" => reason,
                     "view_age_ms" => self.contact_age_ms(now));
             }
@@ -396,7 +398,7 @@
                 entries, revision, ..
             } => info!(self.log, "store read"; "entries" => entries.len(),
                 "revision" => revision, "view_age_ms" => self.contact_age_ms(now)),
-            Update::Source { upstream } => {
+            Update::UpstreamChanged { upstream } => {
                 self.upstream.clone_from(upstream);
                 let upstream = upstream.as_ref().map(ToString::to_string);
                 info!(self.log, "source of changes"; "upstream" => upstream);
@@ -405,9 +407,9 @@
         }
     }
 
-    fn apply(&mut self, now: Instant, state_update: Belief) {
+    fn apply(&mut self, now: Instant, state_update: StateUpdate) {
         let line = StateLine::of(&state_update);
-        let is_new = self.plane.learn(now, state_update);
+        let is_new = self.plane.apply(now, state_update);
         if let Some(line) = line {
             self.state_log.write(now, line, is_new);
         }
@@ -421,7 +423,9 @@
             info!(self.log, "readiness"; "is_ready" => is_ready);
         }
         metrics.ready.set(i64::from(is_ready));
-        metrics.servers.set(self.plane.directory().listed() as i64);
+        metrics
+            .servers
+            .set(self.plane.directory().listed_count() as i64);
         metrics.flows.set(self.plane.flows() as i64);
         let evacuated = self.plane.directory().evacuation().zones().count();
         metrics.evacuated.set(evacuated as i64);
@@ -435,7 +439,7 @@
                 self.backlog.clear();
                 self.stop = Some(Stop::new(Instant::now(), self.settings.grace()));
                 self.set_gauges();
-                self.replica.begin_leaving();
+                self.replica.set_stopping();
                 self.start_handover();
             }
             SignalAction::Stop => {}
@@ -444,16 +448,16 @@
     }
 
     /// Takes in who of the fleet answers.
-    fn note_tally(&mut self, tally: &Tally) {
+    fn handle_liveness(&mut self, liveness: &FleetLiveness) {
         let before = self.withdrawal.is_withdrawn();
-        self.withdrawal.note(tally);
+        self.withdrawal.note(liveness);
         let is_withdrawn = self.withdrawal.is_withdrawn();
         if is_withdrawn == before {
             return;
         }
         info!(self.log, "withdrawal"; "is_withdrawn" => is_withdrawn,
-            "answering" => tally.here.answering, "all" => tally.here.all,
-            "zones_asked" => tally.elsewhere.len());
+            "answering" => liveness.local_zone.answering, "all" => liveness.local_zone.probed,
+            "zones_asked" => liveness.other_zones.len());
         self.replica.set_withdrawn(is_withdrawn);
         self.set_gauges();
     }
@@ -511,9 +515,9 @@
         }
     }
 
-    fn evacuated_zones(&self, now: Instant) -> Vec<Evacuated> {
+    fn evacuated_zones(&self, now: Instant) -> Vec<EvacuatedZone> {
         let zones = self.plane.directory().evacuation().zones();
-        let evacuated = zones.map(|(zone, since)| Evacuated {
+        let evacuated = zones.map(|(zone, since)| EvacuatedZone {
             zone: zone.clone(),
             known_ms: (now - since).as_millis() as u64,
         });
@@ -529,13 +533,13 @@
         zone: record.server.zone.clone(),
         incarnation: record.server.incarnation.map(|life| life.0),
         is_unreadable: record.is_unreadable,
-        is_draining: record.server.presence == Presence::Draining,
+        is_draining: record.server.state == ServerState::Draining,
         is_evacuated: record.is_evacuated,
         missing_ms: record.missing_since.map(age),
-        is_suspected: record.evidence.is_suspected(now),
-        misses: record.evidence.misses(),
-        bad_percent: (record.experience.bad_share(now) * 100.0).round() as u32,
-        heard_ms: record.evidence.last_alive().map(age),
+        is_suspected: record.liveness.is_suspected(now),
+        misses: record.liveness.misses(),
+        bad_percent: (record.outcomes.bad_share(now) * 100.0).round() as u32,
+        heard_ms: record.liveness.last_answer().map(age),
         outstanding: record.outstanding,
         flows: record.flows,
     }
--- a/src/entry/start.rs
+++ b/src/entry/start.rs
@@ -21,11 +21,11 @@
 use crate::platform::Client;
 use crate::poll::Reader;
 use crate::replica;
+use crate::replica::FollowOptions;
 use crate::replica::Member;
-use crate::replica::Pace;
 use crate::replica::Pacer;
+use crate::replica::PollTiming;
 use crate::replica::Registration;
-use crate::replica::Sources;
 use crate::replica::Update;
 
 /// Capacity of the queue of updates from the copy; its source blocks while it is full.
@@ -97,7 +97,7 @@
         call_timeout: CALL_TIMEOUT,
         connect_timeout: CONNECT_TIMEOUT,
         backoff: BACKOFF,
-        reads: settings.store.reads_per_second,
+        read_rate: settings.store.reads_per_second,
         seed: seed(settings),
         ..platform::Options::default()
     };
@@ -105,20 +105,20 @@
     Ok(Reader::new(client, adapter.dialect))
 }
 
-fn pace(settings: &Settings) -> Pace {
+fn pace(settings: &Settings) -> PollTiming {
     let bound = settings.bound().unwrap_or(DEFAULT_BOUND);
     let bound = bound.clamp(MIN_BOUND, DEFAULT_BOUND);
     let share = bound.div_duration_f64(DEFAULT_BOUND);
-    Pace {
-        wait: settings
+    PollTiming {
+        background_wait: settings
             .notice()
             .saturating_sub(CALL_TIMEOUT)
             .mul_f64(share),
-        wait_for_others: SUBSCRIBED_WAIT.mul_f64(share),
-        gather: settings.gather().mul_f64(share),
+        subscribed_wait: SUBSCRIBED_WAIT.mul_f64(share),
+        gather_pause: settings.gather().mul_f64(share),
         copy_wait: settings.copy_wait(),
-        most_age: MAX_UPSTREAM_AGE.mul_f64(share),
-        fresh: FRESH_UPSTREAM_AGE.mul_f64(share),
+        max_age: MAX_UPSTREAM_AGE.mul_f64(share),
+        fresh_age: FRESH_UPSTREAM_AGE.mul_f64(share),
     }
 }
 
@@ -139,7 +139,7 @@
     adapter: &Adapter,
     reader: Reader,
     log: &Logger,
-) -> Result<(mpsc::Receiver<Update>, Arc<replica::Shared>)> {
+) -> Result<(mpsc::Receiver<Update>, Arc<replica::SharedCopy>)> {
     let listener = TcpListener::bind(settings.peers).await;
     let listener = listener.map_err(|source| Error::Io {
         step: "bind peer address",
@@ -147,19 +147,19 @@
         source,
     })?;
     let pacer = Pacer::new(settings.link_mbps, Instant::now());
-    let shared = Arc::new(replica::Shared::new(pacer));
+    let shared = Arc::new(replica::SharedCopy::new(pacer));
     let (sender, updates) = mpsc::channel(UPDATE_QUEUE_LEN);
     let member = member(settings);
-    let sources = Sources {
+    let sources = FollowOptions {
         reader: reader.clone(),
-        keys: replica::Keys {
-            all: adapter.vocabulary.prefix,
-            small: adapter.vocabulary.small,
-            operators: adapter.vocabulary.operators,
-            orders: adapter.vocabulary.orders,
-            large: adapter.vocabulary.large,
+        keys: replica::KeyLayout {
+            root_prefix: adapter.schema.root_prefix,
+            server_prefix: adapter.schema.server_prefix,
+            operator_prefix: adapter.schema.operator_prefix,
+            evacuation_prefix: adapter.schema.evacuation_prefix,
+            config_key: adapter.schema.config_key,
         },
-        pace: pace(settings),
+        timing: pace(settings),
         me: member.clone(),
         seeds: settings.seeds.clone(),
         log: log.clone(),
--- a/src/entry/status.rs
+++ b/src/entry/status.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 
 use crate::id;
-use crate::platform::poll::Refusal;
+use crate::platform::poll::UnreadableEntry;
 
 /// Status of an entry instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -26,17 +26,17 @@
     pub upstream: Option<id::Instance>,
     /// Zones that operators have evacuated; their servers get no new flows.
     #[serde(default)]
-    pub evacuated: Vec<Evacuated>,
+    pub evacuated: Vec<EvacuatedZone>,
     /// The backend servers, including those whose store entry is gone.
     pub servers: Vec<Server>,
     /// Entries of the store that cannot be decoded at present, 32 at most.
     #[serde(default)]
-    pub refused: Vec<Refusal>,
+    pub refused: Vec<UnreadableEntry>,
 }
 
 /// A zone that operators have evacuated.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Evacuated {
+pub struct EvacuatedZone {
     /// The zone.
     pub zone: id::Zone,
     /// Time for which the instance has known of the evacuation, in milliseconds.
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -1,13 +1,13 @@
 //! Decodes updates of the store's copy into state updates of the data plane.
 
-use crate::entry::Entry;
+use crate::entry::DecodedEntry;
+use crate::entry::StoreSchema;
 use crate::entry::Subject;
-use crate::entry::Vocabulary;
-use crate::flow::Belief;
 use crate::flow::Peer;
+use crate::flow::StateUpdate;
 use crate::platform;
 use crate::platform::Change;
-use crate::platform::poll::Refusal;
+use crate::platform::poll::UnreadableEntry;
 use crate::replica::Member;
 use crate::replica::Update;
 
@@ -15,12 +15,12 @@
 /// decoded.
 #[derive(Debug, Default)]
 pub(crate) struct DecodedUpdate {
-    pub(crate) state_updates: Vec<Belief>,
-    pub(crate) unreadable: Vec<Refusal>,
+    pub(crate) state_updates: Vec<StateUpdate>,
+    pub(crate) unreadable: Vec<UnreadableEntry>,
 }
 
 impl DecodedUpdate {
-    pub(crate) fn new(schema: &Vocabulary, update: Update) -> Self {
+    pub(crate) fn new(schema: &StoreSchema, update: Update) -> Self {
         let mut decoded = Self::default();
         match update {
             Update::Reset {
@@ -28,47 +28,57 @@
             } => decoded.reset(schema, &entries, refused),
             Update::Change(Change::Put(entry)) => decoded.put(schema, &entry),
             Update::Change(Change::Delete { key, .. }) => {
-                let subject = (schema.subject)(&key);
+                let subject = (schema.key_subject)(&key);
                 decoded.state_updates.extend(subject.map(on_deleted));
             }
             Update::Refused(entry) => decoded.add_unreadable(schema, entry),
-            Update::Contact(contact) => decoded.state_updates.push(Belief::Contact(contact)),
-            Update::Silent { .. } => decoded.state_updates.push(Belief::Silence),
+            Update::Contact(contact) => decoded
+                .state_updates
+                .push(StateUpdate::StoreContact(contact)),
+            Update::StoreUnreachable { .. } => {
+                decoded.state_updates.push(StateUpdate::StoreUnreachable)
+            }
             Update::Members(members) => {
                 let peers = members.into_iter().map(peer).collect();
-                decoded.state_updates.push(Belief::Peers(peers));
+                decoded.state_updates.push(StateUpdate::Peers(peers));
             }
-            Update::Source { .. } => {}
+            Update::UpstreamChanged { .. } => {}
         }
         decoded
     }
 
     /// An entry that cannot be decoded makes its server unreadable: the server gets no new
     /// flows, and its last known state stays for its open flows.
-    fn put(&mut self, schema: &Vocabulary, entry: &platform::Entry) {
-        match (schema.read)(entry) {
-            Ok(Entry::Server(server)) => self.state_updates.push(Belief::Server(server)),
-            Ok(Entry::Routes(routes)) => self.state_updates.push(Belief::Routes(routes)),
-            Ok(Entry::Evacuation(zone)) => self.state_updates.push(Belief::Evacuated(zone)),
-            Ok(Entry::Other) => {}
+    fn put(&mut self, schema: &StoreSchema, entry: &platform::Entry) {
+        match (schema.decode_entry)(entry) {
+            Ok(DecodedEntry::Server(server)) => {
+                self.state_updates.push(StateUpdate::Server(server))
+            }
+            Ok(DecodedEntry::Routes(routes)) => {
+                self.state_updates.push(StateUpdate::Routes(routes))
+            }
+            Ok(DecodedEntry::Evacuation(zone)) => {
+                self.state_updates.push(StateUpdate::ZoneEvacuated(zone))
+            }
+            Ok(DecodedEntry::Other) => {}
             Err(reason) => {
                 let key = entry.key.clone();
-                self.add_unreadable(schema, Refusal { key, reason });
+                self.add_unreadable(schema, UnreadableEntry { key, reason });
             }
         }
     }
 
-    fn add_unreadable(&mut self, schema: &Vocabulary, entry: Refusal) {
-        let subject = (schema.subject)(&entry.key);
+    fn add_unreadable(&mut self, schema: &StoreSchema, entry: UnreadableEntry) {
+        let subject = (schema.key_subject)(&entry.key);
         self.state_updates.extend(subject.map(on_unreadable));
         self.unreadable.push(entry);
     }
 
     fn reset(
         &mut self,
-        schema: &Vocabulary,
+        schema: &StoreSchema,
         entries: &[platform::Entry],
-        unreadable: Vec<Refusal>,
+        unreadable: Vec<UnreadableEntry>,
     ) {
         for entry in unreadable {
             self.add_unreadable(schema, entry);
@@ -82,18 +92,18 @@
         let mut others = Vec::new();
         for update in self.state_updates.drain(..) {
             match update {
-                Belief::Server(server) => listed.push(server),
-                Belief::Unreadable(server) => unreadable.push(server),
-                Belief::Evacuated(zone) => evacuated.push(zone),
+                StateUpdate::Server(server) => listed.push(server),
+                StateUpdate::ServerUnreadable(server) => unreadable.push(server),
+                StateUpdate::ZoneEvacuated(zone) => evacuated.push(zone),
                 other => others.push(other),
             }
         }
-        let servers = Belief::Servers { listed, unreadable };
+        let servers = StateUpdate::Servers { listed, unreadable };
         self.state_updates = others;
         // Evacuations come before the servers, so that no server of an evacuated zone gets
         // new flows in between.
         self.state_updates
-            .push(Belief::Evacuation(evacuated.into_iter().collect()));
+            .push(StateUpdate::EvacuatedZones(evacuated.into_iter().collect()));
         self.state_updates.push(servers);
     }
 }
@@ -106,18 +116,18 @@
 }
 
 /// The state update that follows from a deleted entry.
-fn on_deleted(subject: Subject) -> Belief {
+fn on_deleted(subject: Subject) -> StateUpdate {
     match subject {
-        Subject::Server(server) => Belief::Gone(server),
-        Subject::Evacuation(zone) => Belief::Returned(zone),
+        Subject::Server(server) => StateUpdate::ServerRemoved(server),
+        Subject::Evacuation(zone) => StateUpdate::ZoneRestored(zone),
     }
 }
 
 /// The state update that follows from an entry whose value cannot be decoded. An
 /// evacuation is in force while its key exists, whatever its value.
-fn on_unreadable(subject: Subject) -> Belief {
+fn on_unreadable(subject: Subject) -> StateUpdate {
     match subject {
-        Subject::Server(server) => Belief::Unreadable(server),
-        Subject::Evacuation(zone) => Belief::Evacuated(zone),
+        Subject::Server(server) => StateUpdate::ServerUnreadable(server),
+        Subject::Evacuation(zone) => StateUpdate::ZoneEvacuated(zone),
     }
 }
--- a/src/entry/withdrawal.rs
+++ b/src/entry/withdrawal.rs
@@ -13,8 +13,8 @@
 //! A withdrawn instance keeps forwarding the packets it gets. A wrong decision costs the
 //! callers of the zone only the longer path to the next zone.
 
-use crate::replica::Headcount;
-use crate::replica::Tally;
+use crate::replica::FleetLiveness;
+use crate::replica::ZoneLiveness;
 
 /// Number of probe rounds in a row that must agree before the state changes either way.
 const ROUNDS: u32 = 2;
@@ -29,9 +29,9 @@
 
 impl Withdrawal {
     /// Takes in the result of a probe round.
-    pub fn note(&mut self, tally: &Tally) {
-        let has_better_zone = tally.elsewhere.iter().any(can_take_callers);
-        let should_withdraw = tally.here.is_minority() && has_better_zone;
+    pub fn note(&mut self, liveness: &FleetLiveness) {
+        let has_better_zone = liveness.other_zones.iter().any(can_take_callers);
+        let should_withdraw = liveness.local_zone.is_mostly_unresponsive() && has_better_zone;
         if should_withdraw == self.is_withdrawn {
             self.contrary_rounds = 0;
             return;
@@ -49,6 +49,6 @@
     }
 }
 
-fn can_take_callers(zone: &Headcount) -> bool {
-    zone.answering > 0 && !zone.is_minority() && zone.withdrawn == 0
+fn can_take_callers(zone: &ZoneLiveness) -> bool {
+    zone.answering > 0 && !zone.is_mostly_unresponsive() && zone.withdrawn == 0
 }
--- a/src/replica/follow/start.rs
+++ b/src/replica/follow/start.rs
@@ -53,7 +53,7 @@
     /// Machines that start together have their power back within 0.3 s of each
     /// other, so that those to be asked may not be there yet. Whoever waits in vain
     /// reads the store as well, and takes what comes first: one after the other, by
-    /// rank, from [`crate::replica::Pace::copy_wait`] on.
+    /// rank, from [`crate::replica::PollTiming::copy_wait`] on.
     ///
     /// While the store has not answered, all who may have a copy are asked, too. One
     /// search goes on through all tries of the store: a copy that takes longer on a thin
@@ -82,7 +82,7 @@
         Search {
             me: self.sources.me.clone(),
             seeds: self.sources.seeds.clone(),
-            fresh: self.sources.pace.fresh,
+            fresh: self.sources.timing.fresh_age,
             begun: self.begun,
             introduced: self.shared.introduced(),
             log: self.sources.log.clone(),
@@ -101,7 +101,7 @@
     /// Gets the first copy while the store answers.
     async fn begin_from(&mut self, feeders: Feeders) -> Result<(), End> {
         let reader = self.sources.reader.clone();
-        let all = self.sources.keys.all;
+        let all = self.sources.keys.root_prefix;
         if feeders.addresses.is_empty() {
             let listing = store::list(&reader, all).await?;
             return self.take_listing(listing).await;
@@ -136,7 +136,7 @@
         let above = self.above();
         let is_head = above.len() < HEADS;
         let members: Vec<Member> = self.members.values().cloned().collect();
-        let (me, first) = (&self.sources.me, self.sources.pace.copy_wait);
+        let (me, first) = (&self.sources.me, self.sources.timing.copy_wait);
         Ok(Feeders {
             addresses: if is_head { Vec::new() } else { above },
             wait: tree::copy_wait(&me.instance, &me.zone, &members, first),
--- a/tests/withdrawal.rs
+++ b/tests/withdrawal.rs
@@ -1,29 +1,29 @@
 //! Withdrawal: an instance reports "not ready" while most of its zone is frozen.
 
 use godwitreel::entry::Withdrawal;
-use godwitreel::replica::Headcount;
-use godwitreel::replica::Tally;
+use godwitreel::replica::FleetLiveness;
+use godwitreel::replica::ZoneLiveness;
 
-fn zone(answering: usize, all: usize) -> Headcount {
-    Headcount {
+fn zone(answering: usize, probed: usize) -> ZoneLiveness {
+    ZoneLiveness {
         answering,
         withdrawn: 0,
-        all,
+        probed,
     }
 }
 
-fn tally(here: Headcount, elsewhere: &[Headcount]) -> Tally {
-    Tally {
-        here,
-        elsewhere: elsewhere.to_vec(),
+fn round(local_zone: ZoneLiveness, other_zones: &[ZoneLiveness]) -> FleetLiveness {
+    FleetLiveness {
+        local_zone,
+        other_zones: other_zones.to_vec(),
     }
 }
 
 /// Whether an instance is withdrawn after each of these probe rounds.
-fn withdrawn_after_each(tallies: &[Tally]) -> Vec<bool> {
+fn withdrawn_after_each(rounds: &[FleetLiveness]) -> Vec<bool> {
     let mut withdrawal = Withdrawal::default();
-    let states = tallies.iter().map(|tally| {
-        withdrawal.note(tally);
+    let states = rounds.iter().map(|round| {
+        withdrawal.note(round);
         withdrawal.is_withdrawn()
     });
     states.collect()
@@ -34,9 +34,9 @@
 // the others answer again.
 #[test]
 fn the_last_of_a_zone_withdraws_while_most_are_frozen() {
-    let frozen = tally(zone(1, 3), &[zone(3, 3)]);
-    let healthy = tally(zone(3, 3), &[]);
-    let tallies = [
+    let frozen = round(zone(1, 3), &[zone(3, 3)]);
+    let healthy = round(zone(3, 3), &[]);
+    let rounds = [
         frozen.clone(),
         frozen.clone(),
         frozen,
@@ -44,7 +44,7 @@
         healthy,
     ];
     assert_eq!(
-        withdrawn_after_each(&tallies),
+        withdrawn_after_each(&rounds),
         [false, true, true, true, false]
     );
 }
@@ -53,16 +53,16 @@
 // that changes nothing, however often it happens.
 #[test]
 fn one_late_answer_changes_nothing() {
-    let late = tally(zone(1, 3), &[zone(3, 3)]);
-    let healthy = tally(zone(3, 3), &[]);
-    let tallies = [late.clone(), healthy.clone(), late, healthy];
-    assert_eq!(withdrawn_after_each(&tallies), [false; 4]);
+    let late = round(zone(1, 3), &[zone(3, 3)]);
+    let healthy = round(zone(3, 3), &[]);
+    let rounds = [late.clone(), healthy.clone(), late, healthy];
+    assert_eq!(withdrawn_after_each(&rounds), [false; 4]);
 }
 
 // While half of the zone answers, routers skip only the instances that do not.
 #[test]
 fn half_of_a_zone_is_enough() {
-    let half = tally(zone(2, 4), &[zone(4, 4)]);
+    let half = round(zone(2, 4), &[zone(4, 4)]);
     assert_eq!(withdrawn_after_each(&[half.clone(), half]), [false; 2]);
 }
 
@@ -70,16 +70,16 @@
 // withdrawn itself. Withdrawing here as well could leave callers without any zone.
 #[test]
 fn nobody_withdraws_where_no_other_zone_is_better() {
-    let withdrawn = Headcount {
+    let withdrawn = ZoneLiveness {
         withdrawn: 1,
         ..zone(3, 3)
     };
-    for elsewhere in [&[][..], &[zone(0, 3)], &[zone(1, 3)], &[withdrawn]] {
-        let alone = tally(zone(1, 3), elsewhere);
+    for other_zones in [&[][..], &[zone(0, 3)], &[zone(1, 3)], &[withdrawn]] {
+        let alone = round(zone(1, 3), other_zones);
         assert_eq!(
             withdrawn_after_each(&[alone.clone(), alone]),
             [false; 2],
-            "{elsewhere:?}"
+            "{other_zones:?}"
         );
     }
 }
