--- a/src/entry/checks.rs
+++ b/src/entry/checks.rs
@@ -89,7 +89,7 @@
 
 fn check_ports(settings: &Settings) -> Check {
     if settings.metrics == settings.ready {
-        return refuse("metrics", settings.metrics, "another address than ready");
+        return refuse("metrics", settings.metrics, "an address other than ready");
     }
     None
 }
--- a/src/entry/journal.rs
+++ b/src/entry/journal.rs
@@ -42,8 +42,8 @@
     }
 
     /// Writes an event, or counts it as omitted; returns whether it was written.
-    pub(crate) fn write(&mut self, now: Instant, note: &FlowEvent, context: Context) -> bool {
-        let has_room = if is_urgent(note) {
+    pub(crate) fn write(&mut self, now: Instant, event: &FlowEvent, context: Context) -> bool {
+        let has_room = if is_urgent(event) {
             self.bucket.take_urgent(now)
         } else {
             self.bucket.take(now)
@@ -55,20 +55,20 @@
         let omitted = std::mem::take(&mut self.omitted);
         let age = context.contact_age_ms;
         let log = self.log.new(o!("omitted" => omitted, "view_age_ms" => age));
-        write_line(&log, note);
+        write_line(&log, event);
         true
     }
 }
 
 /// Whether an event may use the reserve of the rate limit. Events that explain failures
 /// take precedence over placed flows and dropped packets, which are frequent.
-fn is_urgent(note: &FlowEvent) -> bool {
-    !matches!(note, FlowEvent::Placed { .. } | FlowEvent::Dropped { .. })
+fn is_urgent(event: &FlowEvent) -> bool {
+    !matches!(event, FlowEvent::Placed { .. } | FlowEvent::Dropped { .. })
 }
 
 /// Label value of an event for the decision counters.
-pub(crate) fn kind(note: &FlowEvent) -> &'static str {
-    match note {
+pub(crate) fn kind(event: &FlowEvent) -> &'static str {
+    match event {
         FlowEvent::Placed {
             is_remote: true, ..
         } => "placed_remote",
@@ -85,9 +85,9 @@
     }
 }
 
-fn write_line(log: &Logger, note: &FlowEvent) {
-    let kind = kind(note);
-    match note {
+fn write_line(log: &Logger, event: &FlowEvent) {
+    let kind = kind(event);
+    match event {
         FlowEvent::Placed {
             flow_key,
             server,
@@ -107,7 +107,7 @@
             "waited_ms" => waited_ms),
         FlowEvent::Evacuated { flow_key, left } => {
             info!(log, "server's zone evacuated in handshake";
-            "outcome" => kind, "flow" => %flow_key, "left" => %left)
+                "outcome" => kind, "flow" => %flow_key, "left" => %left)
         }
         FlowEvent::Refused {
             flow_key, version, ..
--- a/src/entry/refusals.rs
+++ b/src/entry/refusals.rs
@@ -42,7 +42,7 @@
     }
 
     /// Removes the keys that an update rewrites or deletes.
-    pub(crate) fn forget_updated(&mut self, update: &Update) {
+    pub(crate) fn remove_updated(&mut self, update: &Update) {
         match update {
             Update::Reset { .. } => self.by_key.clear(),
             Update::Change(Change::Put(entry)) => {
@@ -56,7 +56,7 @@
     }
 
     /// Stores an entry's reason, and logs it if the rate allows.
-    pub(crate) fn note(&mut self, now: Instant, entry: &UnreadableEntry, log: &Logger) {
+    pub(crate) fn add(&mut self, now: Instant, entry: &UnreadableEntry, log: &Logger) {
         let reason: String = entry.reason.chars().take(MAX_REASON_CHARS).collect();
         if self.bucket.take_urgent(now) {
             let omitted = std::mem::take(&mut self.omitted);
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -104,13 +104,13 @@
     let mut signals = Signals::new()?;
     let reader = start::reader(&settings, &adapter)?;
     let transport = reader.client().transport();
-    let following = start::follow(&settings, &adapter, reader.clone(), &log).await?;
-    let (mut updates, replica) = following;
+    let replication = start::follow(&settings, &adapter, reader.clone(), &log).await?;
+    let (mut updates, replica) = replication;
     let (copy_available, mut copy_available_signals) = mpsc::channel(1);
     let (sender, mut liveness_rounds) = mpsc::channel(1);
     let me = start::member(&settings);
     tokio::spawn(replica::monitor_liveness(me, Arc::clone(&replica), sender));
-    let (status_requests, mut requested) = mpsc::channel(STATUS_QUEUE_LEN);
+    let (status_requests, mut status_queue) = mpsc::channel(STATUS_QUEUE_LEN);
     let metrics = Metrics::new(transport, Arc::clone(&replica));
     metrics.create_drop_counters();
     let shared = Arc::new(Shared {
@@ -161,7 +161,7 @@
                     warn!(instance.log, "packet socket failed"; "error" => %error);
                 }
             }
-            Some(reply) = requested.recv() => {
+            Some(reply) = status_queue.recv() => {
                 // The HTTP client may have disconnected.
                 let _ = reply.send(instance.status());
             }
@@ -181,8 +181,8 @@
     /// When the main loop must run again even without an event.
     fn next_wake(&self) -> Instant {
         let mut wake = Instant::now() + MAX_TIMER_INTERVAL;
-        let dues = [self.plane.next_due(), self.socket.next_due()];
-        for due in dues.into_iter().flatten() {
+        let timers = [self.plane.next_due(), self.socket.next_due()];
+        for due in timers.into_iter().flatten() {
             wake = wake.min(due);
         }
         if let Some(stop) = &self.stop {
@@ -266,11 +266,11 @@
         }
         let now = Instant::now();
         let buffered = self.backlog.len();
-        let early: Vec<PendingPacket> = self.backlog.drain(now).collect();
-        info!(self.log, "early packets"; "kept" => buffered, "handled" => early.len());
+        let pending: Vec<PendingPacket> = self.backlog.drain(now).collect();
+        info!(self.log, "early packets"; "kept" => buffered, "handled" => pending.len());
         for PendingPacket {
             segment, packet, ..
-        } in early
+        } in pending
         {
             let length = self.socket.load(&packet);
             self.handle_packet(now, &segment, length);
@@ -326,8 +326,8 @@
         }
     }
 
-    /// Publishes this instance's request outcomes to the zone, and applies the outcomes
-    /// that the zone's other instances counted.
+    /// Reports the request outcomes counted here to the zone, and applies the confirmed
+    /// outcomes of the whole zone.
     fn exchange_outcomes(&mut self) {
         let now = Instant::now();
         if now < self.outcomes_reported_at + OUTCOME_REPORT_INTERVAL {
@@ -356,12 +356,12 @@
             }
         }
         self.state_log.flush(now);
-        let (notes, omitted) = self.plane.take_events();
+        let (events, omitted) = self.plane.take_events();
         self.flow_log.add_omitted(omitted);
         metrics.omitted_lines.inc_by(omitted);
-        for note in &notes {
-            metrics.count_decision(journal::kind(note));
-            if !self.flow_log.write(now, note, context) {
+        for event in &events {
+            metrics.count_decision(journal::kind(event));
+            if !self.flow_log.write(now, event, context) {
                 metrics.omitted_lines.inc();
             }
         }
@@ -374,11 +374,11 @@
     fn handle_update(&mut self, update: Update) {
         let now = Instant::now();
         self.log_contact(now, &update);
-        self.unreadable_entries.forget_updated(&update);
+        self.unreadable_entries.remove_updated(&update);
         let decoded = DecodedUpdate::new(&self.adapter.schema, update);
         for entry in &decoded.unreadable {
             self.shared.metrics.refused_entries.inc();
-            self.unreadable_entries.note(now, entry, &self.log);
+            self.unreadable_entries.add(now, entry, &self.log);
         }
         for state_update in decoded.state_updates {
             self.apply(now, state_update);
@@ -447,12 +447,12 @@
         }
     }
 
-    /// Takes in who of the fleet answers.
+    /// Updates the withdrawal after a round of liveness probes.
     fn handle_liveness(&mut self, liveness: &FleetLiveness) {
-        let before = self.withdrawal.is_withdrawn();
+        let was_withdrawn = self.withdrawal.is_withdrawn();
         self.withdrawal.note(liveness);
         let is_withdrawn = self.withdrawal.is_withdrawn();
-        if is_withdrawn == before {
+        if is_withdrawn == was_withdrawn {
             return;
         }
         info!(self.log, "withdrawal"; "is_withdrawn" => is_withdrawn,
@@ -531,7 +531,7 @@
         server: record.server.id.clone(),
         service: record.server.service.clone(),
         zone: record.server.zone.clone(),
-        incarnation: record.server.incarnation.map(|life| life.0),
+        incarnation: record.server.incarnation.map(|incarnation| incarnation.0),
         is_unreadable: record.is_unreadable,
         is_draining: record.server.state == ServerState::Draining,
         is_evacuated: record.is_evacuated,
--- a/src/entry/start.rs
+++ b/src/entry/start.rs
@@ -105,20 +105,20 @@
     Ok(Reader::new(client, adapter.dialect))
 }
 
-fn pace(settings: &Settings) -> PollTiming {
+fn poll_timing(settings: &Settings) -> PollTiming {
     let bound = settings.bound().unwrap_or(DEFAULT_BOUND);
     let bound = bound.clamp(MIN_BOUND, DEFAULT_BOUND);
-    let share = bound.div_duration_f64(DEFAULT_BOUND);
+    let scale = bound.div_duration_f64(DEFAULT_BOUND);
     PollTiming {
         background_wait: settings
             .notice()
             .saturating_sub(CALL_TIMEOUT)
-            .mul_f64(share),
-        subscribed_wait: SUBSCRIBED_WAIT.mul_f64(share),
-        gather_pause: settings.gather().mul_f64(share),
+            .mul_f64(scale),
+        subscribed_wait: SUBSCRIBED_WAIT.mul_f64(scale),
+        gather_pause: settings.gather().mul_f64(scale),
         copy_wait: settings.copy_wait(),
-        max_age: MAX_UPSTREAM_AGE.mul_f64(share),
-        fresh_age: FRESH_UPSTREAM_AGE.mul_f64(share),
+        max_age: MAX_UPSTREAM_AGE.mul_f64(scale),
+        fresh_age: FRESH_UPSTREAM_AGE.mul_f64(scale),
     }
 }
 
@@ -150,7 +150,7 @@
     let shared = Arc::new(replica::SharedCopy::new(pacer));
     let (sender, updates) = mpsc::channel(UPDATE_QUEUE_LEN);
     let member = member(settings);
-    let sources = FollowOptions {
+    let follow_options = FollowOptions {
         reader: reader.clone(),
         keys: replica::KeyLayout {
             root_prefix: adapter.schema.root_prefix,
@@ -159,7 +159,7 @@
             evacuation_prefix: adapter.schema.evacuation_prefix,
             config_key: adapter.schema.config_key,
         },
-        timing: pace(settings),
+        timing: poll_timing(settings),
         me: member.clone(),
         seeds: settings.seeds.clone(),
         log: log.clone(),
@@ -170,7 +170,7 @@
         log: log.clone(),
     };
     tokio::spawn(replica::publish(listener, Arc::clone(&shared), log.clone()));
-    tokio::spawn(replica::follow(sources, Arc::clone(&shared), sender));
+    tokio::spawn(replica::follow(follow_options, Arc::clone(&shared), sender));
     tokio::spawn(replica::register(registration));
     Ok((updates, shared))
 }
--- a/src/entry/status.rs
+++ b/src/entry/status.rs
@@ -63,11 +63,11 @@
     /// Whether its zone is evacuated.
     #[serde(default)]
     pub is_evacuated: bool,
-    /// Time since its store entry was deleted, in milliseconds.
+    /// Time since its store entry disappeared, in milliseconds.
     pub missing_ms: Option<u64>,
     /// Whether new flows avoid the server because it did not answer callers.
     pub is_suspected: bool,
-    /// Number of unanswered attempts in a row.
+    /// Number of missed answers in a row.
     pub misses: u32,
     /// Estimated share of failed requests, in percent: those that fail at once and those
     /// that are never answered.
--- a/src/entry/stop.rs
+++ b/src/entry/stop.rs
@@ -1,7 +1,7 @@
 //! Graceful stop: the instance reports "not ready" at once and exits when packets no
 //! longer arrive.
 //!
-//! It waits longer while no other instance has its copy of the store, see
+//! It waits longer while its copy of the store would be lost with it, see
 //! [`crate::replica::Handover`].
 
 use std::time::Duration;
@@ -17,9 +17,9 @@
 /// Time without packets after which routers are assumed to have stopped sending here.
 const QUIET_TIME: Duration = Duration::from_millis(700);
 
-/// Time between the signal and the check whether other instances have the copy. The
-/// result is known before [`MIN_STOP_TIME`] even if the store does not answer, and is
-/// still recent when the process exits.
+/// Time between the signal and the check whether the copy is available elsewhere. The
+/// result is known by [`MIN_STOP_TIME`] even if the store does not answer, and is still
+/// recent when the process exits.
 pub(crate) const HANDOVER_DELAY: Duration = Duration::from_millis(1_000);
 
 /// Part of the grace time reserved for shutting down, since the process is killed at the
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -47,8 +47,8 @@
         decoded
     }
 
-    /// An entry that cannot be decoded makes its server unreadable: the server gets no new
-    /// flows, and its last known state stays for its open flows.
+    /// Adds the state update of an entry. If the entry cannot be decoded, its server gets
+    /// no new flows, and its last known state is kept for its open flows.
     fn put(&mut self, schema: &StoreSchema, entry: &platform::Entry) {
         match (schema.decode_entry)(entry) {
             Ok(DecodedEntry::Server(server)) => {
@@ -74,6 +74,7 @@
         self.unreadable.push(entry);
     }
 
+    /// Adds the state updates of a whole copy, which replaces the previous one.
     fn reset(
         &mut self,
         schema: &StoreSchema,
