--- a/src/codec.rs
+++ b/src/codec.rs
@@ -20,11 +20,11 @@
 use crate::error::Result;
 use crate::id;
 use crate::request::Answer;
+use crate::request::BodyBlock;
 use crate::request::Flow;
 use crate::request::Id;
 use crate::request::Kind;
 use crate::request::Outcome;
-use crate::request::Part;
 use crate::request::Receipt;
 use crate::request::Request;
 use crate::request::Token;
@@ -165,7 +165,7 @@
                 kind: kind_of(method, &packet)
                     .ok_or_else(|| refuse(&flow.caller, "unknown method".to_owned()))?,
                 confirmable: kind == MessageType::Confirmable,
-                part: part_of(method, &packet),
+                block: part_of(method, &packet),
                 datagram: datagram.clone(),
             }))
         }
@@ -179,8 +179,8 @@
 fn kind_of(method: RequestType, packet: &Packet) -> Option<Kind> {
     let observe = option(packet, CoapOption::Observe);
     match (method, observe) {
-        (RequestType::Get | RequestType::Fetch, Some(OBSERVE_OPEN)) => Some(Kind::Open),
-        (RequestType::Get | RequestType::Fetch, Some(OBSERVE_CLOSE)) => Some(Kind::Close),
+        (RequestType::Get | RequestType::Fetch, Some(OBSERVE_OPEN)) => Some(Kind::OpenFeed),
+        (RequestType::Get | RequestType::Fetch, Some(OBSERVE_CLOSE)) => Some(Kind::CloseFeed),
         (
             RequestType::Get
             | RequestType::Fetch
@@ -189,20 +189,20 @@
             | RequestType::IPatch,
             _,
         ) => Some(Kind::Idempotent),
-        (RequestType::Post | RequestType::Patch, _) => Some(Kind::Once),
+        (RequestType::Post | RequestType::Patch, _) => Some(Kind::NonIdempotent),
         (RequestType::UnKnown, _) => None,
     }
 }
 
-fn part_of(method: RequestType, packet: &Packet) -> Part {
+fn part_of(method: RequestType, packet: &Packet) -> BodyBlock {
     let later = |block| {
         let value = option(packet, block);
         value.is_some_and(|value| value >> BLOCK_NUMBER_SHIFT > 0)
     };
-    Part {
-        body: body_of(method, packet),
-        later: later(CoapOption::Block1) || later(CoapOption::Block2),
-        upload: packet.get_option(CoapOption::Block1).is_some(),
+    BodyBlock {
+        body_id: body_of(method, packet),
+        is_continuation: later(CoapOption::Block1) || later(CoapOption::Block2),
+        is_upload: packet.get_option(CoapOption::Block1).is_some(),
     }
 }
 
@@ -287,8 +287,8 @@
         || code == MessageClass::Response(ResponseType::Continue);
     let answer = Answer {
         verdict,
-        feed: packet.get_option(CoapOption::Observe).is_some(),
-        more,
+        keeps_feed_open: packet.get_option(CoapOption::Observe).is_some(),
+        has_more_blocks: more,
         retry_after: option(&packet, CoapOption::MaxAge),
         datagram: datagram.clone(),
     };
@@ -302,7 +302,7 @@
 
 /// How an answer to a caller is addressed.
 #[derive(Clone, Copy, Debug)]
-pub struct Address {
+pub struct AnswerHeader {
     /// The request's identity.
     pub id: Id,
     /// The caller's token.
@@ -322,7 +322,7 @@
 /// # Errors
 ///
 /// [`Error::Decode`] if the server's datagram is malformed.
-pub fn write_answer(address: &Address, outcome: &Outcome) -> Result<Vec<u8>> {
+pub fn write_answer(address: &AnswerHeader, outcome: &Outcome) -> Result<Vec<u8>> {
     let (mut packet, original) = match outcome {
         Outcome::Answered(datagram) => (decode(datagram, &"server")?, datagram.clone()),
         Outcome::NotRun { retry_after } => {
@@ -397,7 +397,7 @@
 }
 
 /// Writes the acknowledgement of a server's message.
-pub fn write_receipt(message: u16) -> Vec<u8> {
+pub fn write_server_acknowledgement(message: u16) -> Vec<u8> {
     write_empty(MessageType::Acknowledgement, message)
 }
 
--- a/src/entry/start.rs
+++ b/src/entry/start.rs
@@ -68,9 +68,9 @@
 /// Retry delays while the store does not respond. The first is short, since most outages
 /// at the start of an instance are local to it. The longest is a second, since new flows
 /// must use the store's state again 4 s after the store recovers.
-const BACKOFF: pacing::Bounds = pacing::Bounds {
-    first: Duration::from_millis(100),
-    most: Duration::from_secs(1),
+const BACKOFF: pacing::BackoffBounds = pacing::BackoffBounds {
+    first_delay: Duration::from_millis(100),
+    max_delay: Duration::from_secs(1),
 };
 
 pub(crate) fn options(settings: &Settings) -> Options {
--- a/src/inbox.rs
+++ b/src/inbox.rs
@@ -1,13 +1,13 @@
 //! What other tasks tell the control task.
 
-use crate::control::Written;
+use crate::control::WriteResult;
 use crate::id;
 use crate::peer;
 use crate::platform::Update;
 
 /// What the control task is told.
 #[derive(Debug)]
-pub(crate) enum Told {
+pub(crate) enum ControlEvent {
     /// From the platform, about one prefix.
     Platform(&'static str, Update),
     /// A peer's sign of life.
@@ -18,7 +18,7 @@
     /// A home wants its backup to take over.
     Yield { from: id::Holder, slices: Vec<u32> },
     /// A write of the slice table has ended.
-    Written { document: u32, written: Written },
+    Written { document: u32, written: WriteResult },
     /// A peer's copies.
-    Pulled(peer::Push),
+    PulledEntries(peer::ConfigResponse),
 }
--- a/src/steer.rs
+++ b/src/steer.rs
@@ -18,19 +18,19 @@
 use tokio::time::Instant;
 use tokio::time::MissedTickBehavior;
 
-use crate::config::OURS;
+use crate::config::KEY_PREFIX;
 use crate::config::SERVERS;
 use crate::control::Command;
 use crate::control::INSTANCES;
 use crate::control::Registration;
-use crate::control::SLICES;
-use crate::control::Written;
+use crate::control::SLICES_PREFIX;
+use crate::control::WriteResult;
 use crate::edge;
 use crate::event::Event;
 use crate::id;
-use crate::inbox::Told;
+use crate::inbox::ControlEvent;
 use crate::peer;
-use crate::peer::Body;
+use crate::peer::PeerMessage;
 use crate::platform;
 use crate::platform::Change;
 use crate::platform::Client;
@@ -46,10 +46,10 @@
 const PLAN_EVERY: Duration = Duration::from_millis(100);
 
 /// The control task's own state, beside what is shared.
-pub(crate) struct Steer {
+pub(crate) struct ControlTask {
     shared: Arc<Shared>,
     client: Client,
-    told: UnboundedSender<Told>,
+    told: UnboundedSender<ControlEvent>,
     registration: watch::Sender<Registration>,
     stopping: watch::Receiver<bool>,
     loads: HashMap<id::Instance, peer::Loads>,
@@ -59,11 +59,11 @@
     loads_changed: bool,
 }
 
-impl Steer {
+impl ControlTask {
     pub(crate) fn new(
         shared: Arc<Shared>,
         client: Client,
-        told: UnboundedSender<Told>,
+        told: UnboundedSender<ControlEvent>,
         registration: watch::Sender<Registration>,
         stopping: watch::Receiver<bool>,
     ) -> Self {
@@ -84,8 +84,8 @@
     /// Runs until the daemon ends.
     pub(crate) async fn run(
         mut self,
-        mut told: UnboundedReceiver<Told>,
-        mut joined: UnboundedReceiver<crate::worker::Joined>,
+        mut told: UnboundedReceiver<ControlEvent>,
+        mut joined: UnboundedReceiver<crate::worker::SyncedBackup>,
     ) {
         let mut plan = tokio::time::interval(PLAN_EVERY);
         plan.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -95,7 +95,7 @@
             tokio::select! {
                 Some(told) = told.recv() => self.take(told),
                 Some(joined) = joined.recv() => {
-                    self.shared.control().joined(joined.slice, &joined.backup);
+                    self.shared.control().backup_synced(joined.slice, &joined.backup);
                 }
                 _ = plan.tick() => self.plan(),
                 _ = beat.tick() => self.beat(),
@@ -103,17 +103,20 @@
         }
     }
 
-    fn take(&mut self, told: Told) {
+    fn take(&mut self, told: ControlEvent) {
         let now = Instant::now();
         match told {
-            Told::Platform(prefix, update) => self.take_update(now, prefix, update),
-            Told::Heartbeat { from, message } => self.take_heartbeat(now, &from, message),
-            Told::Yield { from, slices } => self.shared.control().yielded(now, &from, &slices),
-            Told::Written { document, written } => {
-                self.shared.control().written(now, document, written);
+            ControlEvent::Platform(prefix, update) => self.take_update(now, prefix, update),
+            ControlEvent::Heartbeat { from, message } => self.take_heartbeat(now, &from, message),
+            ControlEvent::Yield { from, slices } => self
+                .shared
+                .control()
+                .takeover_requested(now, &from, &slices),
+            ControlEvent::Written { document, written } => {
+                self.shared.control().write_finished(now, document, written);
                 self.plan();
             }
-            Told::Pulled(push) => self.take_copies(now, push),
+            ControlEvent::PulledEntries(push) => self.take_copies(now, push),
         }
     }
 
@@ -126,10 +129,10 @@
             } => {
                 let keep: BTreeSet<&str> = entries.iter().map(|e| e.key.as_str()).collect();
                 let mut config = self.shared.config();
-                config.told(prefix, revision);
+                config.mark_synced(prefix, revision);
                 config.retain(prefix, &keep);
                 drop(config);
-                if prefix == OURS {
+                if prefix == KEY_PREFIX {
                     self.shared.control().retain(&keep);
                 }
                 self.contact(prefix, at);
@@ -139,11 +142,13 @@
                 self.changed = true;
             }
             Update::Change(change) => {
-                self.shared.config().told(prefix, change.mod_revision());
+                self.shared
+                    .config()
+                    .mark_synced(prefix, change.mod_revision());
                 self.take_change(now, &change);
             }
             Update::Silent { .. } => {
-                if prefix == OURS {
+                if prefix == KEY_PREFIX {
                     warn!(self.shared.log, "platform does not answer");
                     self.shared.control().lose_contact();
                 }
@@ -163,8 +168,8 @@
         }
     }
 
-    fn take_copies(&mut self, now: Instant, push: peer::Push) {
-        for version in push.gone {
+    fn take_copies(&mut self, now: Instant, push: peer::ConfigResponse) {
+        for version in push.deleted {
             let mut config = self.shared.config();
             self.changed |= config.remove_copy(&version.key, version.modified);
         }
@@ -178,7 +183,7 @@
     }
 
     fn contact(&self, prefix: &str, at: Instant) {
-        if prefix == OURS {
+        if prefix == KEY_PREFIX {
             self.shared.control().contact(at);
         }
     }
@@ -191,8 +196,8 @@
     }
 
     fn apply(&mut self, now: Instant, entry: &Entry) {
-        if entry.key.starts_with(SLICES) || entry.key.starts_with(INSTANCES) {
-            self.shared.control().store(now, entry);
+        if entry.key.starts_with(SLICES_PREFIX) || entry.key.starts_with(INSTANCES) {
+            self.shared.control().apply_entry(now, entry);
         } else {
             self.changed = true;
         }
@@ -227,7 +232,7 @@
     }
 
     fn judge_ready(&self, leaving: bool) {
-        let listening = self.shared.outlet.listeners.read();
+        let listening = self.shared.outputs.listeners.read();
         let listening = listening.is_ok_and(|known| !known.is_empty());
         let ready = listening && !leaving;
         self.shared.ready.store(ready, Ordering::Relaxed);
@@ -243,7 +248,7 @@
         }
         drop(config);
         self.set_objectives(&snapshot);
-        self.shared.pool.tell(&Event::Snapshot(snapshot));
+        self.shared.pool.broadcast(&Event::Snapshot(snapshot));
         for (service, address) in addresses {
             self.listen(service, address);
         }
@@ -264,8 +269,8 @@
     }
 
     fn listen(&mut self, service: id::Service, public: id::Endpoint) {
-        let outlet = &self.shared.outlet;
-        let known = outlet.listeners.read();
+        let outputs = &self.shared.outputs;
+        let known = outputs.listeners.read();
         if known.is_ok_and(|known| known.contains_key(&service)) {
             return;
         }
@@ -277,7 +282,7 @@
         });
         match bound {
             Ok(socket) => {
-                if let Ok(mut known) = outlet.listeners.write() {
+                if let Ok(mut known) = outputs.listeners.write() {
                     known.insert(service.clone(), Arc::new(socket));
                 }
                 info!(self.shared.log, "listening"; "service" => %service, "address" => %address);
@@ -298,29 +303,29 @@
                 expected,
                 rows,
             } => self.write(document, expected, rows),
-            Command::Join { slices, backup } => {
+            Command::AddBackup { slices, backup } => {
                 for slice in slices {
-                    let event = Event::Join {
+                    let event = Event::AddBackup {
                         slices: vec![slice],
                         backup: backup.clone(),
                     };
-                    pool.order(slice, event);
+                    pool.enqueue_blocking(slice, event);
                 }
             }
-            Command::Abandon(slices) => {
+            Command::CancelBackup(slices) => {
                 for slice in slices {
-                    pool.order(slice, Event::Abandon(vec![slice]));
+                    pool.enqueue_blocking(slice, Event::CancelBackup(vec![slice]));
                 }
             }
-            Command::Yield { to, slices } => {
+            Command::RequestTakeover { to, slices } => {
                 let slices = slices.into_iter().map(|slice| slice.0).collect();
-                let body = Body::Yield(peer::Yield { slices });
+                let body = PeerMessage::TakeoverRequest(peer::TakeoverRequest { slices });
                 self.shared.link.send(&to, body);
             }
-            Command::Table(table) => pool.tell(&Event::Table(table)),
-            Command::Members(view) => {
-                self.shared.link.learn(&view);
-                pool.tell(&Event::Members(view));
+            Command::Table(table) => pool.broadcast(&Event::Table(table)),
+            Command::Membership(view) => {
+                self.shared.link.update_addresses(&view);
+                pool.broadcast(&Event::Membership(view));
             }
         }
     }
@@ -334,17 +339,17 @@
         let told = self.told.clone();
         let log = self.shared.log.clone();
         self.shared.spawn(async move {
-            let key = format!("{SLICES}{document}");
+            let key = format!("{SLICES_PREFIX}{document}");
             let value = serde_json::to_vec(&value).unwrap_or_default();
             let resolved = client.compare_and_swap_resolved(&key, expected, &value, None).await;
             debug!(log, "slice table written"; "document" => document, "result" => ?resolved.as_ref().map(outcome));
             let written = match resolved {
-                Ok(ResolvedWrite::Done(version)) => Written::Done(version),
-                Ok(ResolvedWrite::Lost(entry) | ResolvedWrite::Superseded(entry)) => Written::Lost(entry),
-                Ok(ResolvedWrite::Unknown) => Written::Unknown,
-                Err(_) => Written::Lost(None),
+                Ok(ResolvedWrite::Done(version)) => WriteResult::Done(version),
+                Ok(ResolvedWrite::Lost(entry) | ResolvedWrite::Superseded(entry)) => WriteResult::Lost(entry),
+                Ok(ResolvedWrite::Unknown) => WriteResult::Unknown,
+                Err(_) => WriteResult::Lost(None),
             };
-            let _ = told.send(Told::Written { document, written });
+            let _ = told.send(ControlEvent::Written { document, written });
         });
     }
 }
@@ -367,15 +372,19 @@
 }
 
 /// Prefixes of the platform that are followed.
-pub(crate) const FOLLOWED: [&str; 2] = [OURS, SERVERS];
+pub(crate) const WATCHED_PREFIXES: [&str; 2] = [KEY_PREFIX, SERVERS];
 
 /// Passes on what a follower tells.
-pub(crate) async fn follow(client: Client, prefix: &'static str, told: UnboundedSender<Told>) {
+pub(crate) async fn follow(
+    client: Client,
+    prefix: &'static str,
+    told: UnboundedSender<ControlEvent>,
+) {
     const QUEUE: usize = 1_024;
     let (sender, mut receiver) = tokio::sync::mpsc::channel(QUEUE);
     let pass_on = async {
         while let Some(update) = receiver.recv().await {
-            if told.send(Told::Platform(prefix, update)).is_err() {
+            if told.send(ControlEvent::Platform(prefix, update)).is_err() {
                 return;
             }
         }
--- a/tests/adapter/mod.rs
+++ b/tests/adapter/mod.rs
@@ -19,8 +19,8 @@
 use godwitreel::engine::Engine;
 use godwitreel::event::Event;
 use godwitreel::id;
-use godwitreel::member::View;
-use godwitreel::peer::Body;
+use godwitreel::member::MembershipView;
+use godwitreel::peer::PeerMessage;
 use godwitreel::request;
 use godwitreel::request::Flow;
 use godwitreel::request::Outcome;
@@ -192,7 +192,7 @@
                 return Ok(None);
             }
             Input::Table { rows } => Event::Table(Arc::new(table(rows))),
-            Input::Members { live, authority_ms } => Event::Members(Arc::new(View {
+            Input::Members { live, authority_ms } => Event::Membership(Arc::new(MembershipView {
                 live: live.into_iter().collect(),
                 known: BTreeMap::new(),
                 authority_until: Some(now + Duration::from_millis(authority_ms)),
@@ -211,7 +211,7 @@
                     token: request::Token(token.into()),
                     kind: kind.into(),
                     confirmable: true,
-                    part: request::Part::default(),
+                    block: request::BodyBlock::default(),
                     datagram: payload.into(),
                 },
                 hops: 0,
@@ -247,8 +247,8 @@
                     } else {
                         Verdict::Handled
                     },
-                    feed,
-                    more: false,
+                    keeps_feed_open: feed,
+                    has_more_blocks: false,
                     retry_after: None,
                     datagram: payload.into(),
                 },
@@ -351,10 +351,10 @@
                 "sequence": sequence, "payload": datagram.as_ref().map(text)}),
             Action::Peer { to, body } => json!({"action": "peer", "to": to,
                 "kind": body.kind(), "frame": frame(body)}),
-            Action::Joined { slice, backup } => {
+            Action::BackupSynced { slice, backup } => {
                 json!({"action": "joined", "slice": slice, "backup": backup})
             }
-            Action::Note(note) => json!({"action": "note", "reason": note.reason.code()}),
+            Action::TraceEvent(note) => json!({"action": "note", "reason": note.reason.code()}),
         }
     }
 }
@@ -363,9 +363,9 @@
     fn from(kind: RequestKind) -> Self {
         match kind {
             RequestKind::Idempotent => Self::Idempotent,
-            RequestKind::Once => Self::Once,
-            RequestKind::Open => Self::Open,
-            RequestKind::Close => Self::Close,
+            RequestKind::Once => Self::NonIdempotent,
+            RequestKind::Open => Self::OpenFeed,
+            RequestKind::Close => Self::CloseFeed,
         }
     }
 }
@@ -373,7 +373,7 @@
 fn table(rows: Vec<Row>) -> Table {
     let mut table = Table::new(rows.len() as u32);
     for (slice, row) in rows.into_iter().enumerate() {
-        table.advance(id::Slice(slice as u32), row);
+        table.update_if_newer(id::Slice(slice as u32), row);
     }
     table
 }
@@ -391,7 +391,7 @@
 }
 
 /// Encodes a peer message in base64; the bench forwards the message without reading it.
-fn frame(body: &Body) -> String {
+fn frame(body: &PeerMessage) -> String {
     let envelope = Envelope {
         body: Some(body.clone()),
         ..Envelope::default()
@@ -399,7 +399,7 @@
     STANDARD.encode(envelope.encode_to_vec())
 }
 
-fn body(frame: &str) -> Result<Body, String> {
+fn body(frame: &str) -> Result<PeerMessage, String> {
     let bytes = STANDARD.decode(frame).map_err(|error| error.to_string())?;
     let envelope = Envelope::decode(&*bytes).map_err(|error| error.to_string())?;
     envelope.body.ok_or("no message".to_owned())
