--- a/src/entry/outcome.rs
+++ b/src/entry/outcome.rs
@@ -1,5 +1,4 @@
-//! Counts of how requests end, between the decisions about flows and the messages to
-//! other instances.
+//! Converts request outcomes between the data plane and the messages to other instances.
 
 use crate::flow::Incarnation;
 use crate::flow::OutcomeCounts;
@@ -7,27 +6,27 @@
 use crate::flow::ServerOutcomes;
 use crate::replica::OutcomeEntry;
 
-/// What an instance counted, as it is told to the others.
-pub fn outcomes_to_message(told: &ServerOutcomes) -> OutcomeEntry {
+/// The message entry of the outcomes that this instance counted at a server.
+pub fn outcomes_to_message(outcomes: &ServerOutcomes) -> OutcomeEntry {
     OutcomeEntry {
-        serial: told.serial.0,
-        incarnation: told.incarnation.map(|life| life.0),
-        answers: told.counts.answers as f32,
-        premature: told.counts.premature as f32,
-        stalls: told.counts.stalls as f32,
+        serial: outcomes.serial.0,
+        incarnation: outcomes.incarnation.map(|incarnation| incarnation.0),
+        answers: outcomes.counts.answers as f32,
+        premature: outcomes.counts.premature as f32,
+        stalls: outcomes.counts.stalls as f32,
         ..OutcomeEntry::default()
     }
 }
 
-/// What others told, as the decisions take it.
-pub fn outcomes_from_message(remark: &OutcomeEntry) -> ServerOutcomes {
+/// The outcomes at a server that other instances reported.
+pub fn outcomes_from_message(entry: &OutcomeEntry) -> ServerOutcomes {
     ServerOutcomes {
-        serial: Serial(remark.serial),
-        incarnation: remark.incarnation.map(Incarnation),
+        serial: Serial(entry.serial),
+        incarnation: entry.incarnation.map(Incarnation),
         counts: OutcomeCounts {
-            answers: remark.answers.into(),
-            premature: remark.premature.into(),
-            stalls: remark.stalls.into(),
+            answers: entry.answers.into(),
+            premature: entry.premature.into(),
+            stalls: entry.stalls.into(),
         },
     }
 }
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -1,4 +1,4 @@
-//! The task that holds an instance's state, and the loop around it.
+//! Main loop of an entry instance, and the state that it owns.
 
 use std::io;
 use std::path::Path;
@@ -20,24 +20,24 @@
 use crate::entry::Server;
 use crate::entry::Settings;
 use crate::entry::Status;
-use crate::entry::beliefs::Beliefs;
-use crate::entry::beliefs::Told;
+use crate::entry::beliefs::StateLine;
+use crate::entry::beliefs::StateLog;
 use crate::entry::http;
 use crate::entry::http::Shared;
 use crate::entry::journal;
 use crate::entry::journal::Context;
-use crate::entry::journal::Journal;
+use crate::entry::journal::FlowLog;
 use crate::entry::metric::Metrics;
 use crate::entry::outcome::outcomes_from_message;
 use crate::entry::outcome::outcomes_to_message;
-use crate::entry::refusals::Refusals;
-use crate::entry::signals::Asked;
+use crate::entry::refusals::UnreadableEntries;
+use crate::entry::signals::SignalAction;
 use crate::entry::signals::Signals;
 use crate::entry::socket::Socket;
 use crate::entry::start;
 use crate::entry::stop;
 use crate::entry::stop::Stop;
-use crate::entry::view::Reading;
+use crate::entry::view::DecodedUpdate;
 use crate::entry::withdrawal::Withdrawal;
 use crate::error::Result;
 use crate::flow::Backlog;
@@ -60,41 +60,42 @@
 use crate::replica::OUTCOME_REPORT_INTERVAL;
 use crate::replica::Update;
 
-/// Packets taken before anything else gets its turn.
+/// Largest number of packets received in a row before other events are handled.
 const BATCH: usize = 256;
 
-/// Longest time between two looks at what is due.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+/// Longest time between two checks for expired timers.
+const MAX_TIMER_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Questions for the status that may wait.
-const QUESTIONS: usize = 16;
+/// Capacity of the queue of status requests.
+const STATUS_QUEUE_LEN: usize = 16;
 
+/// State of an instance, owned by its main loop.
 struct Instance {
     settings: Settings,
     adapter: Adapter,
     plane: DataPlane,
     socket: Socket,
-    journal: Journal,
-    beliefs: Beliefs,
-    refusals: Refusals,
+    flow_log: FlowLog,
+    state_log: StateLog,
+    unreadable_entries: UnreadableEntries,
     shared: Arc<Shared>,
     log: Logger,
-    /// Where changes come from; `None` for the store itself.
+    /// The instance that changes come from; `None` for the store itself.
     upstream: Option<id::Instance>,
-    /// The copy of the store, and what instances tell each other.
+    /// The copy of the store, and the state exchanged with other instances.
     replica: Arc<replica::SharedCopy>,
-    /// When servers were last told of.
-    told: Instant,
+    /// When request outcomes were last reported to the zone.
+    outcomes_reported_at: Instant,
     stop: Option<Stop>,
-    /// Packets that came before the first copy.
+    /// Packets received before the first copy.
     backlog: Backlog,
     withdrawal: Withdrawal,
     reader: Reader,
-    /// Told after the signal to stop, once the copy may go.
-    kept: mpsc::Sender<()>,
+    /// Signals during a graceful stop that the copy is available elsewhere.
+    copy_available: mpsc::Sender<()>,
 }
 
-/// Runs an entry instance until it is told to stop.
+/// Runs an entry instance until a signal stops it.
 ///
 /// # Errors
 ///
@@ -103,19 +104,19 @@
     let mut signals = Signals::new()?;
     let reader = start::reader(&settings, &adapter)?;
     let transport = reader.client().transport();
-    let following = start::follow(&settings, &adapter, reader.clone(), &log).await?;
-    let (mut updates, replica) = following;
-    let (kept, mut is_kept) = mpsc::channel(1);
-    let (sender, mut tallies) = mpsc::channel(1);
+    let replication = start::follow(&settings, &adapter, reader.clone(), &log).await?;
+    let (mut updates, replica) = replication;
+    let (copy_available, mut copy_available_signals) = mpsc::channel(1);
+    let (sender, mut liveness_rounds) = mpsc::channel(1);
     let me = start::member(&settings);
     tokio::spawn(replica::monitor_liveness(me, Arc::clone(&replica), sender));
-    let (questions, mut asked) = mpsc::channel(QUESTIONS);
+    let (status_requests, mut status_queue) = mpsc::channel(STATUS_QUEUE_LEN);
     let metrics = Metrics::new(transport, Arc::clone(&replica));
-    metrics.prepare();
+    metrics.create_drop_counters();
     let shared = Arc::new(Shared {
         is_ready: AtomicBool::new(false),
         metrics,
-        questions,
+        status_requests,
     });
     let link = settings.link_mbps.bytes_per_second();
     let egress = Egress::new(link, Instant::now());
@@ -126,33 +127,33 @@
     let now = Instant::now();
     let mut instance = Instance {
         plane: DataPlane::new(start::options(&settings)),
-        journal: Journal::new(log.clone(), settings.log_lines_per_second, now),
-        beliefs: Beliefs::new(log.clone(), now),
-        refusals: Refusals::new(now),
+        flow_log: FlowLog::new(log.clone(), settings.log_lines_per_second, now),
+        state_log: StateLog::new(log.clone(), now),
+        unreadable_entries: UnreadableEntries::new(now),
         socket,
         shared,
         log,
         upstream: None,
         replica,
-        told: now,
+        outcomes_reported_at: now,
         stop: None,
         backlog: Backlog::default(),
         withdrawal: Withdrawal::default(),
         reader,
-        kept,
+        copy_available,
         adapter,
         settings,
     };
-    while !instance.is_over(Instant::now()) {
-        let wake = instance.wake();
+    while !instance.has_stopped(Instant::now()) {
+        let wake = instance.next_wake();
         tokio::select! {
             biased;
-            signal = signals.next() => instance.signal(signal, &file),
-            Some(update) = updates.recv() => instance.learn(update),
-            Some(tally) = tallies.recv() => instance.note_tally(&tally),
-            Some(()) = is_kept.recv() => {
+            action = signals.next() => instance.handle_signal(action, &file),
+            Some(update) = updates.recv() => instance.handle_update(update),
+            Some(liveness) = liveness_rounds.recv() => instance.handle_liveness(&liveness),
+            Some(()) = copy_available_signals.recv() => {
                 if let Some(stop) = &mut instance.stop {
-                    stop.note_kept();
+                    stop.note_copy_available();
                 }
             }
             readable = instance.socket.readable() => {
@@ -160,27 +161,28 @@
                     warn!(instance.log, "packet socket failed"; "error" => %error);
                 }
             }
-            Some(question) = asked.recv() => {
-                // Whoever asked may have left.
-                let _ = question.send(instance.status());
+            Some(reply) = status_queue.recv() => {
+                // The HTTP client may have disconnected.
+                let _ = reply.send(instance.status());
             }
             () = time::sleep_until(wake) => {}
         }
-        instance.work();
+        instance.process();
     }
     info!(instance.log, "stopped"; "flows" => instance.plane.flows());
     Ok(())
 }
 
 impl Instance {
-    fn is_over(&self, now: Instant) -> bool {
+    fn has_stopped(&self, now: Instant) -> bool {
         self.stop.is_some_and(|stop| now >= stop.ends_at())
     }
 
-    fn wake(&self) -> Instant {
-        let mut wake = Instant::now() + LOOK_EVERY;
-        let dues = [self.plane.next_due(), self.socket.next_due()];
-        for due in dues.into_iter().flatten() {
+    /// When the main loop must run again even without an event.
+    fn next_wake(&self) -> Instant {
+        let mut wake = Instant::now() + MAX_TIMER_INTERVAL;
+        let timers = [self.plane.next_due(), self.socket.next_due()];
+        for due in timers.into_iter().flatten() {
             wake = wake.min(due);
         }
         if let Some(stop) = &self.stop {
@@ -189,9 +191,9 @@
         wake
     }
 
-    /// Takes the packets that wait, then looks at what is due: in this order,
-    /// since the answers that something waits for may be among the packets.
-    fn work(&mut self) {
+    /// Handles the waiting packets, then the expired timers. Packets come first, since
+    /// they may contain the answers that a timer waits for.
+    fn process(&mut self) {
         let mut is_drained = false;
         for _ in 0..BATCH {
             match self.socket.receive() {
@@ -207,10 +209,10 @@
                 }
             }
         }
-        self.send_waiting();
+        self.send_queued();
         if is_drained {
-            self.expire();
-            self.share();
+            self.expire_timers();
+            self.exchange_outcomes();
         }
         self.report();
     }
@@ -238,11 +240,11 @@
             });
             return;
         }
-        self.handle(now, &segment, length);
+        self.handle_packet(now, &segment, length);
     }
 
-    /// Decides about the packet in the socket's buffer.
-    fn handle(&mut self, now: Instant, segment: &Segment, length: usize) {
+    /// Forwards, resets or drops the packet in the socket's buffer.
+    fn handle_packet(&mut self, now: Instant, segment: &Segment, length: usize) {
         let packet = self.socket.packet(length);
         let verdict = self.plane.receive(now, segment, packet);
         let (outcome, sent) = match verdict {
@@ -257,21 +259,21 @@
         self.count_send(sent);
     }
 
-    /// Handles what came before the first copy, once there is one.
+    /// Handles the packets that came before the first copy, once there is a copy.
     fn handle_backlog(&mut self) {
         if self.backlog.is_empty() || !self.plane.is_ready() {
             return;
         }
         let now = Instant::now();
-        let waited = self.backlog.len();
-        let early: Vec<PendingPacket> = self.backlog.drain(now).collect();
-        info!(self.log, "early packets"; "kept" => waited, "handled" => early.len());
+        let buffered = self.backlog.len();
+        let pending: Vec<PendingPacket> = self.backlog.drain(now).collect();
+        info!(self.log, "early packets"; "kept" => buffered, "handled" => pending.len());
         for PendingPacket {
             segment, packet, ..
-        } in early
+        } in pending
         {
             let length = self.socket.load(&packet);
-            self.handle(now, &segment, length);
+            self.handle_packet(now, &segment, length);
         }
     }
 
@@ -292,11 +294,11 @@
         }
     }
 
-    /// Sends what waits and what the link has room for.
-    fn send_waiting(&mut self) {
+    /// Sends queued packets while the link has room.
+    fn send_queued(&mut self) {
         let now = Instant::now();
         while let Some(sent) = self.socket.send_next(now) {
-            // A stop must not cut off what waits here.
+            // A graceful stop must not drop queued packets.
             if let Some(stop) = &mut self.stop {
                 stop.note_packet(now);
             }
@@ -304,18 +306,18 @@
         }
         self.shared
             .metrics
-            .waiting
-            .set(self.socket.waiting() as i64);
+            .link_queue
+            .set(self.socket.queued_bytes() as i64);
     }
 
-    /// A packet that cannot be sent is lost like any other; its sender repeats it.
+    /// Counts a failed send. The packet counts as lost, and its sender retransmits it.
     fn count_send(&mut self, sent: io::Result<()>) {
         if sent.is_err() {
             self.shared.metrics.count_packet("send_failed");
         }
     }
 
-    fn expire(&mut self) {
+    fn expire_timers(&mut self) {
         let now = Instant::now();
         for resend in self.plane.expire(now) {
             let sent = self.socket.resend(now, &resend);
@@ -324,13 +326,14 @@
         }
     }
 
-    /// Tells the zone what speaks against servers here, and hears what it counted.
-    fn share(&mut self) {
+    /// Reports the request outcomes counted here to the zone, and applies the confirmed
+    /// outcomes of the whole zone.
+    fn exchange_outcomes(&mut self) {
         let now = Instant::now();
-        if now < self.told + OUTCOME_REPORT_INTERVAL {
+        if now < self.outcomes_reported_at + OUTCOME_REPORT_INTERVAL {
             return;
         }
-        self.told = now;
+        self.outcomes_reported_at = now;
         let own = self.plane.server_outcomes(now);
         self.replica
             .outcomes
@@ -348,17 +351,17 @@
         let metrics = &self.shared.metrics;
         for timing in self.plane.take_timings() {
             match timing {
-                Timing::Handshake(taken) => Metrics::observe(&metrics.handshake, taken),
-                Timing::Answer(taken) => Metrics::observe(&metrics.answer, taken),
+                Timing::Handshake(duration) => Metrics::observe(&metrics.handshake, duration),
+                Timing::Answer(duration) => Metrics::observe(&metrics.answer, duration),
             }
         }
-        self.beliefs.flush(now);
-        let (notes, omitted) = self.plane.take_events();
-        self.journal.omit(omitted);
+        self.state_log.flush(now);
+        let (events, omitted) = self.plane.take_events();
+        self.flow_log.add_omitted(omitted);
         metrics.omitted_lines.inc_by(omitted);
-        for note in &notes {
-            metrics.count_decision(journal::kind(note));
-            if !self.journal.write(now, note, context) {
+        for event in &events {
+            metrics.count_decision(journal::kind(event));
+            if !self.flow_log.write(now, event, context) {
                 metrics.omitted_lines.inc();
             }
         }
@@ -368,24 +371,24 @@
         self.replica.age(now).map(|age| age.as_millis() as u64)
     }
 
-    fn learn(&mut self, update: Update) {
+    fn handle_update(&mut self, update: Update) {
         let now = Instant::now();
-        self.tell_contact(now, &update);
-        self.refusals.renew(&update);
-        let reading = Reading::new(&self.adapter.schema, update);
-        for refusal in &reading.refused {
+        self.log_contact(now, &update);
+        self.unreadable_entries.remove_updated(&update);
+        let decoded = DecodedUpdate::new(&self.adapter.schema, update);
+        for entry in &decoded.unreadable {
             self.shared.metrics.refused_entries.inc();
-            self.refusals.note(now, refusal, &self.log);
+            self.unreadable_entries.add(now, entry, &self.log);
         }
-        for belief in reading.beliefs {
-            self.believe(now, belief);
+        for state_update in decoded.state_updates {
+            self.apply(now, state_update);
         }
         self.set_gauges();
         self.handle_backlog();
     }
 
-    /// Logs lost and regained contact.
-    fn tell_contact(&mut self, now: Instant, update: &Update) {
+    /// Logs when the store is lost or read, and when the source of changes moves.
+    fn log_contact(&mut self, now: Instant, update: &Update) {
         match update {
             Update::StoreUnreachable { reason } => {
                 warn!(self.log, "store lost"; "reason" => reason,
@@ -404,18 +407,18 @@
         }
     }
 
-    fn believe(&mut self, now: Instant, belief: StateUpdate) {
-        let told = Told::of(&belief);
-        let is_new = self.plane.apply(now, belief);
-        if let Some(told) = told {
-            self.beliefs.tell(now, told, is_new);
+    fn apply(&mut self, now: Instant, state_update: StateUpdate) {
+        let line = StateLine::of(&state_update);
+        let is_new = self.plane.apply(now, state_update);
+        if let Some(line) = line {
+            self.state_log.write(now, line, is_new);
         }
     }
 
     fn set_gauges(&self) {
         let metrics = &self.shared.metrics;
-        let is_wanted = self.stop.is_none() && !self.withdrawal.is_withdrawn();
-        let is_ready = self.plane.is_ready() && is_wanted;
+        let accepts_traffic = self.stop.is_none() && !self.withdrawal.is_withdrawn();
+        let is_ready = self.plane.is_ready() && accepts_traffic;
         if is_ready != self.shared.is_ready.swap(is_ready, Ordering::Relaxed) {
             info!(self.log, "readiness"; "is_ready" => is_ready);
         }
@@ -429,55 +432,55 @@
         metrics.version.set(self.plane.version() as i64);
     }
 
-    fn signal(&mut self, signal: Asked, file: &Path) {
-        match signal {
-            Asked::Stop if self.stop.is_none() => {
+    fn handle_signal(&mut self, action: SignalAction, file: &Path) {
+        match action {
+            SignalAction::Stop if self.stop.is_none() => {
                 info!(self.log, "stopping"; "flows" => self.plane.flows());
                 self.backlog.clear();
                 self.stop = Some(Stop::new(Instant::now(), self.settings.grace()));
                 self.set_gauges();
                 self.replica.set_stopping();
-                self.hand_over();
+                self.start_handover();
             }
-            Asked::Stop => {}
-            Asked::Reload => self.reload(file),
+            SignalAction::Stop => {}
+            SignalAction::Reload => self.reload(file),
         }
     }
 
-    /// Takes in who of the fleet answers.
-    fn note_tally(&mut self, tally: &FleetLiveness) {
-        let before = self.withdrawal.is_withdrawn();
-        self.withdrawal.note(tally);
+    /// Updates the withdrawal after a round of liveness probes.
+    fn handle_liveness(&mut self, liveness: &FleetLiveness) {
+        let was_withdrawn = self.withdrawal.is_withdrawn();
+        self.withdrawal.note(liveness);
         let is_withdrawn = self.withdrawal.is_withdrawn();
-        if is_withdrawn == before {
+        if is_withdrawn == was_withdrawn {
             return;
         }
         info!(self.log, "withdrawal"; "is_withdrawn" => is_withdrawn,
-            "answering" => tally.local_zone.answering, "all" => tally.local_zone.probed,
-            "zones_asked" => tally.other_zones.len());
+            "answering" => liveness.local_zone.answering, "all" => liveness.local_zone.probed,
+            "zones_asked" => liveness.other_zones.len());
         self.replica.set_withdrawn(is_withdrawn);
         self.set_gauges();
     }
 
-    /// Finds out when the copy may go with this instance.
-    fn hand_over(&self) {
+    /// Starts the check whether the copy is available elsewhere.
+    fn start_handover(&self) {
         let handover = Handover {
             reader: self.reader.clone(),
             me: start::member(&self.settings),
             shared: Arc::clone(&self.replica),
             log: self.log.clone(),
         };
-        let kept = self.kept.clone();
+        let copy_available = self.copy_available.clone();
         tokio::spawn(async move {
-            time::sleep(stop::HAND_OVER_AFTER).await;
+            time::sleep(stop::HANDOVER_DELAY).await;
             handover.wait().await;
-            // The process may be ending.
-            let _ = kept.send(()).await;
+            // The main loop may have ended already.
+            let _ = copy_available.send(()).await;
         });
     }
 
-    /// Takes over what can change while the process runs. Settings that cannot
-    /// be read leave those in force.
+    /// Reloads the settings that can change at run time. If the file is invalid, the
+    /// current settings stay in force.
     fn reload(&mut self, file: &Path) {
         match Settings::load(file) {
             Ok(settings) => {
@@ -496,7 +499,7 @@
     fn status(&self) -> Status {
         let now = Instant::now();
         let records = self.plane.directory().records();
-        let mut servers: Vec<Server> = records.map(|record| server(record, now)).collect();
+        let mut servers: Vec<Server> = records.map(|record| server_status(record, now)).collect();
         servers.sort_by(|a, b| a.server.cmp(&b.server));
         Status {
             instance: self.settings.instance.clone(),
@@ -506,13 +509,13 @@
             flows: self.plane.flows(),
             contact_age_ms: self.contact_age_ms(now),
             upstream: self.upstream.clone(),
-            evacuated: self.evacuated(now),
+            evacuated: self.evacuated_zones(now),
             servers,
-            refused: self.refusals.list(),
+            refused: self.unreadable_entries.list(),
         }
     }
 
-    fn evacuated(&self, now: Instant) -> Vec<EvacuatedZone> {
+    fn evacuated_zones(&self, now: Instant) -> Vec<EvacuatedZone> {
         let zones = self.plane.directory().evacuation().zones();
         let evacuated = zones.map(|(zone, since)| EvacuatedZone {
             zone: zone.clone(),
@@ -522,13 +525,13 @@
     }
 }
 
-fn server(record: &Record, now: Instant) -> Server {
+fn server_status(record: &Record, now: Instant) -> Server {
     let age = |at: Instant| (now - at).as_millis() as u64;
     Server {
         server: record.server.id.clone(),
         service: record.server.service.clone(),
         zone: record.server.zone.clone(),
-        incarnation: record.server.incarnation.map(|life| life.0),
+        incarnation: record.server.incarnation.map(|incarnation| incarnation.0),
         is_unreadable: record.is_unreadable,
         is_draining: record.server.state == ServerState::Draining,
         is_evacuated: record.is_evacuated,
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -1,4 +1,4 @@
-//! From the store's entries to beliefs of the decisions.
+//! Decodes updates of the store's copy into state updates of the data plane.
 
 use crate::entry::DecodedEntry;
 use crate::entry::StoreSchema;
@@ -11,68 +11,78 @@
 use crate::replica::Member;
 use crate::replica::Update;
 
-/// What an update of the copy says, and which entries could not be read.
+/// State updates decoded from an update of the copy, and the entries that could not be
+/// decoded.
 #[derive(Debug, Default)]
-pub(crate) struct Reading {
-    pub(crate) beliefs: Vec<StateUpdate>,
-    pub(crate) refused: Vec<UnreadableEntry>,
+pub(crate) struct DecodedUpdate {
+    pub(crate) state_updates: Vec<StateUpdate>,
+    pub(crate) unreadable: Vec<UnreadableEntry>,
 }
 
-impl Reading {
+impl DecodedUpdate {
     pub(crate) fn new(schema: &StoreSchema, update: Update) -> Self {
-        let mut reading = Self::default();
+        let mut decoded = Self::default();
         match update {
             Update::Reset {
                 entries, refused, ..
-            } => reading.reset(schema, &entries, refused),
-            Update::Change(Change::Put(entry)) => reading.put(schema, &entry),
+            } => decoded.reset(schema, &entries, refused),
+            Update::Change(Change::Put(entry)) => decoded.put(schema, &entry),
             Update::Change(Change::Delete { key, .. }) => {
                 let subject = (schema.key_subject)(&key);
-                reading.beliefs.extend(subject.map(deleted));
+                decoded.state_updates.extend(subject.map(on_deleted));
+            }
+            Update::Refused(entry) => decoded.add_unreadable(schema, entry),
+            Update::Contact(contact) => decoded
+                .state_updates
+                .push(StateUpdate::StoreContact(contact)),
+            Update::StoreUnreachable { .. } => {
+                decoded.state_updates.push(StateUpdate::StoreUnreachable)
             }
-            Update::Refused(refusal) => reading.refuse(schema, refusal),
-            Update::Contact(contact) => reading.beliefs.push(StateUpdate::StoreContact(contact)),
-            Update::StoreUnreachable { .. } => reading.beliefs.push(StateUpdate::StoreUnreachable),
             Update::Members(members) => {
                 let peers = members.into_iter().map(peer).collect();
-                reading.beliefs.push(StateUpdate::Peers(peers));
+                decoded.state_updates.push(StateUpdate::Peers(peers));
             }
             Update::UpstreamChanged { .. } => {}
         }
-        reading
+        decoded
     }
 
-    /// An entry that cannot be read names no server to use; what was known of the
-    /// server stays for its open flows.
+    /// Adds the state update of an entry. If the entry cannot be decoded, its server gets
+    /// no new flows, and its last known state is kept for its open flows.
     fn put(&mut self, schema: &StoreSchema, entry: &platform::Entry) {
         match (schema.decode_entry)(entry) {
-            Ok(DecodedEntry::Server(server)) => self.beliefs.push(StateUpdate::Server(server)),
-            Ok(DecodedEntry::Routes(routes)) => self.beliefs.push(StateUpdate::Routes(routes)),
+            Ok(DecodedEntry::Server(server)) => {
+                self.state_updates.push(StateUpdate::Server(server))
+            }
+            Ok(DecodedEntry::Routes(routes)) => {
+                self.state_updates.push(StateUpdate::Routes(routes))
+            }
             Ok(DecodedEntry::Evacuation(zone)) => {
-                self.beliefs.push(StateUpdate::ZoneEvacuated(zone))
+                self.state_updates.push(StateUpdate::ZoneEvacuated(zone))
             }
             Ok(DecodedEntry::Other) => {}
             Err(reason) => {
                 let key = entry.key.clone();
-                self.refuse(schema, UnreadableEntry { key, reason });
+                self.add_unreadable(schema, UnreadableEntry { key, reason });
             }
         }
     }
 
-    fn refuse(&mut self, schema: &StoreSchema, refusal: UnreadableEntry) {
-        let subject = (schema.key_subject)(&refusal.key);
-        self.beliefs.extend(subject.map(unreadable));
-        self.refused.push(refusal);
+    fn add_unreadable(&mut self, schema: &StoreSchema, entry: UnreadableEntry) {
+        let subject = (schema.key_subject)(&entry.key);
+        self.state_updates.extend(subject.map(on_unreadable));
+        self.unreadable.push(entry);
     }
 
+    /// Adds the state updates of a whole copy, which replaces the previous one.
     fn reset(
         &mut self,
         schema: &StoreSchema,
         entries: &[platform::Entry],
-        refused: Vec<UnreadableEntry>,
+        unreadable: Vec<UnreadableEntry>,
     ) {
-        for refusal in refused {
-            self.refuse(schema, refusal);
+        for entry in unreadable {
+            self.add_unreadable(schema, entry);
         }
         for entry in entries {
             self.put(schema, entry);
@@ -81,8 +91,8 @@
         let mut unreadable = Vec::new();
         let mut evacuated = Vec::new();
         let mut others = Vec::new();
-        for belief in self.beliefs.drain(..) {
-            match belief {
+        for update in self.state_updates.drain(..) {
+            match update {
                 StateUpdate::Server(server) => listed.push(server),
                 StateUpdate::ServerUnreadable(server) => unreadable.push(server),
                 StateUpdate::ZoneEvacuated(zone) => evacuated.push(zone),
@@ -90,11 +100,12 @@
             }
         }
         let servers = StateUpdate::Servers { listed, unreadable };
-        self.beliefs = others;
-        // No server must take new flows in between.
-        self.beliefs
+        self.state_updates = others;
+        // Evacuations come before the servers, so that no server of an evacuated zone gets
+        // new flows in between.
+        self.state_updates
             .push(StateUpdate::EvacuatedZones(evacuated.into_iter().collect()));
-        self.beliefs.push(servers);
+        self.state_updates.push(servers);
     }
 }
 
@@ -105,16 +116,17 @@
     }
 }
 
-/// What follows from an entry that is gone.
-fn deleted(subject: Subject) -> StateUpdate {
+/// The state update that follows from a deleted entry.
+fn on_deleted(subject: Subject) -> StateUpdate {
     match subject {
         Subject::Server(server) => StateUpdate::ServerRemoved(server),
         Subject::Evacuation(zone) => StateUpdate::ZoneRestored(zone),
     }
 }
 
-/// What follows from an entry whose value cannot be read.
-fn unreadable(subject: Subject) -> StateUpdate {
+/// The state update that follows from an entry whose value cannot be decoded. An
+/// evacuation is in force while its key exists, whatever its value.
+fn on_unreadable(subject: Subject) -> StateUpdate {
     match subject {
         Subject::Server(server) => StateUpdate::ServerUnreadable(server),
         Subject::Evacuation(zone) => StateUpdate::ZoneEvacuated(zone),
