--- a/tests/claim.rs
+++ b/tests/claim.rs
@@ -1,4 +1,4 @@
-//! Claims between home and backup: what may be forwarded, and when.
+//! Claims replicated from a home to its backup: what may be forwarded, and when.
 
 mod lab;
 
@@ -26,23 +26,23 @@
 use godwitreel::reason::Reason;
 use godwitreel::request::Outcome;
 
-/// The caller's booking would run twice if the home died after forwarding it and
-/// the backup, which had never heard of it, ran the caller's copy. So nothing is
-/// forwarded before the backup has acknowledged the claim.
+/// If the home forwarded a booking and died before the backup knew the claim, the
+/// backup would run the caller's duplicate and the booking would run twice. So
+/// nothing is forwarded before the backup has acknowledged the claim.
 #[test]
 fn nothing_is_forwarded_before_the_claim_is_acknowledged() {
     let mut pair = Pair::joined();
-    let asked = pair.book(1);
-    assert!(forwards(&asked).is_empty());
-    assert!(steps(&asked).iter().any(is_claim));
-    let kept = pair.tell_backup(&asked);
-    let proceeded = pair.tell_home(&kept);
+    let claims = pair.book(1);
+    assert!(forwards(&claims).is_empty());
+    assert!(steps(&claims).iter().any(is_claim));
+    let acks = pair.tell_backup(&claims);
+    let proceeded = pair.tell_home(&acks);
     assert_eq!(forwards(&proceeded).len(), 1);
 }
 
-/// The caller is told "not run", its copy comes, and the home has died meanwhile:
-/// the backup must not run the copy. So a refusal is claimed like a forwarding,
-/// and the backup answers the copy with "unknown".
+/// The caller receives "not run", sends a duplicate, and the home dies in between:
+/// the backup must not run the duplicate. So a refusal is claimed like a forwarded
+/// request, and the backup answers the duplicate with "unknown".
 #[test]
 fn a_refusal_is_known_to_the_backup_before_the_caller() {
     let mut pair = Pair::joined();
@@ -51,13 +51,16 @@
         ..Profile::default()
     });
     let first = pair.book(1);
-    let kept = pair.tell_backup(&first);
-    pair.tell_home(&kept);
+    let acks = pair.tell_backup(&first);
+    pair.tell_home(&acks);
     let refused = pair.book(2);
-    assert!(outcomes(&refused).is_empty(), "told before it was claimed");
-    let kept = pair.tell_backup(&refused);
-    let told = pair.tell_home(&kept);
-    assert_eq!(outcomes(&told), [Outcome::NotRun { retry_after: 2 }]);
+    assert!(
+        outcomes(&refused).is_empty(),
+        "answered before the claim was acknowledged"
+    );
+    let acks = pair.tell_backup(&refused);
+    let answered = pair.tell_home(&acks);
+    assert_eq!(outcomes(&answered), [Outcome::NotRun { retry_after: 2 }]);
     pair.lose_home();
     let b = pair.b.clone();
     pair.backup.handle(pair.now, table(row(2, Some(&b), None)));
@@ -66,53 +69,57 @@
     assert_eq!(outcomes(&copy), [Outcome::Unknown]);
 }
 
-/// The home freezes with a claim under way and thaws after the caller has given
-/// up. It reads the acknowledgement before its timers fire: without a look at the
-/// clock the booking would run for nobody.
+/// The home is frozen while a claim is outstanding and resumes after the caller's
+/// deadline. It reads the acknowledgement before its timers fire: without a check
+/// of the deadline at that point, the booking would run although the caller has
+/// given up.
 #[test]
 fn an_acknowledgement_after_the_deadline_forwards_nothing() {
     let mut pair = Pair::joined();
-    let asked = pair.book(1);
-    let kept = pair.tell_backup(&asked);
+    let claims = pair.book(1);
+    let acks = pair.tell_backup(&claims);
     pair.now += Profile::default().deadline();
-    let thawed = pair.tell_home(&kept);
-    assert!(forwards(&thawed).is_empty());
-    assert_eq!(outcomes(&thawed), [Outcome::Unknown]);
+    let resumed = pair.tell_home(&acks);
+    assert!(forwards(&resumed).is_empty());
+    assert_eq!(outcomes(&resumed), [Outcome::Unknown]);
 }
 
-/// The pair is cut off from the platform; its time runs out while a claim is under
-/// way. From then on an outsider may decide, so the late acknowledgement forwards
-/// nothing, and a new booking is not taken either.
+/// Home and backup are cut off from the platform, and the home's authority expires
+/// while a claim is outstanding. From then on another instance may decide for the
+/// slice, so the late acknowledgement forwards nothing, and a new booking is not
+/// accepted either.
 #[test]
 fn without_authority_nothing_is_forwarded() {
     let mut pair = Pair::joined();
     let until = pair.now + secs(1);
     let seen = view(&[&pair.a.clone(), &pair.b.clone()], until);
     pair.home.handle(pair.now, seen);
-    let asked = pair.book(1);
-    let kept = pair.tell_backup(&asked);
+    let claims = pair.book(1);
+    let acks = pair.tell_backup(&claims);
     pair.now = until;
-    let late = pair.tell_home(&kept);
+    let late = pair.tell_home(&acks);
     assert!(forwards(&late).is_empty());
     assert!(has_reason(&late, Reason::UnknownAuthority));
     let new = pair.book(2);
-    assert!(steps(&new).is_empty(), "claimed without authority");
+    assert!(steps(&new).is_empty(), "sent a claim without authority");
     assert_eq!(outcomes(&new), [Outcome::Unknown]);
 }
 
-/// The backup has become home; the old home has not heard of it and claims one
-/// more booking. An acknowledgement would let both run it, so there is none.
+/// The backup has become home, and the old home, which has not read the new table
+/// yet, claims one more booking. An acknowledgement would let both run it, so none
+/// is sent.
 #[test]
 fn a_backup_that_became_home_acknowledges_nothing() {
     let mut pair = Pair::joined();
     let b = pair.b.clone();
     pair.backup.handle(pair.now, table(row(2, Some(&b), None)));
-    let asked = pair.book(1);
-    assert!(bodies(&pair.tell_backup(&asked)).is_empty());
+    let claims = pair.book(1);
+    assert!(bodies(&pair.tell_backup(&claims)).is_empty());
 }
 
-/// A newer home claims here, and this instance has not read that it was replaced:
-/// it may have run the very booking, or still do so, and acknowledges nothing.
+/// A newer home sends a claim to an instance that has not yet read that it was
+/// replaced. That instance may have run the same booking, or still be running it,
+/// so it sends no acknowledgement.
 #[test]
 fn who_believes_to_be_home_acknowledges_nothing() {
     let mut pair = Pair::new(row(1, Some(&holder("a", 1)), None));
@@ -135,28 +142,29 @@
     assert!(bodies(&pair.home.handle(pair.now, event)).is_empty());
 }
 
-/// Two homes of different epochs claim at one backup. The one whose epoch the
-/// table or a later claim has passed must get no acknowledgement: it does not
-/// know what its successor ran.
+/// Two homes of different epochs send claims to one backup. The home whose epoch is
+/// older than the table's or than that of a later claim gets no acknowledgement: it
+/// does not know what its successor ran.
 #[test]
 fn claims_of_an_outdated_epoch_are_not_acknowledged() {
     let mut pair = Pair::joined();
-    let asked = pair.book(1);
+    let claims = pair.book(1);
     let c = holder("c", 1);
     let b = pair.b.clone();
     pair.backup
         .handle(pair.now, table(row(3, Some(&c), Some(&b))));
-    assert!(bodies(&pair.tell_backup(&asked)).is_empty());
+    assert!(bodies(&pair.tell_backup(&claims)).is_empty());
 }
 
-/// A newer home reached the backup before the newer table did. From then on the
-/// older home's claims are outdated although the backup's table still names it.
+/// A newer home's claim reaches the backup before the newer table does. From then
+/// on the older home's claims are outdated, although the backup's table still names
+/// that home.
 #[test]
 fn a_claim_of_a_newer_epoch_shuts_the_older_ones_out() {
     let mut pair = Pair::joined();
-    let asked = pair.book(1);
+    let claims = pair.book(1);
     let c = holder("c", 1);
-    let mut newer = bodies(&asked);
+    let mut newer = bodies(&claims);
     for (_, body) in &mut newer {
         if let Body::Replicate(step) = body {
             step.epoch = 5;
@@ -167,29 +175,31 @@
         };
         assert_eq!(bodies(&pair.backup.handle(pair.now, event)).len(), 1);
     }
-    assert!(bodies(&pair.tell_backup(&asked)).is_empty());
+    assert!(bodies(&pair.tell_backup(&claims)).is_empty());
 }
 
-/// Somebody who is not home under the table's epoch claims at the backup: it gets
-/// no acknowledgement, since the true home would not know of the claim.
+/// An instance that is not home under the table's epoch sends a claim to the
+/// backup: it gets no acknowledgement, since the actual home would not know of the
+/// claim.
 #[test]
 fn only_the_home_is_acknowledged_under_its_epoch() {
     let mut pair = Pair::joined();
-    let asked = pair.book(1);
+    let claims = pair.book(1);
     let c = holder("c", 1);
-    let acknowledged = deliver(pair.now, &c, &asked, &pair.b, &mut pair.backup);
+    let acknowledged = deliver(pair.now, &c, &claims, &pair.b, &mut pair.backup);
     assert!(bodies(&acknowledged).is_empty());
 }
 
-/// The caller's copies reach the home while the booking waits and after it was
-/// answered: none is forwarded, and the last gets the same answer again.
+/// Duplicates of a booking reach the home while the booking is in progress and
+/// after it was answered: none is forwarded, and the last one gets the same answer
+/// again.
 #[test]
 fn copies_cause_no_work() {
     let mut pair = Pair::joined();
-    let asked = pair.book(1);
+    let claims = pair.book(1);
     assert!(steps(&pair.book(1)).is_empty());
-    let kept = pair.tell_backup(&asked);
-    let sent = pair.tell_home(&kept);
+    let acks = pair.tell_backup(&claims);
+    let sent = pair.tell_home(&acks);
     let (server, attempt) = forwards(&sent)[0].clone();
     assert!(forwards(&pair.book(1)).is_empty());
     let answer = Event::Answer {
@@ -197,15 +207,16 @@
         attempt,
         answer: lab::answer("done"),
     };
-    let told = pair.home.handle(pair.now, answer);
+    let answered = pair.home.handle(pair.now, answer);
     let again = pair.book(1);
     assert!(forwards(&again).is_empty());
-    assert_eq!(outcomes(&told), outcomes(&again));
+    assert_eq!(outcomes(&answered), outcomes(&again));
     assert_eq!(outcomes(&again).len(), 1);
 }
 
-/// The home alone forwards at once, then a backup joins. If the copy lacked the
-/// bookings forwarded before, the backup would run their copies after a takeover.
+/// A home without a backup forwards at once, then a backup is added. If the copy
+/// lacked the bookings that were forwarded before, the backup would run their
+/// duplicates after a takeover.
 #[test]
 fn a_joining_backup_learns_what_was_forwarded_before() {
     let (a, b) = (holder("a", 1), holder("b", 1));
@@ -220,40 +231,42 @@
     assert_eq!(outcomes(&copy), [Outcome::Unknown]);
 }
 
-/// A backup is joining but the table does not name it yet. The write that names
-/// it may take effect at any moment, so from the first step on every booking
-/// waits for it.
+/// The copy to a new backup has started, but the table does not name the backup
+/// yet. The write that names it may take effect at any moment, so every booking
+/// waits for the backup from the first replication step on.
 #[test]
 fn claims_wait_for_a_backup_from_the_start_of_its_copy() {
     let mut pair = Pair::new(row(1, Some(&holder("a", 1)), None));
     let copied = pair.join();
-    let asked = pair.book(1);
-    assert!(forwards(&asked).is_empty());
-    let kept = pair.tell_backup(&copied);
-    pair.tell_home(&kept);
-    let kept = pair.tell_backup(&asked);
-    assert_eq!(forwards(&pair.tell_home(&kept)).len(), 1);
+    let claims = pair.book(1);
+    assert!(forwards(&claims).is_empty());
+    let acks = pair.tell_backup(&copied);
+    pair.tell_home(&acks);
+    let acks = pair.tell_backup(&claims);
+    assert_eq!(forwards(&pair.tell_home(&acks)).len(), 1);
 }
 
-/// The control task hears that the copy is whole only when each step of it is
-/// acknowledged; named too early, a backup would take over without some claims.
+/// The control task is notified that the copy is complete only when every step is
+/// acknowledged; a backup named in the table earlier would take over without some
+/// of the claims.
 #[test]
 fn a_backup_has_joined_only_when_it_has_everything() {
     let mut pair = Pair::new(row(1, Some(&holder("a", 1)), None));
     pair.book(1);
     let copied = pair.join();
-    let kept = pair.tell_backup(&copied);
+    let acks = pair.tell_backup(&copied);
     let joined = |actions: &[Action]| {
         let joined = |action: &Action| matches!(action, Action::Joined { .. });
         actions.iter().any(joined)
     };
-    assert_eq!(kept.len(), 2);
-    assert!(!joined(&pair.tell_home(&kept[..1])));
-    assert!(joined(&pair.tell_home(&kept[1..])));
+    assert_eq!(acks.len(), 2);
+    assert!(!joined(&pair.tell_home(&acks[..1])));
+    assert!(joined(&pair.tell_home(&acks[1..])));
 }
 
-/// The table names a backup that this home has not copied to. It must be given
-/// everything, and bookings wait for it: else it would know none of the old ones.
+/// The table names a backup to which this home has not copied anything. The home
+/// sends it a full copy, and bookings wait for it: otherwise the backup would know
+/// none of the earlier bookings.
 #[test]
 fn a_backup_named_unexpectedly_gets_a_whole_copy() {
     let (a, b) = (holder("a", 1), holder("b", 1));
@@ -264,8 +277,8 @@
     assert!(forwards(&pair.book(2)).is_empty());
 }
 
-/// Claims that waited for a backup that is given up go on without it, and those
-/// that waited for an older copy wait for the new one.
+/// Claims that wait for a backup proceed without it when its copy is cancelled.
+/// Claims that wait for an older copy wait for the new one instead.
 #[test]
 fn waiting_claims_follow_the_change_of_backup() {
     let mut pair = Pair::new(row(1, Some(&holder("a", 1)), None));
@@ -277,25 +290,25 @@
         steps(&again).iter().filter(|step| is_claim(step)).count(),
         1
     );
-    let given_up = Event::Abandon(vec![id::Slice(0)]);
-    let actions = pair.home.handle(pair.now, given_up);
+    let cancel = Event::Abandon(vec![id::Slice(0)]);
+    let actions = pair.home.handle(pair.now, cancel);
     assert_eq!(forwards(&actions).len(), 1);
 }
 
-/// The table names the backup: a late order to give up its copy must not let the
-/// home go on alone.
+/// The table names the backup: a late order to cancel its copy must not let the
+/// home proceed without it.
 #[test]
 fn an_installed_backup_is_not_given_up() {
     let mut pair = Pair::joined();
     pair.book(1);
-    let given_up = Event::Abandon(vec![id::Slice(0)]);
-    let actions = pair.home.handle(pair.now, given_up);
+    let cancel = Event::Abandon(vec![id::Slice(0)]);
+    let actions = pair.home.handle(pair.now, cancel);
     assert!(forwards(&actions).is_empty());
     assert!(forwards(&pair.book(2)).is_empty());
 }
 
-/// The claim is lost on the way; the caller sees no more than a short wait, since
-/// it is sent again until it is acknowledged.
+/// A claim that is lost on the way is sent again until it is acknowledged, so the
+/// caller sees only a short delay.
 #[test]
 fn a_lost_claim_is_sent_again() {
     let mut pair = Pair::joined();
@@ -305,21 +318,21 @@
     assert!(steps(&again).iter().any(is_claim));
 }
 
-/// An acknowledgement from somebody else than the backup, or from another life of
-/// it that lost the claim, forwards nothing.
+/// An acknowledgement from an instance other than the backup, or from another
+/// incarnation of the backup, which does not hold the claim, forwards nothing.
 #[test]
 fn only_the_backups_own_acknowledgement_counts() {
     let mut pair = Pair::joined();
-    let asked = pair.book(1);
-    let kept = pair.tell_backup(&asked);
+    let claims = pair.book(1);
+    let acks = pair.tell_backup(&claims);
     for other in [holder("b", 2), holder("c", 1)] {
-        let actions = deliver(pair.now, &other, &kept, &pair.a, &mut pair.home);
+        let actions = deliver(pair.now, &other, &acks, &pair.a, &mut pair.home);
         assert!(forwards(&actions).is_empty());
     }
 }
 
-/// A step whose slice does not exist, or whose flow cannot be read, is dropped
-/// and noted; it neither ends the process nor is it acknowledged.
+/// A step whose slice does not exist, or whose flow cannot be decoded, is dropped
+/// and counted; it neither ends the process nor is it acknowledged.
 #[test]
 fn malformed_steps_are_not_acknowledged() {
     let mut pair = Pair::joined();
--- a/tests/feed.rs
+++ b/tests/feed.rs
@@ -1,4 +1,4 @@
-//! Feeds: what the caller sees when servers and homes change.
+//! Feeds: the notifications that a caller gets when servers and homes change.
 
 mod lab;
 
@@ -36,12 +36,13 @@
 use crate::lab::table;
 use crate::lab::view;
 
-/// Longest wait before a registration at a home's own tick.
-const SOON: std::time::Duration = std::time::Duration::from_millis(600);
+/// Upper bound of the time in which a tick starts a registration that is due.
+const REGISTRATION_BOUND: std::time::Duration = std::time::Duration::from_millis(600);
 
+/// Server and number of a forwarded attempt.
 type Sent = (Arc<Server>, id::Attempt);
 
-/// Opens feed 1 at the home; the backup gets its copy.
+/// Opens feed 1 at the home and replicates it to the backup.
 fn open(pair: &mut Pair) -> Sent {
     let sent = forwards(&pair.ask(1, Kind::Open)).remove(0);
     let opened = pair.answer(&sent, notification("first"));
@@ -57,30 +58,31 @@
     actions.iter().filter_map(message).collect()
 }
 
-fn rejects(actions: &[Action]) -> bool {
+fn has_rejection(actions: &[Action]) -> bool {
     let reject = |action: &Action| matches!(action, Action::Reject { .. });
     actions.iter().any(reject)
 }
 
-fn offers(actions: &[Action]) -> usize {
+fn transfer_count(actions: &[Action]) -> usize {
     let offer = |(_, body): &(id::Holder, Body)| matches!(body, Body::Adopt(_));
     bodies(actions).iter().filter(|sent| offer(sent)).count()
 }
 
-fn hear(pair: &Pair, live: &[&id::Holder]) -> Event {
+fn view_of(pair: &Pair, live: &[&id::Holder]) -> Event {
     view(live, pair.now + lab::FOREVER)
 }
 
-/// Makes the backup believe that the home is gone.
-fn cut(pair: &mut Pair) -> Vec<Action> {
+/// Makes the backup suspect the home.
+fn cut_off_home(pair: &mut Pair) -> Vec<Action> {
     let b = pair.b.clone();
-    let event = hear(pair, &[&b]);
+    let event = view_of(pair, &[&b]);
     pair.backup.handle(pair.now, event)
 }
 
-fn heal(pair: &mut Pair) -> Vec<Action> {
+/// Makes the backup regard the home as live again.
+fn reconnect_home(pair: &mut Pair) -> Vec<Action> {
     let (a, b) = (pair.a.clone(), pair.b.clone());
-    let event = hear(pair, &[&a, &b]);
+    let event = view_of(pair, &[&a, &b]);
     pair.backup.handle(pair.now, event)
 }
 
@@ -89,9 +91,9 @@
     pair.backup.handle(pair.now, table(row(2, Some(&b), None)))
 }
 
-/// The home of a feed dies. Its backup goes on with numbers that are newer than
-/// all that the caller has seen, though its copy lags behind; the caller would
-/// drop older ones and take the feed for dead.
+/// The home of a feed fails. Its backup continues with sequence numbers newer than
+/// all that the caller has received, although its copy lags behind; a caller drops
+/// older numbers, and would get no more notifications.
 #[test]
 fn the_sequence_leaps_when_another_goes_on() {
     let mut pair = Pair::joined();
@@ -101,13 +103,14 @@
         seen = sequences(&pair.answer(&sent, notification("n")))[0];
     }
     promote(&mut pair);
-    let moved = forwards(&pair.run(SOON).1);
+    let moved = forwards(&pair.run(REGISTRATION_BOUND).1);
     let first = pair.answer_backup(&moved[0], notification("n"));
     assert!(sequences(&first)[0] > seen);
 }
 
-/// The same, seen by a caller that drops messages whose numbers it has just seen:
-/// the new home must not use those of the old one again.
+/// As above, for message numbers: a caller drops messages whose numbers it has just
+/// received as duplicates, so the new home must not use the old home's numbers
+/// again.
 #[test]
 fn message_numbers_do_not_come_again_after_a_takeover() {
     let mut pair = Pair::joined();
@@ -117,15 +120,15 @@
         seen.extend(messages(&pair.answer(&sent, notification("n"))));
     }
     promote(&mut pair);
-    let moved = forwards(&pair.run(SOON).1).remove(0);
+    let moved = forwards(&pair.run(REGISTRATION_BOUND).1).remove(0);
     for _ in 0..300 {
         let next = messages(&pair.answer_backup(&moved, notification("n")));
         assert!(seen.insert(next[0]), "number {} again", next[0]);
     }
 }
 
-/// A feed runs for so long that its copy would lag by more than the leap: the copy
-/// is refreshed before.
+/// A feed has more notifications than one leap of the sequence covers: the backup's
+/// copy of the sequence number is refreshed before it lags by that much.
 #[test]
 fn the_copy_of_the_sequence_never_lags_by_a_leap() {
     let mut pair = Pair::joined();
@@ -139,34 +142,38 @@
     assert!(refreshed >= 2);
     let seen = sequences(&pair.answer(&sent, notification("n")))[0];
     promote(&mut pair);
-    let moved = forwards(&pair.run(SOON).1);
+    let moved = forwards(&pair.run(REGISTRATION_BOUND).1);
     let first = pair.answer_backup(&moved[0], notification("n"));
     assert!(sequences(&first)[0] > seen);
 }
 
-/// A server drains. The caller sees one unbroken sequence: the old registration is
-/// used until the new one has answered, and only then rejected.
+/// A server drains. The caller gets one unbroken sequence: the old registration is
+/// used until the new one is answered, and only then rejected.
 #[test]
 fn a_move_registers_before_it_drops() {
     let mut pair = Pair::joined();
     let sent = open(&mut pair);
-    pair.run(SOON);
+    pair.run(REGISTRATION_BOUND);
     sent.0.state().draining = true;
-    let renewed = forwards(&pair.run(SOON).0);
-    assert_eq!(renewed.len(), 1, "asked one other server");
+    let renewed = forwards(&pair.run(REGISTRATION_BOUND).0);
+    assert_eq!(
+        renewed.len(),
+        1,
+        "the feed is registered at one other server"
+    );
     assert_ne!(renewed[0].0.id, sent.0.id);
     let still = pair.answer(&sent, notification("old"));
-    assert_eq!(sequences(&still), [2], "the old one still counts");
+    assert_eq!(sequences(&still), [2], "the old registration is still used");
     let moved = pair.answer(&renewed[0], notification("new"));
     assert_eq!(sequences(&moved), [3]);
     let late = pair.answer(&sent, notification("old"));
     assert!(sequences(&late).is_empty());
-    assert!(rejects(&late), "the old server goes on for ever");
+    assert!(has_rejection(&late), "the old server is not told to stop");
     assert_eq!(sent.0.state().feeds, 0);
 }
 
-/// A server's answer to somebody else's attempt, or from another address: the
-/// caller must not get it.
+/// A notification with an attempt that was sent to another server, or from another
+/// address, must not reach the caller.
 #[test]
 fn a_notification_counts_only_from_its_own_server() {
     let mut pair = Pair::joined();
@@ -176,11 +183,11 @@
     let actions = pair.answer(&foreign, notification("foreign"));
     assert!(sequences(&actions).is_empty());
     assert!(has_reason(&actions, Reason::ForeignAnswer));
-    assert!(rejects(&actions));
+    assert!(has_rejection(&actions));
 }
 
-/// Something between the two ends lost track of the feed: it falls silent for
-/// good. It is registered anew, at its own server first.
+/// A device on the path loses the state of a feed, and no more notifications
+/// arrive. The feed is registered again, first with its own server.
 #[test]
 fn a_silent_feed_is_registered_again() {
     let mut pair = Pair::joined();
@@ -192,8 +199,8 @@
     assert_eq!(sequences(&fresh), [2]);
 }
 
-/// The server ends the feed with "not now" and another takes it: the caller need
-/// not know.
+/// The server ends the feed with a refusal and another server takes it: the caller
+/// gets no notice of the move.
 #[test]
 fn a_feed_that_a_server_refuses_moves() {
     let mut pair = Pair::joined();
@@ -208,8 +215,8 @@
     assert_ne!(forwards(&moved)[0].0.id, sent.0.id);
 }
 
-/// No server takes the feed: the caller is told so that it opens again, rather
-/// than waiting for ever.
+/// No server takes the feed: the caller is notified so that it opens the feed again
+/// instead of waiting forever.
 #[test]
 fn a_feed_without_a_server_is_ended() {
     let mut pair = Pair::joined();
@@ -224,8 +231,8 @@
     assert_eq!(pair.home.feeds(), 0);
 }
 
-/// The caller rejects a notification: it does not want the feed any more, and the
-/// backup must not revive it.
+/// The caller has_rejection a notification: it does not want the feed any more, and the
+/// backup must not keep its copy.
 #[test]
 fn a_rejected_feed_ends_everywhere() {
     let mut pair = Pair::joined();
@@ -243,8 +250,9 @@
     assert_eq!((pair.home.feeds(), pair.backup.feeds()), (0, 0));
 }
 
-/// The caller is gone without a word. After enough notifications without a receipt
-/// its feed ends, or feeds of such callers would fill the table.
+/// The caller disappears without closing its feed. The feed ends after a number of
+/// notifications without a receipt; otherwise feeds of such callers would use up
+/// the limit.
 #[test]
 fn a_feed_of_a_vanished_caller_ends() {
     let mut pair = Pair::joined();
@@ -265,7 +273,7 @@
     let mut pair = Pair::joined();
     open(&mut pair);
     promote(&mut pair);
-    let moved = forwards(&pair.run(SOON).1);
+    let moved = forwards(&pair.run(REGISTRATION_BOUND).1);
     pair.answer_backup(&moved[0], notification("n"));
     pair.ask_backup(2, Kind::Open);
     let mut close = lab::request(&lab::flow("dispatch", 1), 3, Kind::Close);
@@ -279,8 +287,8 @@
     assert_eq!(pair.backup.feeds(), 0);
 }
 
-/// A new copy begins at the backup: feeds from before it are outdated, but what
-/// came with it or after it, perhaps in another order, stays.
+/// A new full copy starts at the backup: feeds from before it are outdated, but
+/// feeds that came with it or after it, perhaps reordered, stay.
 #[test]
 fn a_new_copy_clears_older_feeds_only() {
     let (a, b) = (holder("a", 1), holder("b", 1));
@@ -290,7 +298,7 @@
         pair.answer(&sent, notification("first"));
     }
     let copy = pair.join();
-    // The first step, which clears, arrives last.
+    // The first step, which clears older feeds, arrives last.
     let mut reordered = copy.clone();
     reordered.rotate_left(1);
     pair.tell_backup(&reordered);
@@ -307,69 +315,74 @@
     pair.home.handle(pair.now, event);
     let copy = pair.join();
     deliver(pair.now, &a, &copy, &b, &mut pair.backup);
-    assert_eq!(pair.backup.feeds(), 2, "a closed feed is kept");
+    assert_eq!(pair.backup.feeds(), 2, "the backup keeps a closed feed");
 }
 
-/// Home and backup cannot hear each other, and both reach the caller. The backup
-/// gave out newer numbers; when they hear each other again, the home's go beyond
-/// them, or the caller would drop all that comes from it.
+/// Home and backup cannot reach each other, and both reach the caller. The backup
+/// has sent newer sequence numbers; after the connection is restored, the home
+/// continues above them, since otherwise the caller would drop all its
+/// notifications.
 #[test]
 fn a_home_that_was_cut_off_goes_beyond_its_backups_sequence() {
     let mut pair = Pair::joined();
     let sent = open(&mut pair);
-    cut(&mut pair);
-    let taken = forwards(&pair.run(SOON).1);
-    let seen = sequences(&pair.answer_backup(&taken[0], notification("n")))[0];
-    let offered = heal(&mut pair);
-    assert_eq!(offers(&offered), 1);
-    pair.tell_home(&offered);
+    cut_off_home(&mut pair);
+    let registered = forwards(&pair.run(REGISTRATION_BOUND).1);
+    let seen = sequences(&pair.answer_backup(&registered[0], notification("n")))[0];
+    let transfers = reconnect_home(&mut pair);
+    assert_eq!(transfer_count(&transfers), 1);
+    pair.tell_home(&transfers);
     let next = sequences(&pair.answer(&sent, notification("n")))[0];
     assert!(next > seen);
-    pair.tell_home(&offered);
+    pair.tell_home(&transfers);
     let after = sequences(&pair.answer(&sent, notification("n")))[0];
-    assert_eq!(after, next + 1, "an offer that comes twice counts once");
+    assert_eq!(after, next + 1, "a duplicate transfer has no effect");
 }
 
-/// The offer of a feed to its home is lost: it comes again until the feed is
-/// released here, and until then notifications go on.
+/// The message that transfers a feed to its home is lost: it is repeated until the
+/// feed is released here, and until then notifications are still sent from here.
 #[test]
 fn a_feed_is_offered_until_it_is_released() {
     let mut pair = Pair::joined();
     open(&mut pair);
-    cut(&mut pair);
-    let taken = forwards(&pair.run(SOON).1);
-    pair.answer_backup(&taken[0], notification("n"));
-    assert_eq!(offers(&heal(&mut pair)), 1);
+    cut_off_home(&mut pair);
+    let registered = forwards(&pair.run(REGISTRATION_BOUND).1);
+    pair.answer_backup(&registered[0], notification("n"));
+    assert_eq!(transfer_count(&reconnect_home(&mut pair)), 1);
     let (_, again) = pair.run(ms(1_800));
-    assert!(offers(&again) >= 2);
-    let kept = pair.answer_backup(&taken[0], notification("n"));
-    assert_eq!(sequences(&kept).len(), 1, "released before the home has it");
+    assert!(transfer_count(&again) >= 2);
+    let kept = pair.answer_backup(&registered[0], notification("n"));
+    assert_eq!(
+        sequences(&kept).len(),
+        1,
+        "released before the home has taken it over"
+    );
     pair.run(ms(500));
-    let late = pair.answer_backup(&taken[0], notification("n"));
-    assert!(rejects(&late));
+    let late = pair.answer_backup(&registered[0], notification("n"));
+    assert!(has_rejection(&late));
     assert_eq!(pair.backup.feeds(), 1, "the copy stays at the backup");
 }
 
-/// The home is heard again for a moment only: the feeds that were about to be
-/// returned stay here, and their silence is still noticed.
+/// The home is reachable only for a moment: the feeds that were to be returned stay
+/// at the backup, which still notices when they fall silent.
 #[test]
 fn a_feed_stays_when_its_home_is_gone_again() {
     let mut pair = Pair::joined();
     open(&mut pair);
-    cut(&mut pair);
-    let taken = forwards(&pair.run(SOON).1);
-    pair.answer_backup(&taken[0], notification("n"));
+    cut_off_home(&mut pair);
+    let registered = forwards(&pair.run(REGISTRATION_BOUND).1);
+    pair.answer_backup(&registered[0], notification("n"));
     pair.run(Profile::default().feed_silence() - ms(500));
-    heal(&mut pair);
+    reconnect_home(&mut pair);
     pair.run(secs(1));
-    cut(&mut pair);
+    cut_off_home(&mut pair);
     let renewed = forwards(&pair.run(Profile::default().feed_silence() + secs(1)).1);
-    assert!(!renewed.is_empty(), "nobody looks after it");
+    assert!(!renewed.is_empty(), "no instance serves the feed");
 }
 
-/// A feed is opened while its slice moves: the server answers the old home. The
-/// new one is told, since it gets the caller's receipts and nobody looks after
-/// the feed at the old one.
+/// A feed is opened while its slice moves: the server's answer reaches the old
+/// home. The feed is transferred to the new home, since that one gets the caller's
+/// receipts, and the old home no longer serves feeds of the slice.
 #[test]
 fn a_feed_opened_during_a_move_goes_to_the_new_home() {
     let mut pair = Pair::joined();
@@ -377,13 +390,13 @@
     let b = pair.b.clone();
     pair.install(row(2, Some(&b), None));
     let opened = pair.answer(&sent, notification("first"));
-    assert_eq!(offers(&opened), 1);
+    assert_eq!(transfer_count(&opened), 1);
     pair.tell_backup(&opened);
-    assert_eq!(forwards(&pair.run(SOON).1).len(), 1);
+    assert_eq!(forwards(&pair.run(REGISTRATION_BOUND).1).len(), 1);
 }
 
-/// The feed was opened just before the move, and its copy has not reached the
-/// backup that became home: the old home offers it.
+/// A feed was opened just before the move, and its copy has not reached the backup
+/// that became home: the old home transfers it.
 #[test]
 fn a_feed_without_a_copy_is_offered_to_the_new_home() {
     let mut pair = Pair::joined();
@@ -391,13 +404,13 @@
     pair.answer(&sent, notification("first"));
     let b = pair.b.clone();
     let moved = pair.install(row(2, Some(&b), None));
-    assert_eq!(offers(&moved), 1);
+    assert_eq!(transfer_count(&moved), 1);
     pair.tell_backup(&moved);
     assert_eq!(pair.backup.feeds(), 1);
 }
 
-/// The slice moved: the old home goes on with its registration until the new one
-/// has had time to register, and drops it then.
+/// The slice moved: the old home keeps its registration until the new home has had
+/// time to register, and then drops it.
 #[test]
 fn the_old_home_releases_feeds_after_a_while() {
     let mut pair = Pair::joined();
@@ -410,10 +423,10 @@
     pair.run(secs(1));
     let dropped = pair.answer(&sent, notification("n"));
     assert!(sequences(&dropped).is_empty());
-    assert!(rejects(&dropped));
+    assert!(has_rejection(&dropped));
 }
 
-/// A home takes over hundreds of feeds: they are registered a few at a time, so
+/// A home takes over hundreds of feeds: it registers a limited number per tick, so
 /// that the servers are not flooded.
 #[test]
 fn feeds_are_registered_a_few_at_a_time() {
@@ -441,8 +454,8 @@
     assert_eq!((most, all), (64, FEEDS as usize));
 }
 
-/// Registrations of a copy that the backup only keeps are none: it sends nothing
-/// to any server while the home is there.
+/// A backup that only keeps a copy of a feed sends nothing to any server while the
+/// home is live.
 #[test]
 fn a_copy_alone_registers_nothing() {
     let mut pair = Pair::joined();
@@ -451,8 +464,8 @@
     assert!(forwards(&actions).is_empty());
 }
 
-/// The service is unknown for a while, as after a slow start: the feed must still
-/// be looked after when it is known again.
+/// The service is missing from the configuration for a while, as after a slow
+/// start: the feed is served again once the service is known again.
 #[test]
 fn a_feed_survives_a_gap_in_the_configuration() {
     let mut pair = Pair::joined();
@@ -465,29 +478,33 @@
     assert!(!renewed.is_empty());
 }
 
-/// Feeds of slices that the two workers own do not mix: each worker leaves the
-/// other's rows alone.
+/// A worker ignores table rows of slices that another worker owns.
 #[test]
 fn workers_keep_to_their_own_slices() {
     let now = Instant::now();
     let me = holder("a", 1);
     let mut engine = Engine::new(lab::settings(&me, 1, 2));
     let actions = engine.handle(now, table(row(1, Some(&me), None)));
-    assert!(!has_reason(&actions, Reason::HomeGained), "not its slice");
+    assert!(
+        !has_reason(&actions, Reason::HomeGained),
+        "the slice belongs to another worker"
+    );
     let is_feed = |item: &Item| matches!(item, Item::Feed(_));
     assert!(!steps(&actions).iter().any(is_feed));
 }
 
-/// The home is heard again while its backup is just registering the feed: the
-/// answer comes, and the registration must not go on beside the home's.
+/// The home becomes reachable while its backup is registering the feed: when the
+/// answer arrives, the backup must not keep the registration beside the home's.
 #[test]
 fn a_registration_under_way_is_released_too() {
     let mut pair = Pair::joined();
     open(&mut pair);
-    cut(&mut pair);
-    let taken = forwards(&pair.run(SOON).1);
-    heal(&mut pair);
-    pair.answer_backup(&taken[0], notification("n"));
+    cut_off_home(&mut pair);
+    let registered = forwards(&pair.run(REGISTRATION_BOUND).1);
+    reconnect_home(&mut pair);
+    pair.answer_backup(&registered[0], notification("n"));
     pair.run(ms(2_500));
-    assert!(rejects(&pair.answer_backup(&taken[0], notification("n"))));
+    assert!(has_rejection(
+        &pair.answer_backup(&registered[0], notification("n"))
+    ));
 }
--- a/tests/lab/mod.rs
+++ b/tests/lab/mod.rs
@@ -1,6 +1,7 @@
-//! Parts for tests of the decision core: no socket, no task, time by hand.
+//! Fixtures for tests of the decision core, without sockets or tasks and with a clock
+//! that the tests advance.
 
-#![allow(dead_code, reason = "each test file uses its own part")]
+#![allow(dead_code, reason = "each test file uses only some of the fixtures")]
 
 pub(crate) mod pair;
 
@@ -39,7 +40,7 @@
 /// Key of the slice hash in all tests.
 pub(crate) const HASH_KEY: u64 = 7;
 
-/// Longer than any test's virtual time.
+/// Longer than the virtual time of any test.
 pub(crate) const FOREVER: Duration = Duration::from_secs(1_000_000);
 
 pub(crate) fn ms(ms: u64) -> Duration {
@@ -50,8 +51,10 @@
     Duration::from_secs(secs)
 }
 
-pub(crate) fn holder(name: &str, life: u64) -> id::Holder {
-    format!("{name}#{life}").parse().expect("a legal name")
+pub(crate) fn holder(name: &str, incarnation: u64) -> id::Holder {
+    format!("{name}#{incarnation}")
+        .parse()
+        .expect("a valid name")
 }
 
 pub(crate) fn endpoint(host: u8, port: u16) -> id::Endpoint {
@@ -60,7 +63,7 @@
 
 pub(crate) fn flow(service: &str, port: u16) -> Flow {
     Flow {
-        service: service.parse().expect("a legal name"),
+        service: service.parse().expect("a valid name"),
         caller: endpoint(1, port),
     }
 }
@@ -68,22 +71,22 @@
 /// A server that is confirmed for the whole test.
 pub(crate) fn server(now: Instant, name: &str, service: &str, port: u16) -> Arc<Server> {
     let listed = document::Server {
-        service: service.parse().expect("a legal name"),
-        zone: "bole".parse().expect("a legal name"),
+        service: service.parse().expect("a valid name"),
+        zone: "bole".parse().expect("a valid name"),
         address: endpoint(2, port),
         health: endpoint(3, port),
         slots: 2,
         state: document::State::Up,
     };
-    let server = Server::new(name.parse().expect("a legal name"), &listed);
+    let server = Server::new(name.parse().expect("a valid name"), &listed);
     server.confirm(now, FOREVER);
     Arc::new(server)
 }
 
 pub(crate) fn service(name: &str, profile: &Profile, servers: Vec<Arc<Server>>) -> Service {
     Service {
-        id: name.parse().expect("a legal name"),
-        profile_id: "standard".parse().expect("a legal name"),
+        id: name.parse().expect("a valid name"),
+        profile_id: "standard".parse().expect("a valid name"),
         revision: id::Revision(1),
         profile: Arc::new(profile.clone()),
         servers,
@@ -102,7 +105,7 @@
 pub(crate) fn settings(me: &id::Holder, worker: u8, workers: u8) -> engine::Settings {
     engine::Settings {
         me: me.clone(),
-        zone: "bole".parse().expect("a legal name"),
+        zone: "bole".parse().expect("a valid name"),
         worker,
         workers,
         hash_key: HASH_KEY,
@@ -173,7 +176,7 @@
     }
 }
 
-/// What was sent to servers.
+/// Requests forwarded to servers: each server with the number of the attempt.
 pub(crate) fn forwards(actions: &[Action]) -> Vec<(Arc<Server>, id::Attempt)> {
     let forward = |action: &Action| match action {
         Action::Forward {
@@ -184,7 +187,7 @@
     actions.iter().filter_map(forward).collect()
 }
 
-/// What callers were told.
+/// Final outcomes that callers got.
 pub(crate) fn outcomes(actions: &[Action]) -> Vec<Outcome> {
     let outcome = |action: &Action| match action {
         Action::Answer { outcome, .. } => Some(outcome.clone()),
@@ -193,7 +196,7 @@
     actions.iter().filter_map(outcome).collect()
 }
 
-/// What was sent to peers.
+/// Messages sent to peers: each with its receiver.
 pub(crate) fn bodies(actions: &[Action]) -> Vec<(id::Holder, peer::Body)> {
     let body = |action: &Action| match action {
         Action::Peer { to, body } => Some((to.clone(), body.clone())),
@@ -202,7 +205,7 @@
     actions.iter().filter_map(body).collect()
 }
 
-/// Sequence numbers of notifications.
+/// Sequence numbers of the notifications sent to callers.
 pub(crate) fn sequences(actions: &[Action]) -> Vec<u32> {
     let sequence = |action: &Action| match action {
         Action::Notify { sequence, .. } => Some(*sequence),
@@ -212,17 +215,20 @@
 }
 
 pub(crate) fn has_reason(actions: &[Action], reason: Reason) -> bool {
-    let same = |action: &Action| matches!(action, Action::Note(note) if note.reason == reason);
-    actions.iter().any(same)
+    let matches = |action: &Action| matches!(action, Action::Note(note) if note.reason == reason);
+    actions.iter().any(matches)
 }
 
-/// Delivers everything that is meant for one engine.
-/// What the edge makes of a message.
-fn arrival(from: id::Holder, body: peer::Body) -> Event {
+/// The event that the edge makes of a peer message.
+fn peer_event(from: id::Holder, body: peer::Body) -> Event {
     match body {
         peer::Body::Relay(relay) => {
-            let flow = peer::unpack_flow(relay.flow.as_ref()).expect("packed by an engine");
-            let number = relay.datagram.as_ref().try_into().expect("a number");
+            let flow = peer::unpack_flow(relay.flow.as_ref()).expect("a flow packed by an engine");
+            let number = relay
+                .datagram
+                .as_ref()
+                .try_into()
+                .expect("a datagram of 8 bytes");
             let number = u64::from_be_bytes(number);
             let request = request(&flow, number, Kind::Once);
             let hops = relay.hops;
@@ -240,6 +246,7 @@
     }
 }
 
+/// Passes the peer messages among the actions that are addressed to one engine to it.
 pub(crate) fn deliver(
     now: Instant,
     from: &id::Holder,
@@ -250,7 +257,7 @@
     let mut out = Vec::new();
     for (receiver, body) in bodies(actions) {
         if receiver == *to {
-            out.extend(engine.handle(now, arrival(from.clone(), body)));
+            out.extend(engine.handle(now, peer_event(from.clone(), body)));
         }
     }
     out
--- a/tests/lab/pair.rs
+++ b/tests/lab/pair.rs
@@ -1,4 +1,4 @@
-//! A home and its backup.
+//! A home and its backup, driven by hand.
 
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
 use super::table;
 use super::view;
 
-/// A home and its backup with one slice.
+/// The engines of a home and its backup, with a table of one slice and three servers.
 pub(crate) struct Pair {
     pub(crate) now: Instant,
     pub(crate) home: Engine,
@@ -53,6 +53,7 @@
         pair
     }
 
+    /// A home whose backup is named in the table.
     pub(crate) fn joined() -> Self {
         let (a, b) = (holder("a", 1), holder("b", 1));
         Self::new(row(1, Some(&a), Some(&b)))
@@ -68,32 +69,37 @@
         }
     }
 
-    /// The backup does not hear the home any more.
+    /// Makes the backup suspect the home.
     pub(crate) fn lose_home(&mut self) {
         let view = view(&[&self.b], self.now + super::FOREVER);
         self.backup.handle(self.now, view);
     }
 
+    /// Gives both engines a new table; returns their actions.
     pub(crate) fn install(&mut self, row: Row) -> Vec<Action> {
         let mut actions = self.home.handle(self.now, table(row.clone()));
         actions.extend(self.backup.handle(self.now, table(row)));
         actions
     }
 
+    /// Sends a non-idempotent request to the home.
     pub(crate) fn book(&mut self, number: u64) -> Vec<Action> {
         let request = request(&super::flow("dispatch", 1), number, Kind::Once);
         self.home
             .handle(self.now, Event::Request { request, hops: 0 })
     }
 
+    /// Passes messages of the home to the backup.
     pub(crate) fn tell_backup(&mut self, actions: &[Action]) -> Vec<Action> {
         deliver(self.now, &self.a, actions, &self.b, &mut self.backup)
     }
 
+    /// Passes messages of the backup to the home.
     pub(crate) fn tell_home(&mut self, actions: &[Action]) -> Vec<Action> {
         deliver(self.now, &self.b, actions, &self.a, &mut self.home)
     }
 
+    /// Starts the copy to the backup.
     pub(crate) fn join(&mut self) -> Vec<Action> {
         let event = Event::Join {
             slices: vec![id::Slice(0)],
@@ -102,38 +108,39 @@
         self.home.handle(self.now, event)
     }
 
-    /// One more request of any kind, to the home.
+    /// Sends a request of any kind to the home.
     pub(crate) fn ask(&mut self, number: u64, kind: Kind) -> Vec<Action> {
         let request = request(&super::flow("dispatch", 1), number, kind);
         self.home
             .handle(self.now, Event::Request { request, hops: 0 })
     }
 
-    /// A request that is relayed to the backup.
+    /// Sends a request that another instance relayed to the backup.
     pub(crate) fn ask_backup(&mut self, number: u64, kind: Kind) -> Vec<Action> {
         let request = request(&super::flow("dispatch", 1), number, kind);
         self.backup
             .handle(self.now, Event::Request { request, hops: 1 })
     }
 
-    /// What the new home says to a copy of what the former one has claimed, once that
-    /// one's deadline is over. Until then it neither answers nor runs it.
+    /// The new home's answer to a duplicate of a request that the previous home has
+    /// claimed, after the request's deadline. Asserts that the new home neither
+    /// answers nor forwards a duplicate before the deadline.
     pub(crate) fn ask_for_claimed(&mut self, number: u64) -> Vec<Action> {
-        let early = self.ask_backup(number, Kind::Once);
-        assert!(super::forwards(&early).is_empty());
-        assert_eq!(super::outcomes(&early), []);
+        let before_deadline = self.ask_backup(number, Kind::Once);
+        assert!(super::forwards(&before_deadline).is_empty());
+        assert_eq!(super::outcomes(&before_deadline), []);
         self.run(Profile::default().deadline());
         self.ask_backup(number, Kind::Once)
     }
 
-    /// Books and lets the backup acknowledge.
+    /// Sends a booking to the home and passes the claim and its acknowledgement on.
     pub(crate) fn book_through(&mut self, number: u64) -> Vec<Action> {
-        let asked = self.book(number);
-        let kept = self.tell_backup(&asked);
-        self.tell_home(&kept)
+        let claims = self.book(number);
+        let acks = self.tell_backup(&claims);
+        self.tell_home(&acks)
     }
 
-    /// A server's answer to one forwarding of the home.
+    /// Passes a server's answer to an attempt of the home.
     pub(crate) fn answer(
         &mut self,
         (server, attempt): &(Arc<Server>, id::Attempt),
@@ -147,7 +154,7 @@
         self.home.handle(self.now, event)
     }
 
-    /// The same for the backup.
+    /// Passes a server's answer to an attempt of the backup.
     pub(crate) fn answer_backup(
         &mut self,
         (server, attempt): &(Arc<Server>, id::Attempt),
@@ -161,7 +168,8 @@
         self.backup.handle(self.now, event)
     }
 
-    /// Ticks both on to a time.
+    /// Advances the clock by `length` with regular ticks; returns the actions of home and
+    /// backup.
     pub(crate) fn run(&mut self, length: std::time::Duration) -> (Vec<Action>, Vec<Action>) {
         const STEP: std::time::Duration = std::time::Duration::from_millis(100);
         let (mut home, mut backup) = (Vec::new(), Vec::new());
@@ -175,6 +183,7 @@
     }
 }
 
+/// Replication steps among the actions.
 pub(crate) fn steps(actions: &[Action]) -> Vec<Item> {
     let step = |(_, body): (id::Holder, Body)| match body {
         Body::Replicate(step) => step.item,
--- a/tests/once.rs
+++ b/tests/once.rs
@@ -1,4 +1,4 @@
-//! Non-idempotent requests run at most once, and outcomes are true.
+//! Non-idempotent requests run at most once, and the reported outcomes are correct.
 
 mod utils;
 
@@ -21,7 +21,7 @@
 const CALLERS: u64 = 10;
 const REQUESTS: u64 = 60;
 
-/// How often a caller is tried to find one whose home is not a given instance.
+/// Callers tried to find one whose home and backup are both other instances.
 const TRIES: u64 = 64;
 
 async fn start(servers: usize) -> Cluster {
@@ -35,7 +35,8 @@
     .await
 }
 
-/// A caller that sends to an instance which is neither home nor backup for it.
+/// A caller that sends to an instance which is neither home nor backup of its
+/// slice.
 async fn outsider(cluster: &Cluster) -> (standin::caller::Caller, usize) {
     for seed in 0..TRIES {
         let caller = cluster.caller_at("dispatch", 0, seed).await;
@@ -45,14 +46,15 @@
             return (caller, home);
         }
     }
-    panic!("no such caller");
+    panic!("no caller found whose home and backup are other instances");
 }
 
-/// The caller books through one instance, and copies of its datagram reach all
-/// others, before and after its home is frozen in the middle of the work. The
-/// backup takes over and must not run the booking, since its claim says that the
-/// old home may have done so; the old home thaws, finds itself replaced, and must
-/// not run it again either. The caller is told "unknown" or the real answer.
+/// A caller books through one instance, and duplicates of its datagram reach all
+/// others, before and after its home is frozen while the booking is at a server.
+/// The backup takes over and must not run the booking, since the replicated claim
+/// says that the old home may have run it. The old home resumes, finds that it was
+/// replaced, and must not run the booking again either. The caller gets "unknown"
+/// or the actual answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_home_that_thaws_runs_nothing_twice() {
     let cluster = start(4).await;
@@ -65,7 +67,9 @@
     let datagram = exchange.datagram();
     cluster.copies("dispatch", &caller, &datagram, home).await;
     cluster
-        .until("it starts", async || cluster.starts("booking") == 1)
+        .until("the booking starts", async || {
+            cluster.starts("booking") == 1
+        })
         .await;
     cluster.instances[home].signal(Signal::SIGSTOP);
     cluster.copies("dispatch", &caller, &datagram, home).await;
@@ -95,9 +99,10 @@
     assert_eq!(cluster.starts("next"), 1);
 }
 
-/// The caller's booking is at a server when its home is killed. The caller
-/// repeats its datagram at the other instances; the backup knows the claim, not
-/// the answer, and says "unknown" within seconds rather than run it again.
+/// A booking is at a server when the caller's home is killed. The caller repeats
+/// its datagram at the other instances; the backup knows the claim but not the
+/// answer, and answers "unknown" within seconds instead of running the booking
+/// again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_killed_home_leaves_unknown_and_no_second_start() {
     let mut cluster = start(4).await;
@@ -107,7 +112,9 @@
     let (caller, home) = outsider(&cluster).await;
     let mut exchange = caller.begin(RequestType::Post, "/pickup", "booking").await;
     cluster
-        .until("it starts", async || cluster.starts("booking") == 1)
+        .until("the booking starts", async || {
+            cluster.starts("booking") == 1
+        })
         .await;
     cluster.instances[home].kill();
     let datagram = exchange.datagram();
@@ -118,7 +125,7 @@
     assert_eq!(cluster.starts("booking"), 1);
 }
 
-/// What was told to callers in a long run under faults.
+/// Counts of the outcomes that callers received in a long run under faults.
 #[derive(Default)]
 struct Tally {
     answered: u64,
@@ -145,11 +152,11 @@
     outcomes
 }
 
-/// Callers book without pause through a fabric that loses, doubles and delays
-/// datagrams, while an instance is frozen and thaws, another is killed, servers
-/// refuse, and the platform goes down and loses the answers of its writes. Each
-/// outcome is then held against the servers' own counts: nothing ran twice, what
-/// was answered ran, and what was reported as not run did not.
+/// Callers book without pause through a network that loses, duplicates and delays
+/// datagrams, while an instance is frozen and resumed, another is killed, servers
+/// refuse requests, and the platform goes down and loses the answers to its writes.
+/// Each outcome is then compared with the servers' own counts: no booking ran
+/// twice, every answered booking ran, and none that was reported as not run did.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_long_history_under_faults_is_told_truly() {
     let mut cluster = start(6).await;
@@ -190,13 +197,13 @@
     sleep(Duration::from_secs(2)).await;
     cluster.platform.lose_answers(4);
     cluster.unlist(1);
-    let mut told = Vec::new();
+    let mut outcomes = Vec::new();
     while let Some(history) = histories.join_next().await {
-        told.extend(history.expect("a history"));
+        outcomes.extend(history.expect("a history"));
     }
     sleep(Duration::from_secs(1)).await;
     let mut tally = Tally::default();
-    for (payload, outcome) in &told {
+    for (payload, outcome) in &outcomes {
         let starts = cluster.starts(payload);
         assert!(starts <= 1, "{payload} started {starts} times");
         match outcome {
@@ -216,9 +223,9 @@
         "{} answered, {} not run, {} unknown, {} silent",
         tally.answered, tally.not_run, tally.unknown, tally.silent
     );
-    assert_eq!(told.len() as u64, CALLERS * REQUESTS);
-    // All servers refuse for a while and are left alone for two seconds then; the
-    // rest of the time nearly everything is answered.
+    assert_eq!(outcomes.len() as u64, CALLERS * REQUESTS);
+    // All servers refuse for a while, after which they get no requests for two seconds;
+    // outside that time nearly everything is answered.
     assert!(tally.not_run > 0);
     assert!(tally.answered * 3 > CALLERS * REQUESTS);
 }
--- a/tests/outcome.rs
+++ b/tests/outcome.rs
@@ -1,4 +1,5 @@
-//! Outcomes: answered, not run, unknown, and never one for another.
+//! Final outcomes of requests: answered, not run, or unknown, and never one in
+//! place of another.
 
 mod lab;
 
@@ -29,16 +30,17 @@
 use crate::lab::row;
 use crate::lab::secs;
 
+/// Server and number of a forwarded attempt.
 type Sent = (Arc<Server>, id::Attempt);
 
-/// A home without a backup, which forwards at once.
-/// A later part of an upload.
-const PART: Part = Part {
+/// A later block of an upload.
+const LATER_BLOCK: Part = Part {
     body: 1,
     later: true,
     upload: true,
 };
 
+/// A home without a backup, which forwards at once.
 fn alone() -> Pair {
     Pair::new(row(1, Some(&holder("a", 1)), None))
 }
@@ -58,21 +60,21 @@
     servers.map(|server| server.state().outstanding).sum()
 }
 
-/// A server says that it did not start the booking: another one may run it.
+/// A server states that it did not start the booking: another server may run it.
 #[test]
 fn a_refused_booking_goes_to_another_server() {
     let mut pair = alone();
     let first = sent(&pair.book(1));
     let second = sent(&pair.answer(&first, refusal()));
     assert_ne!(first.0.id, second.0.id);
-    let told = pair.answer(&second, answer("done"));
+    let answered = pair.answer(&second, answer("done"));
     let done = Outcome::Answered(Bytes::from_static(b"done"));
-    assert_eq!(outcomes(&told), [done]);
+    assert_eq!(outcomes(&answered), [done]);
     assert_eq!(outstanding(&pair), 0);
 }
 
-/// A server is silent, which proves nothing: the booking may run there. It goes
-/// nowhere else, and the caller gets "unknown" when its time is over.
+/// A server does not answer, so the booking may be running there. It is forwarded
+/// to no other server, and the caller gets "unknown" at the deadline.
 #[test]
 fn a_silent_booking_goes_nowhere_else() {
     let mut pair = alone();
@@ -83,8 +85,8 @@
     assert_eq!(outstanding(&pair), 0);
 }
 
-/// All servers that may be asked refuse: the booking was not run, and the caller
-/// hears it at once. A later copy hears the same and is not forwarded.
+/// All servers that may be tried refuse the booking: the caller gets "not run" at
+/// once. A later duplicate gets the same answer and is not forwarded.
 #[test]
 fn a_booking_that_all_refuse_is_not_run() {
     let mut pair = alone();
@@ -92,29 +94,33 @@
     for _ in 0..2 {
         next = sent(&pair.answer(&next, refusal()));
     }
-    let told = pair.answer(&next, refusal());
-    assert_eq!(outcomes(&told), [Outcome::NotRun { retry_after: 1 }]);
+    let answered = pair.answer(&next, refusal());
+    assert_eq!(outcomes(&answered), [Outcome::NotRun { retry_after: 1 }]);
     pair.run(secs(5));
     let copy = pair.book(1);
     assert!(forwards(&copy).is_empty());
     assert_eq!(outcomes(&copy), [Outcome::NotRun { retry_after: 1 }]);
 }
 
-/// Another server answers with an attempt that was not given to it: the caller
-/// must not get that answer.
+/// A server answers an attempt that was sent to another server: the caller must not
+/// get that answer.
 #[test]
 fn an_answer_from_another_server_is_dropped() {
     let mut pair = alone();
-    let asked = sent(&pair.book(1));
-    let other = pair.servers.iter().find(|s| s.id != asked.0.id).cloned();
-    let foreign = (other.expect("three servers"), asked.1);
+    let forwarded = sent(&pair.book(1));
+    let other = pair
+        .servers
+        .iter()
+        .find(|s| s.id != forwarded.0.id)
+        .cloned();
+    let foreign = (other.expect("three servers"), forwarded.1);
     let actions = pair.answer(&foreign, answer("another's"));
     assert!(outcomes(&actions).is_empty());
     assert!(has_reason(&actions, Reason::ForeignAnswer));
 }
 
-/// The answer comes after the caller got "unknown": the outcome stays, and no
-/// later request of the caller gets the late answer.
+/// The server's answer arrives after the caller got "unknown": the outcome stays,
+/// and no later request of the caller gets the late answer.
 #[test]
 fn a_late_answer_reaches_nobody() {
     let mut pair = alone();
@@ -126,8 +132,8 @@
     assert!(has_reason(&actions, Reason::ForeignAnswer));
 }
 
-/// A read is late at one server and asked of a second; the first answer counts and
-/// the second is dropped.
+/// One server does not answer a read in time, so a second one gets it; the first
+/// answer is used and the second is dropped.
 #[test]
 fn a_late_read_is_asked_of_a_second_server() {
     let mut pair = alone();
@@ -139,8 +145,8 @@
     assert_eq!(outstanding(&pair), 0);
 }
 
-/// One server is silent and the other refuses a read: the silent one may still
-/// answer, so "not run" would be untrue.
+/// Of two servers that got a read, one does not answer and the other refuses. The
+/// first may still answer, so "not run" would be wrong.
 #[test]
 fn a_refusal_beside_a_silence_is_no_outcome() {
     let mut pair = with(Profile {
@@ -154,8 +160,8 @@
     assert_eq!(outcomes(&pair.answer(&first, answer("a"))).len(), 1);
 }
 
-/// All servers are slow. Retries stay within their share of the requests: without
-/// that they would double the load just when there is too much of it.
+/// All servers are slow. Retries stay within their share of the requests; without
+/// that limit they would double the load during an overload.
 #[test]
 fn retries_stay_within_their_budget() {
     const REQUESTS: u64 = 200;
@@ -170,12 +176,12 @@
     }
     let (actions, _) = pair.run(secs(7));
     assert!(has_reason(&actions, Reason::RetryDenied));
-    // Ten may be saved up, and a tenth of the requests is paid in.
+    // The budget holds at most ten retries, and a tenth of the requests is added.
     assert!(forwards(&actions).len() <= 10 + REQUESTS as usize / 10);
 }
 
-/// Every server fails, as when the cause is on our side. Half of them stay in use,
-/// since sending everything to the last one would break it too.
+/// Every server fails, as when the cause is on this instance's side. Half of them
+/// stay in use, since sending all requests to the last one would overload it too.
 #[test]
 fn half_of_the_servers_are_never_ejected() {
     let mut pair = with(Profile {
@@ -187,12 +193,13 @@
     for number in 0..30 {
         pair.book(number);
         pair.run(ms(1_000));
-        let resting = |server: &&Arc<Server>| server.state().is_resting(pair.now);
-        assert!(pair.servers.iter().filter(resting).count() <= 1);
+        let in_cooldown = |server: &&Arc<Server>| server.state().is_resting(pair.now);
+        assert!(pair.servers.iter().filter(in_cooldown).count() <= 1);
     }
 }
 
-/// The last server refuses new work: not run, at once, with a time to come back.
+/// No server accepts new work: the outcome is "not run", at once, with a time to
+/// retry after.
 #[test]
 fn without_a_server_a_request_is_not_run() {
     for kind in [Kind::Once, Kind::Idempotent] {
@@ -206,53 +213,52 @@
     }
 }
 
-/// The address of a server was last seen to run something else: no packet goes
-/// there, not even for the parts of a body that it has.
+/// Another service was last seen at the server's address: nothing is sent there,
+/// not even later blocks of a body that the server has begun to receive.
 #[test]
 fn an_unconfirmed_server_gets_nothing() {
     let mut pair = alone();
-    let asked = sent(&ask_part(&mut pair, 1));
-    pair.answer(&asked, answer("next"));
+    let forwarded = sent(&send_block(&mut pair, 1));
+    pair.answer(&forwarded, answer("next"));
     for server in &pair.servers {
         server.disown();
     }
-    assert!(forwards(&ask_part(&mut pair, 2)).is_empty());
+    assert!(forwards(&send_block(&mut pair, 2)).is_empty());
     assert!(forwards(&pair.book(3)).is_empty());
 }
 
-fn ask_part(pair: &mut Pair, number: u64) -> Vec<Action> {
-    let mut part = lab::request(&lab::flow("dispatch", 1), number, Kind::Idempotent);
-    part.part = Part {
+fn send_block(pair: &mut Pair, number: u64) -> Vec<Action> {
+    let mut request = lab::request(&lab::flow("dispatch", 1), number, Kind::Idempotent);
+    request.part = Part {
         later: number > 0,
-        ..PART
-    };
-    let event = Event::Request {
-        request: part,
-        hops: 0,
+        ..LATER_BLOCK
     };
+    let event = Event::Request { request, hops: 0 };
     pair.home.handle(pair.now, event)
 }
 
-/// The parts of a batch sheet meet the same server, also while it is leaving.
+/// All blocks of one upload go to the same server, also while that server is
+/// draining.
 #[test]
 fn parts_meet_the_same_server() {
     let mut pair = alone();
     let mut first = None;
     for number in 0..20 {
-        let asked = sent(&ask_part(&mut pair, number));
+        let forwarded = sent(&send_block(&mut pair, number));
         let next = Answer {
             more: true,
             ..answer("next")
         };
-        pair.answer(&asked, next);
-        let server = first.get_or_insert_with(|| Arc::clone(&asked.0));
-        assert_eq!(server.id, asked.0.id);
+        pair.answer(&forwarded, next);
+        let server = first.get_or_insert_with(|| Arc::clone(&forwarded.0));
+        assert_eq!(server.id, forwarded.0.id);
         server.state().draining = true;
     }
 }
 
-/// A read was answered and forgotten, and a late copy of it is asked again. The
-/// first one's timers must not end the second before its time.
+/// A read was answered and its record removed, and a late duplicate of it is
+/// forwarded again. The timers of the first must not end the second before its own
+/// deadline.
 #[test]
 fn timers_of_an_answered_request_leave_its_copy_alone() {
     let mut pair = alone();
@@ -266,18 +272,18 @@
     assert_eq!(outcomes(&late), [Outcome::Unknown]);
 }
 
-/// The answer takes long: the caller is told that its request has arrived, before
-/// it repeats it, and the answer comes in a message of its own until it is
-/// confirmed.
+/// The answer takes long: the home acknowledges the request before the caller
+/// repeats it, and sends the answer in a separate message until the caller confirms
+/// it.
 #[test]
 fn a_slow_answer_is_announced_and_repeated_until_confirmed() {
     let mut pair = alone();
-    let asked = sent(&pair.book(1));
+    let forwarded = sent(&pair.book(1));
     let (actions, _) = pair.run(ms(1_100));
-    let acknowledged = |action: &Action| matches!(action, Action::Acknowledge { .. });
-    assert!(actions.iter().any(acknowledged));
-    let told = pair.answer(&asked, answer("done"));
-    let separate = told.iter().find_map(|action| match action {
+    let is_acknowledgement = |action: &Action| matches!(action, Action::Acknowledge { .. });
+    assert!(actions.iter().any(is_acknowledgement));
+    let answered = pair.answer(&forwarded, answer("done"));
+    let separate = answered.iter().find_map(|action| match action {
         Action::Answer {
             delivery: Delivery::Separate { message },
             ..
@@ -287,7 +293,7 @@
     assert_eq!(outcomes(&pair.run(ms(2_100)).0).len(), 1, "repeated");
     let event = Event::Receipt {
         flow: lab::flow("dispatch", 1),
-        message: separate.expect("a message of its own"),
+        message: separate.expect("a separate answer"),
         receipt: Receipt::Acknowledged,
         hops: 0,
         datagram: Bytes::new(),
@@ -296,8 +302,8 @@
     assert!(outcomes(&pair.run(secs(20)).0).is_empty(), "confirmed");
 }
 
-/// A caller floods its home: beyond its own limit its requests are not run, and
-/// other callers are served.
+/// A caller floods its home: requests beyond the limit per caller are not run, and
+/// other callers are still served.
 #[test]
 fn one_caller_does_not_take_all() {
     let mut pair = with(Profile {
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -1,4 +1,4 @@
-//! A feed that fell silent comes back by itself.
+//! A feed without notifications is registered again by its home.
 
 mod utils;
 
@@ -16,13 +16,14 @@
 
 const SILENCE: Duration = Duration::from_secs(2);
 
-/// Slack over the profile's silence, for a busy machine.
+/// Allowance on top of the profile's silence limit, for a loaded machine.
 const BOUND: Duration = Duration::from_secs(6);
 
-/// The caller's feed stalls although new requests work: something between the
-/// two ends has dropped the registrations without a word. After the profile's
-/// silence the home registers the feed again with the same server, and the
-/// notifications go on without the caller doing anything.
+/// A feed gets no more notifications although new requests succeed, because a
+/// device between the home and the server has dropped the registration state
+/// without notice. After the profile's silence limit the home registers the feed
+/// again with the same server, and the notifications continue without any action of
+/// the caller.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_silent_feed_comes_back_without_the_caller() {
     let cluster = Cluster::start(Plan {
@@ -34,7 +35,7 @@
     let driver = cluster.caller("dispatch", 1).await;
     let mut feed = driver.observe("/route", PATIENCE).await.expect("a feed");
     for round in 0..2 {
-        let forgot = Instant::now();
+        let dropped_at = Instant::now();
         for server in cluster.servers.values() {
             server.forget();
         }
@@ -42,12 +43,12 @@
             .request(RequestType::Get, "/sheet", b"", PATIENCE)
             .await;
         assert!(matches!(outcome, Outcome::Answered { .. }), "{outcome:?}");
-        // Notifications that were on their way when the server forgot come first.
+        // Notifications sent before the server dropped the registration arrive first.
         while let Update::Notification { .. } = feed.next(Duration::from_millis(600)).await {}
         let update = feed.next(PATIENCE).await;
-        let gap = forgot.elapsed();
+        let gap = dropped_at.elapsed();
         assert!(matches!(update, Update::Notification { .. }), "{update:?}");
-        println!("round {round}: alive again after {gap:?}");
+        println!("round {round}: notifications resumed after {gap:?}");
         assert!(gap < SILENCE + BOUND, "{gap:?}");
         let observers: usize = cluster.servers.values().map(|s| s.observers()).sum();
         assert_eq!(observers, 1);
@@ -58,9 +59,9 @@
     }
 }
 
-/// The caller's feed stalls because its server stands still, while its health is
-/// not asked yet. The home asks the server once, gets no answer within the time of
-/// an attempt, and registers the feed with another server.
+/// A feed's server is frozen, and its next health probe is not due yet. The home
+/// registers the feed again with that server once, gets no answer within the attempt
+/// timeout, and then registers the feed with another server.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_feed_of_a_frozen_server_moves_to_another() {
     let cluster = Cluster::start(Plan {
