--- a/src/action.rs
+++ b/src/action.rs
@@ -1,4 +1,4 @@
-//! What the decision core wants done.
+//! Actions that the decision core requests from its worker.
 
 use std::sync::Arc;
 
@@ -14,123 +14,124 @@
 use crate::request::Token;
 use crate::server::Server;
 
-/// How a final outcome travels to the caller.
+/// How a final outcome is sent to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// With the acknowledgement of the request, or as a plain reply.
+    /// Piggybacked on the acknowledgement of the request, or as a plain reply.
     Direct,
-    /// By a message of its own, since the request was acknowledged already.
+    /// In a separate message, because the request was already acknowledged.
     Separate {
-        /// Number of that message.
+        /// Message number of the separate answer.
         message: u16,
     },
 }
 
-/// One thing to do. Order within one event's actions matters.
+/// One action to carry out. The order of the actions of one event matters.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Send a request to a backend server.
     Forward {
-        /// The server.
+        /// Server that receives the request.
         server: Arc<Server>,
-        /// Marks the answers to this sending.
+        /// Identifies the answers to this attempt.
         attempt: id::Attempt,
-        /// The service, which the server is told so that another one refuses.
+        /// Service that is named in the request, so that a server of another
+        /// service refuses it.
         service: id::Service,
-        /// Time left for it.
+        /// Time left until the request's deadline.
         remaining: Duration,
         /// The caller's datagram.
         datagram: Bytes,
     },
-    /// Tell a backend server that an answer is not wanted any more.
+    /// Tell a backend server that an answer is no longer wanted.
     Reject {
-        /// The server's address.
+        /// Address of the server.
         to: id::Endpoint,
-        /// The sending whose answers are not wanted.
+        /// Attempt whose answers are not wanted.
         attempt: id::Attempt,
-        /// The unwanted datagram.
+        /// Datagram of the unwanted answer.
         datagram: Bytes,
     },
-    /// Give a caller the final outcome of its request.
+    /// Send the final outcome of a request to its caller.
     Answer {
         /// Caller and service.
         flow: Flow,
-        /// Which request.
+        /// Identity of the request.
         id: request::Id,
         /// The caller's token.
         token: Token,
         /// Whether the request was confirmable.
         confirmable: bool,
-        /// How it travels.
+        /// How the outcome is sent.
         delivery: Delivery,
-        /// Position in the feed that the answer opens.
+        /// Sequence number of the answer, if it opens a feed.
         sequence: Option<u32>,
-        /// The outcome.
+        /// Final outcome.
         outcome: Outcome,
     },
-    /// Tell a caller that its request has arrived and the answer will follow.
+    /// Acknowledge a request to its caller; the answer follows separately.
     Acknowledge {
         /// Caller and service.
         flow: Flow,
-        /// Which request.
+        /// Identity of the request.
         id: request::Id,
     },
-    /// Give a caller the next notification of its feed.
+    /// Send the next notification of a feed to its caller.
     Notify {
         /// Caller and service.
         flow: Flow,
         /// The caller's token.
         token: Token,
-        /// Number of the message.
+        /// Message number of the notification.
         message: u16,
-        /// Position in the feed; greater is newer.
+        /// Sequence number within the feed; a greater one is newer.
         sequence: u32,
-        /// Whether the caller must acknowledge it.
+        /// Whether the caller must acknowledge the notification.
         confirmable: bool,
-        /// The server's datagram; none ends the feed.
+        /// Datagram from the server; none ends the feed.
         datagram: Option<Bytes>,
     },
     /// Send a message to a peer.
     Peer {
-        /// The receiver; dropped if it is gone.
+        /// Receiver; the message is dropped if that incarnation is unknown.
         to: id::Holder,
         /// The message.
         body: peer::Body,
     },
-    /// The new backup of this slice has all records.
+    /// The new backup of this slice holds all its records.
     Joined {
         /// The slice.
         slice: id::Slice,
         /// The backup.
         backup: id::Holder,
     },
-    /// Something worth counting, logging and explaining.
+    /// Report an event for metrics, logs and `explain`.
     Note(Note),
 }
 
-/// An entry for metrics, logs and `explain`.
+/// An event that is counted, logged and shown by `explain`.
 #[derive(Clone, Debug)]
 pub struct Note {
-    /// What happened.
+    /// Kind of event.
     pub reason: Reason,
-    /// To whom.
+    /// Flow that the event concerns.
     pub flow: Option<Flow>,
-    /// To which request.
+    /// Request that the event concerns.
     pub request: Option<request::Id>,
-    /// In which slice.
+    /// Slice of the flow.
     pub slice: Option<id::Slice>,
-    /// Under which epoch of the slice.
+    /// Epoch of the slice at that time.
     pub epoch: Option<id::Epoch>,
-    /// Under which revision of the profile.
+    /// Revision of the service's profile at that time.
     pub revision: Option<id::Revision>,
-    /// By which server.
+    /// Server that was used.
     pub server: Option<id::Server>,
-    /// How long it took, where that is known.
+    /// Duration of the request, where it is known.
     pub elapsed: Option<Duration>,
 }
 
 impl Note {
-    /// A note of a reason alone.
+    /// An event with only a reason.
     pub fn new(reason: Reason) -> Self {
         Self {
             reason,
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -1,10 +1,10 @@
 //! The decision core of one worker.
 //!
-//! An [`Engine`] takes an event and the time and returns what to do. It has no
-//! socket, task, log or hidden randomness, so that every order of late, lost and
-//! doubled events can be written as a short test. It owns the slices whose number
-//! leaves its own number when divided by the count of workers; nothing of a slice
-//! is shared between workers but the servers' counts.
+//! An [`Engine`] takes an event and the time and returns the actions to carry out.
+//! It has no sockets, tasks, logs or hidden randomness, so that every order of
+//! late, lost and duplicated events can be written as a short test. It owns the
+//! slices whose number modulo the number of workers equals its own number; workers
+//! share nothing of a slice except the request and feed counts of the servers.
 
 mod clock;
 mod feed;
@@ -46,36 +46,37 @@
 use crate::snapshot::Snapshot;
 use crate::table::Table;
 
-/// Bits of an attempt's number that count; the worker's number stands above them.
+/// Bits of an attempt number that form its counter; the worker's number is stored
+/// in the bits above.
 pub const ATTEMPT_BITS: u32 = 56;
 
-/// Sockets toward the backend servers; an attempt's number picks one of them.
-/// Something between the two ends may lose track of one of them; a feed that fell
-/// silent is registered again from another.
+/// Number of sockets used toward the backend servers; an attempt's number selects
+/// one of them. A device on the network may lose its connection state for one of
+/// them; a feed without notifications is registered again from another.
 pub const PATHS: u64 = 4;
 
-/// What an engine is told once.
+/// Fixed settings of an engine.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This instance's life.
+    /// This instance and its incarnation.
     pub me: id::Holder,
     /// This instance's availability zone.
     pub zone: id::Zone,
     /// Number of this worker.
     pub worker: u8,
-    /// Count of workers.
+    /// Number of workers.
     pub workers: u8,
-    /// The fleet's key for the slice hash.
+    /// The fleet's key of the slice hash.
     pub hash_key: u64,
-    /// Requests that may wait for a home.
+    /// Limit of the requests that wait for a home.
     pub max_parked: usize,
-    /// Records and feeds that may be kept.
+    /// Limit of the records, and of the feeds, that are kept.
     pub max_flows: usize,
-    /// Seed of every random choice.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// One service's use of this worker.
+/// Resources that one service uses at this worker.
 #[derive(Debug, Default)]
 struct Usage {
     in_progress: u32,
@@ -89,109 +90,112 @@
     settings: Settings,
     snapshot: Arc<Snapshot>,
     table: Arc<Table>,
-    members: Arc<View>,
+    membership: Arc<View>,
     slices: HashMap<id::Slice, Slice>,
-    sendings: HashMap<id::Attempt, Sending>,
+    sent_attempts: HashMap<id::Attempt, Sending>,
     usage: HashMap<id::Service, Usage>,
-    receipts: Receipts,
-    park: Park,
+    unacknowledged_answers: Receipts,
+    parked_requests: Park,
     timers: BinaryHeap<Reverse<(Instant, Timer)>>,
-    /// Slices with replication steps that are not acknowledged.
+    /// Slices with replication steps that are not acknowledged yet.
     unacknowledged: BTreeSet<id::Slice>,
-    /// Feeds to register anew, in order.
-    moves: VecDeque<(id::Slice, FeedKey)>,
-    /// Slices whose registrations are dropped at a time, after another took over.
-    releases: VecDeque<(Instant, id::Slice)>,
-    /// Leaving servers whose feeds are being moved.
-    vacated: HashSet<id::Server>,
-    swept: Option<Instant>,
-    ticked: Option<Instant>,
-    /// After a long pause: until when waiting datagrams are being read.
+    /// Feeds that wait to be registered again, in order.
+    queued_renewals: VecDeque<(id::Slice, FeedKey)>,
+    /// Slices whose feed registrations are dropped at a given time, after another
+    /// instance took them over.
+    scheduled_releases: VecDeque<(Instant, id::Slice)>,
+    /// Leaving servers whose feeds were already queued for a move.
+    leaving_servers: HashSet<id::Server>,
+    last_sweep: Option<Instant>,
+    last_tick: Option<Instant>,
+    /// End of the period after a long pause in which datagrams that waited in
+    /// socket buffers may still arrive.
     catching_up_until: Option<Instant>,
-    rebalanced: Option<Instant>,
+    last_rebalance: Option<Instant>,
     records: usize,
     feeds: usize,
     next_attempt: u64,
     next_message: u16,
-    next_number: u64,
-    /// Whether new work is refused, since this instance ends soon.
-    closing: bool,
+    next_step_number: u64,
+    /// Whether new requests are refused because this instance stops soon.
+    is_stopping: bool,
     rng: SmallRng,
-    out: Vec<Action>,
+    actions: Vec<Action>,
 }
 
 impl Engine {
-    /// An engine that knows no configuration yet.
+    /// Creates an engine without any configuration.
     pub fn new(settings: Settings) -> Self {
         let mask = (1 << ATTEMPT_BITS) - 1;
-        // Answers to an earlier life of this instance must not match attempts of
-        // this one, so numbers start where the clock stood when it began.
+        // Answers to an earlier incarnation of this instance must not match
+        // attempts of this one, so the numbers start at the time of this
+        // incarnation's start.
         let start = settings.me.incarnation.0 << 8;
         Self {
             snapshot: Arc::default(),
             table: Arc::default(),
-            members: Arc::default(),
+            membership: Arc::default(),
             slices: HashMap::new(),
-            sendings: HashMap::new(),
+            sent_attempts: HashMap::new(),
             usage: HashMap::new(),
-            receipts: Receipts::new(),
-            park: Park::new(),
+            unacknowledged_answers: Receipts::new(),
+            parked_requests: Park::new(),
             timers: BinaryHeap::new(),
             unacknowledged: BTreeSet::new(),
-            moves: VecDeque::new(),
-            releases: VecDeque::new(),
-            vacated: HashSet::new(),
-            swept: None,
-            ticked: None,
+            queued_renewals: VecDeque::new(),
+            scheduled_releases: VecDeque::new(),
+            leaving_servers: HashSet::new(),
+            last_sweep: None,
+            last_tick: None,
             catching_up_until: None,
-            rebalanced: None,
+            last_rebalance: None,
             records: 0,
             feeds: 0,
             next_attempt: start & mask,
             next_message: settings.seed as u16,
-            next_number: start,
+            next_step_number: start,
             rng: SmallRng::seed_from_u64(settings.seed),
-            out: Vec::new(),
-            closing: false,
+            actions: Vec::new(),
+            is_stopping: false,
             settings,
         }
     }
 
-    /// Takes one event and returns what to do, in order.
+    /// Handles one event and returns the actions to carry out, in order.
     pub fn handle(&mut self, now: Instant, event: Event) -> Vec<Action> {
-        self.watch_pause(now);
+        self.detect_pause(now);
         match event {
-            Event::Request { request, hops } => self.request(now, request, hops),
+            Event::Request { request, hops } => self.handle_request(now, request, hops),
             Event::Released {
                 from,
                 request,
                 hops,
-            } => self.released(now, &from, request, hops),
+            } => self.handle_released_request(now, &from, request, hops),
             Event::Receipt {
                 flow,
                 message,
                 receipt,
                 hops,
                 datagram,
-            } => self.receipt(now, flow, message, receipt, hops, datagram),
+            } => self.handle_receipt(now, flow, message, receipt, hops, datagram),
             Event::Answer {
                 from,
                 attempt,
                 answer,
-            } => self.answer(now, from, attempt, answer),
-            Event::Peer { from, body } => self.peer(now, from, body),
+            } => self.handle_answer(now, from, attempt, answer),
+            Event::Peer { from, body } => self.handle_peer_message(now, from, body),
             Event::Snapshot(snapshot) => self.snapshot = snapshot,
-            Event::Table(table) => self.take_table(now, table),
-            Event::Members(members) => self.take_members(now, members),
-            Event::Join { slices, backup } => self.join(now, &slices, &backup),
-            Event::Abandon(slices) => self.abandon(now, &slices),
-            Event::Closing => self.closing = true,
+            Event::Table(table) => self.update_table(now, table),
+            Event::Members(members) => self.update_membership(now, members),
+            Event::Join { slices, backup } => self.start_backup_copies(now, &slices, &backup),
+            Event::Abandon(slices) => self.cancel_backup_copies(now, &slices),
+            Event::Closing => self.is_stopping = true,
             Event::Tick => self.tick(now),
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
-    /// Requests that this worker still works on.
+    /// Number of requests that this worker is working on.
     pub fn in_progress(&self) -> usize {
         self.usage
             .values()
@@ -199,24 +203,26 @@
             .sum()
     }
 
-    /// Feeds that this worker keeps, copies for other homes included.
+    /// Number of feeds that this worker holds, including copies kept for other
+    /// homes.
     pub fn feeds(&self) -> usize {
         self.feeds
     }
 
-    /// Records that this worker keeps, copies for other homes included.
+    /// Number of records that this worker holds, including copies kept for other
+    /// homes.
     pub fn records(&self) -> usize {
         self.records
     }
 
-    /// Timers that have not fired.
+    /// Number of timers that have not fired.
     pub fn timers(&self) -> usize {
         self.timers.len()
     }
 
-    /// Requests that wait for a home.
+    /// Number of requests that wait for a home.
     pub fn parked(&self) -> usize {
-        self.park.len()
+        self.parked_requests.len()
     }
 
     /// Whether a slice belongs to this worker.
@@ -237,12 +243,12 @@
     }
 
     fn note(&mut self, reason: Reason) {
-        self.out.push(Action::Note(Note::new(reason)));
+        self.actions.push(Action::Note(Note::new(reason)));
     }
 
     fn note_flow(&mut self, reason: Reason, slice: id::Slice, flow: &Flow) {
         let note = self.flow_note(reason, slice, flow);
-        self.out.push(Action::Note(note));
+        self.actions.push(Action::Note(note));
     }
 
     fn note_request(&mut self, reason: Reason, slice: id::Slice, key: &Key) {
@@ -250,7 +256,7 @@
             request: Some(key.id),
             ..self.flow_note(reason, slice, &key.flow)
         };
-        self.out.push(Action::Note(note));
+        self.actions.push(Action::Note(note));
     }
 
     fn flow_note(&self, reason: Reason, slice: id::Slice, flow: &Flow) -> Note {
--- a/src/engine/clock.rs
+++ b/src/engine/clock.rs
@@ -1,4 +1,4 @@
-//! What happens because time has passed.
+//! Timers and periodic work.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -15,46 +15,49 @@
 use crate::request::Key;
 use crate::request::Outcome;
 
-/// Time without a tick that is taken for a pause of the process. With the longest
-/// wait for a home it must fit into the margin for which records are kept.
+/// Time without a tick that counts as a pause of the process. Together with the
+/// longest wait for a home, it must fit into the margin that records are kept
+/// beyond the copy lifetime.
 const LONG_PAUSE: Duration = Duration::from_secs(10);
 
-/// Time after a pause in which waiting datagrams are still being read.
-const CATCH_UP: Duration = Duration::from_millis(500);
+/// Period after a pause in which datagrams from before it may still be read from
+/// the socket buffers.
+const CATCH_UP_PERIOD: Duration = Duration::from_millis(500);
 
-/// Time between searches for leaving servers and for bodies that were given up.
-const SWEEP_EVERY: Duration = Duration::from_millis(500);
+/// Interval at which leaving servers and abandoned block-wise transfers are looked
+/// for.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Engine {
-    /// Notices that this process did not run for a while.
-    pub(super) fn watch_pause(&mut self, now: Instant) {
-        if self.ticked.is_some_and(|ticked| now >= ticked + LONG_PAUSE) {
-            self.ticked = Some(now);
-            self.catching_up_until = Some(now + CATCH_UP);
+    /// Detects that this process did not run for a while.
+    pub(super) fn detect_pause(&mut self, now: Instant) {
+        if self.last_tick.is_some_and(|tick| now >= tick + LONG_PAUSE) {
+            self.last_tick = Some(now);
+            self.catching_up_until = Some(now + CATCH_UP_PERIOD);
         }
     }
 
-    /// Whether what arrives now may have waited through a long pause.
+    /// Whether a datagram handled now may have waited through a long pause.
     pub(super) fn is_catching_up(&self, now: Instant) -> bool {
         self.catching_up_until.is_some_and(|until| now < until)
     }
 
     pub(super) fn tick(&mut self, now: Instant) {
-        self.ticked = Some(now);
-        self.fire(now);
+        self.last_tick = Some(now);
+        self.fire_timers(now);
         self.expire_parked(now);
-        self.pump(now);
+        self.send_due_steps(now);
         self.release_feeds(now);
-        if self.swept.is_none_or(|swept| now >= swept + SWEEP_EVERY) {
-            self.swept = Some(now);
-            self.vacate(now);
+        if self.last_sweep.is_none_or(|sweep| now >= sweep + SWEEP_INTERVAL) {
+            self.last_sweep = Some(now);
+            self.move_feeds_off_leaving_servers(now);
             self.expire_pins(now);
         }
         self.rebalance(now);
-        self.move_feeds(now);
+        self.start_queued_renewals(now);
     }
 
-    fn fire(&mut self, now: Instant) {
+    fn fire_timers(&mut self, now: Instant) {
         while self
             .timers
             .peek()
@@ -64,46 +67,46 @@
                 return;
             };
             match timer {
-                Timer::Acknowledge(slice, key) => self.acknowledge(now, slice, &key),
+                Timer::Acknowledge(slice, key) => self.acknowledge_receipt(now, slice, &key),
                 Timer::Attempt(slice, key, attempt) => self.retry(now, slice, &key, attempt),
-                Timer::Deadline(slice, key) => self.give_up(now, slice, &key),
-                Timer::Resend(slice, key) => self.resend(now, slice, &key),
-                Timer::Forget(slice, key) => self.expire(now, slice, &key),
-                Timer::Feed(slice, key) => self.tend_feed(now, slice, &key),
+                Timer::Deadline(slice, key) => self.expire_deadline(now, slice, &key),
+                Timer::Resend(slice, key) => self.resend_answer(now, slice, &key),
+                Timer::Forget(slice, key) => self.expire_record(now, slice, &key),
+                Timer::Feed(slice, key) => self.check_feed(now, slice, &key),
                 Timer::Return(slice) => {
-                    if !self.tends(slice) {
-                        self.offer_feeds(slice);
+                    if !self.serves_feeds(slice) {
+                        self.send_feed_transfers(slice);
                     }
                 }
             }
         }
     }
 
-    /// Tells the caller that its request is here, so that it stops repeating it.
-    fn acknowledge(&mut self, now: Instant, slice: id::Slice, key: &Key) {
+    /// Acknowledges the request to the caller, so that it stops repeating it.
+    fn acknowledge_receipt(&mut self, now: Instant, slice: id::Slice, key: &Key) {
         self.next_message = self.next_message.wrapping_add(1);
         let message = self.next_message;
         let Some(record) = self.record(slice, key) else {
             return;
         };
-        let early = now < record.born + ACKNOWLEDGE_AFTER;
-        if early || !record.is_open() || record.separate.is_some() {
+        let is_early = now < record.born + ACKNOWLEDGE_AFTER;
+        if is_early || !record.is_open() || record.separate.is_some() {
             return;
         }
         record.separate = Some(message);
-        self.out.push(Action::Acknowledge {
+        self.actions.push(Action::Acknowledge {
             flow: key.flow.clone(),
             id: key.id,
         });
     }
 
-    fn give_up(&mut self, now: Instant, slice: id::Slice, key: &Key) {
+    fn expire_deadline(&mut self, now: Instant, slice: id::Slice, key: &Key) {
         let deadline = self.deadline(&key.flow.service);
         let Some(record) = self.record(slice, key) else {
             return;
         };
         if record.phase == Phase::Claimed {
-            self.end_waiting(now, slice, key);
+            self.expire_claimed(now, slice, key);
             return;
         }
         if !record.is_open() {
@@ -111,25 +114,25 @@
         }
         let due = record.born + deadline;
         if now < due {
-            // The timer is that of an earlier request under the same key, which was
-            // answered and forgotten: its copy has its own time. Or the profile
-            // allows more time by now.
+            // The timer belongs to an earlier request with the same key, which was
+            // answered and whose record was removed: the duplicate has its own
+            // deadline. Or the profile's deadline was extended since.
             self.schedule(due, Timer::Deadline(slice, key.clone()));
             return;
         }
-        let servers = record.attempts.clone();
-        for attempt in servers {
-            let sending = self.sendings.get(&attempt);
+        let attempts = record.attempts.clone();
+        for attempt in attempts {
+            let sending = self.sent_attempts.get(&attempt);
             if let Some(server) = sending.map(|sending| sending.server.clone()) {
-                self.blame(now, &server);
+                self.record_server_failure(now, &server);
             }
         }
         self.settle(now, slice, key, Outcome::Unknown, Reason::UnknownDeadline);
     }
 
-    /// The home that claimed a request has no time left to answer it: whoever has sent
-    /// a copy here is told.
-    fn end_waiting(&mut self, now: Instant, slice: id::Slice, key: &Key) {
+    /// Handles the deadline of a request that another home claimed: if a duplicate
+    /// of it came here, its sender gets an answer.
+    fn expire_claimed(&mut self, now: Instant, slice: id::Slice, key: &Key) {
         let is_home = self.table.row(slice).is_home(&self.settings.me);
         let deadline = self.deadline(&key.flow.service);
         let Some(record) = self.record(slice, key) else {
@@ -137,7 +140,7 @@
         };
         let due = record.born + deadline;
         if now < due {
-            // The profile allows more time by now.
+            // The profile's deadline was extended since.
             self.schedule(due, Timer::Deadline(slice, key.clone()));
             return;
         }
@@ -150,17 +153,18 @@
         self.answer_directly(key.clone(), token, confirmable, outcome, reason);
     }
 
-    /// Forgets a finished request that no copy can follow any more.
-    fn expire(&mut self, now: Instant, slice: id::Slice, key: &Key) {
+    /// Removes the record of a finished request once no duplicate can arrive any
+    /// more.
+    fn expire_record(&mut self, now: Instant, slice: id::Slice, key: &Key) {
         let Some(record) = self.record(slice, key) else {
             return;
         };
-        let finished = record.is_settled() || record.phase == Phase::Claimed;
+        let is_finished = record.is_settled() || record.phase == Phase::Claimed;
         let born = record.born;
-        if finished && now >= born + self.keep_time(&key.flow.service) {
-            self.forget(slice, key);
+        if is_finished && now >= born + self.record_lifetime(&key.flow.service) {
+            self.remove_record(slice, key);
         } else {
-            self.schedule_forget(now, slice, key);
+            self.schedule_record_expiry(now, slice, key);
         }
     }
 }
--- a/src/engine/feed.rs
+++ b/src/engine/feed.rs
@@ -98,7 +98,7 @@
 
     /// Whether this instance looks after the feeds of a slice: it is home, or the
     /// home cannot be heard and it is the backup or took the feed in itself.
-    pub(super) fn tends(&self, slice: id::Slice) -> bool {
+    pub(super) fn serves_feeds(&self, slice: id::Slice) -> bool {
         let row = self.table.row(slice);
         let me = &self.settings.me;
         if row.is_home(me) {
@@ -107,7 +107,7 @@
         let live = |holder: &Option<id::Holder>| {
             holder
                 .as_ref()
-                .is_some_and(|holder| self.members.is_live(holder))
+                .is_some_and(|holder| self.membership.is_live(holder))
         };
         if live(&row.home) {
             return false;
@@ -116,7 +116,7 @@
     }
 
     /// Keeps a feed that a server has just accepted; returns its first sequence.
-    pub(super) fn establish(
+    pub(super) fn insert_opened_feed(
         &mut self,
         now: Instant,
         slice: id::Slice,
@@ -143,14 +143,14 @@
             stamp: 0,
         };
         self.insert_feed(slice, key.clone(), feed);
-        self.watch_feed(now, slice, &key);
+        self.schedule_silence_check(now, slice, &key);
         self.replicate_feed(now, slice, &key);
         self.note_flow(Reason::FeedOpened, slice, &key.flow);
-        if !self.tends(slice) {
+        if !self.serves_feeds(slice) {
             // The slice moved, or its home was heard again, while the server had
             // the request. Nobody would look after the feed here: receipts go to
             // the home, and without them it would end in silence.
-            self.return_feeds(now, slice);
+            self.hand_back_feeds(now, slice);
         }
         sequence
     }
@@ -164,7 +164,7 @@
         server: &Arc<Server>,
     ) {
         server.state().feeds += 1;
-        self.sendings.insert(
+        self.sent_attempts.insert(
             attempt,
             Sending {
                 slice,
@@ -202,12 +202,12 @@
     }
 
     /// Sets the feed's next look for when it has been silent too long.
-    fn watch_feed(&mut self, now: Instant, slice: id::Slice, key: &FeedKey) {
-        let silence = self.silence(&key.flow.service);
-        self.look_at(now + silence, slice, key);
+    fn schedule_silence_check(&mut self, now: Instant, slice: id::Slice, key: &FeedKey) {
+        let silence = self.feed_silence_limit(&key.flow.service);
+        self.schedule_feed_check(now + silence, slice, key);
     }
 
-    fn look_at(&mut self, at: Instant, slice: id::Slice, key: &FeedKey) {
+    fn schedule_feed_check(&mut self, at: Instant, slice: id::Slice, key: &FeedKey) {
         let Some(feed) = self.feed(slice, key) else {
             return;
         };
@@ -215,7 +215,7 @@
         self.schedule(at, Timer::Feed(slice, key.clone()));
     }
 
-    fn silence(&self, service: &id::Service) -> Duration {
+    fn feed_silence_limit(&self, service: &id::Service) -> Duration {
         self.service(service)
             .map_or(RETRY_WAIT, |service| service.profile.feed_silence())
     }
@@ -264,7 +264,7 @@
             self.end_feed(now, slice, key, Reason::FeedAbandoned);
             return;
         }
-        self.out.push(Action::Notify {
+        self.actions.push(Action::Notify {
             flow: key.flow.clone(),
             token: key.token,
             message: message_number(key.token, sequence),
@@ -278,7 +278,7 @@
     }
 
     /// A receipt for a notification; tells whether it was one.
-    pub(super) fn feed_receipt(
+    pub(super) fn apply_feed_receipt(
         &mut self,
         now: Instant,
         slice: id::Slice,
@@ -312,7 +312,7 @@
         true
     }
 
-    pub(super) fn feed_answer(
+    pub(super) fn handle_feed_answer(
         &mut self,
         now: Instant,
         slice: id::Slice,
@@ -327,14 +327,14 @@
         let renewing = feed.renewal.as_ref().map(|renewal| renewal.attempt) == Some(attempt);
         let open = answer.feed && answer.verdict == Verdict::Handled;
         match (renewing, open) {
-            (true, true) => self.renewed(now, slice, key, answer.datagram),
-            (true, false) => self.renewal_failed(now, slice, key),
+            (true, true) => self.finish_renewal(now, slice, key, answer.datagram),
+            (true, false) => self.fail_renewal(now, slice, key),
             (false, true) => self.notify(now, slice, key, answer.datagram),
-            (false, false) => self.feed_dropped(now, slice, key, answer),
+            (false, false) => self.handle_registration_end(now, slice, key, answer),
         }
     }
 
-    fn renewed(&mut self, now: Instant, slice: id::Slice, key: &FeedKey, datagram: Bytes) {
+    fn finish_renewal(&mut self, now: Instant, slice: id::Slice, key: &FeedKey, datagram: Bytes) {
         let Some(feed) = self.feed(slice, key) else {
             return;
         };
@@ -357,10 +357,10 @@
         if moved {
             self.replicate_feed(now, slice, key);
         }
-        self.watch_feed(now, slice, key);
+        self.schedule_silence_check(now, slice, key);
     }
 
-    fn renewal_failed(&mut self, now: Instant, slice: id::Slice, key: &FeedKey) {
+    fn fail_renewal(&mut self, now: Instant, slice: id::Slice, key: &FeedKey) {
         let Some(feed) = self.feed(slice, key) else {
             return;
         };
@@ -369,12 +369,12 @@
         };
         feed.failed.push(renewal.server);
         self.drop_sending(renewal.attempt);
-        self.renew(now, slice, key);
+        self.start_renewal(now, slice, key);
     }
 
     /// The server ended the registration. If it only refuses to go on, another
     /// server takes the feed and the caller need not know.
-    fn feed_dropped(&mut self, now: Instant, slice: id::Slice, key: &FeedKey, answer: Answer) {
+    fn handle_registration_end(&mut self, now: Instant, slice: id::Slice, key: &FeedKey, answer: Answer) {
         let Some(feed) = self.feed(slice, key) else {
             return;
         };
@@ -387,15 +387,15 @@
                 self.drop_sending(attempt);
             }
             if !renewing {
-                self.renew(now, slice, key);
+                self.start_renewal(now, slice, key);
             }
             return;
         }
-        self.finish_feed(now, slice, key, Some(answer.datagram), Reason::FeedEnded);
+        self.end_feed_with_notice(now, slice, key, Some(answer.datagram), Reason::FeedEnded);
     }
 
     /// Tells the caller that the feed is over and forgets it.
-    fn finish_feed(
+    fn end_feed_with_notice(
         &mut self,
         now: Instant,
         slice: id::Slice,
@@ -407,7 +407,7 @@
             return;
         };
         let sequence = (feed.sequence + 1) & SEQUENCE_MASK;
-        self.out.push(Action::Notify {
+        self.actions.push(Action::Notify {
             flow: key.flow.clone(),
             token: key.token,
             message: message_number(key.token, sequence),
@@ -419,7 +419,7 @@
     }
 
     /// Registers the feed anew: at its own server if that is well, else elsewhere.
-    pub(super) fn renew(&mut self, now: Instant, slice: id::Slice, key: &FeedKey) {
+    pub(super) fn start_renewal(&mut self, now: Instant, slice: id::Slice, key: &FeedKey) {
         let Some(service) = self.service(&key.flow.service) else {
             return;
         };
@@ -429,8 +429,8 @@
         let datagram = Bytes::copy_from_slice(&feed.datagram);
         let failed = feed.failed.clone();
         let own = feed.server.clone();
-        let Some(server) = self.feed_server(now, &service, &key.flow, &own, &failed) else {
-            self.unplaced(now, slice, key, &service);
+        let Some(server) = self.choose_feed_server(now, &service, &key.flow, &own, &failed) else {
+            self.retry_or_end_feed(now, slice, key, &service);
             return;
         };
         let attempt = self.new_attempt();
@@ -443,8 +443,8 @@
             }));
         }
         let timeout = service.profile.attempt_timeout();
-        self.look_at(now + timeout, slice, key);
-        self.out.push(Action::Forward {
+        self.schedule_feed_check(now + timeout, slice, key);
+        self.actions.push(Action::Forward {
             server,
             attempt,
             service: service.id.clone(),
@@ -453,7 +453,7 @@
         });
     }
 
-    fn feed_server(
+    fn choose_feed_server(
         &mut self,
         now: Instant,
         service: &Service,
@@ -473,29 +473,29 @@
 
     /// No server takes the feed now: wait, and in the end tell the caller, who
     /// would otherwise wait for ever.
-    fn unplaced(&mut self, now: Instant, slice: id::Slice, key: &FeedKey, service: &Service) {
+    fn retry_or_end_feed(&mut self, now: Instant, slice: id::Slice, key: &FeedKey, service: &Service) {
         let Some(feed) = self.feed(slice, key) else {
             return;
         };
         feed.failed.clear();
         let patience = service.profile.feed_silence() * LOST_AFTER_SILENCES;
         if now >= feed.heard + patience {
-            self.finish_feed(now, slice, key, None, Reason::FeedLost);
+            self.end_feed_with_notice(now, slice, key, None, Reason::FeedLost);
             return;
         }
-        self.look_at(now + RETRY_WAIT, slice, key);
+        self.schedule_feed_check(now + RETRY_WAIT, slice, key);
     }
 
     /// Looks after a feed whose time has come.
-    pub(super) fn tend_feed(&mut self, now: Instant, slice: id::Slice, key: &FeedKey) {
-        let silence = self.silence(&key.flow.service);
-        let tends = self.tends(slice);
+    pub(super) fn check_feed(&mut self, now: Instant, slice: id::Slice, key: &FeedKey) {
+        let silence = self.feed_silence_limit(&key.flow.service);
+        let tends = self.serves_feeds(slice);
         let service = self.service(&key.flow.service);
         let (true, Some(service)) = (tends, service) else {
             // Another looks after it, or nobody can for now. If that changes back,
             // its silence must be noticed again.
             if self.feed(slice, key).is_some_and(|feed| feed.due <= now) {
-                self.look_at(now + silence, slice, key);
+                self.schedule_feed_check(now + silence, slice, key);
             }
             return;
         };
@@ -509,19 +509,19 @@
         if let Some(renewal) = &feed.renewal {
             if now < renewal.since + timeout {
                 let at = renewal.since + timeout;
-                self.look_at(at, slice, key);
+                self.schedule_feed_check(at, slice, key);
                 return;
             }
             let server = service.server(&renewal.server).map(Arc::clone);
             if let Some(server) = server {
-                self.blame(now, &server);
+                self.record_server_failure(now, &server);
             }
-            self.renewal_failed(now, slice, key);
+            self.fail_renewal(now, slice, key);
         } else if feed.attempt.is_none() || now >= feed.heard + silence {
-            self.renew(now, slice, key);
+            self.start_renewal(now, slice, key);
         } else {
             let at = feed.heard + silence;
-            self.look_at(at, slice, key);
+            self.schedule_feed_check(at, slice, key);
         }
     }
 }
--- a/src/engine/handover.rs
+++ b/src/engine/handover.rs
@@ -31,25 +31,25 @@
 
 impl Engine {
     /// Starts looking after the feeds of a slice that another instance had.
-    pub(super) fn activate_feeds(&mut self, slice: id::Slice) {
+    pub(super) fn queue_copied_feeds(&mut self, slice: id::Slice) {
         let Some(state) = self.slices.get_mut(&slice) else {
             return;
         };
         for (key, feed) in &mut state.feeds {
             if feed.attempt.is_none() && feed.renewal.is_none() {
                 feed.sequence = (feed.sequence + SEQUENCE_LEAP) & SEQUENCE_MASK;
-                self.moves.push_back((slice, key.clone()));
+                self.queued_renewals.push_back((slice, key.clone()));
             }
         }
     }
 
     /// Registers the next few feeds that wait to be moved.
-    pub(super) fn move_feeds(&mut self, now: Instant) {
+    pub(super) fn start_queued_renewals(&mut self, now: Instant) {
         for _ in 0..MOVES_PER_TICK {
-            let Some((slice, key)) = self.moves.pop_front() else {
+            let Some((slice, key)) = self.queued_renewals.pop_front() else {
                 return;
             };
-            if !self.tends(slice) {
+            if !self.serves_feeds(slice) {
                 continue;
             }
             let Some(feed) = self.feed(slice, &key) else {
@@ -63,21 +63,21 @@
                 feed.heard = now;
                 feed.confirmed = now;
             }
-            self.renew(now, slice, &key);
+            self.start_renewal(now, slice, &key);
         }
     }
 
     /// Finds feeds whose server has begun to leave or is gone: left alone, these
     /// would stand still until the profile's limit of silence.
-    pub(super) fn vacate(&mut self, now: Instant) {
+    pub(super) fn move_feeds_off_leaving_servers(&mut self, now: Instant) {
         let mut leaving = Vec::new();
         for service in self.snapshot.services.values() {
             for server in &service.servers {
                 let leaves = server.state().is_leaving();
                 let away = leaves || balance::is_gone(service, server, now);
                 if !away {
-                    self.vacated.remove(&server.id);
-                } else if self.vacated.insert(server.id.clone()) {
+                    self.leaving_servers.remove(&server.id);
+                } else if self.leaving_servers.insert(server.id.clone()) {
                     leaving.push(server.id.clone());
                 }
             }
@@ -95,12 +95,12 @@
         }
         // A hash map's order is random: the same events must give the same moves.
         moved.sort();
-        self.moves.extend(moved);
+        self.queued_renewals.extend(moved);
     }
 
     /// Hands feeds that were taken in for an unreachable home to that home, again
     /// and again until they are released here: a lost message would end them.
-    pub(super) fn return_feeds(&mut self, now: Instant, slice: id::Slice) {
+    pub(super) fn hand_back_feeds(&mut self, now: Instant, slice: id::Slice) {
         // A registration under way counts: answered later, it would go on here
         // beside the home's own.
         let ours = |feed: &Feed| feed.attempt.is_some() || feed.renewal.is_some();
@@ -108,16 +108,16 @@
         if !state.is_some_and(|state| state.feeds.values().any(ours)) {
             return;
         }
-        self.offer_feeds(slice);
+        self.send_feed_transfers(slice);
         for round in 1..RELEASE_AFTER.as_millis() / RETURN_EVERY.as_millis() {
             let at = now + RETURN_EVERY * round as u32;
             self.schedule(at, Timer::Return(slice));
         }
-        self.releases.push_back((now + RELEASE_AFTER, slice));
+        self.scheduled_releases.push_back((now + RELEASE_AFTER, slice));
     }
 
     /// Offers feeds to the slice's home.
-    pub(super) fn offer_feeds(&mut self, slice: id::Slice) {
+    pub(super) fn send_feed_transfers(&mut self, slice: id::Slice) {
         let row = self.table.row(slice);
         let Some(home) = row.home.clone().filter(|home| *home != self.settings.me) else {
             return;
@@ -135,16 +135,16 @@
                 }),
             })
             .collect();
-        self.out.extend(offers);
+        self.actions.extend(offers);
     }
 
     /// Drops the registrations of slices that another instance looks after by now.
     pub(super) fn release_feeds(&mut self, now: Instant) {
-        while self.releases.front().is_some_and(|(at, _)| *at <= now) {
-            let Some((_, slice)) = self.releases.pop_front() else {
+        while self.scheduled_releases.front().is_some_and(|(at, _)| *at <= now) {
+            let Some((_, slice)) = self.scheduled_releases.pop_front() else {
                 return;
             };
-            if self.tends(slice) {
+            if self.serves_feeds(slice) {
                 continue;
             }
             let keep = self.table.row(slice).is_backup(&self.settings.me);
@@ -174,7 +174,7 @@
     }
 
     /// Takes in a feed that another instance served meanwhile.
-    pub(super) fn adopt(&mut self, now: Instant, slice: id::Slice, key: FeedKey, feed: Feed) {
+    pub(super) fn adopt_feed(&mut self, now: Instant, slice: id::Slice, key: FeedKey, feed: Feed) {
         if !self.table.row(slice).is_home(&self.settings.me) {
             return;
         }
@@ -189,7 +189,7 @@
             let idle = known.attempt.is_none() && known.renewal.is_none();
             self.replicate_feed(now, slice, &key);
             if idle {
-                self.moves.push_back((slice, key));
+                self.queued_renewals.push_back((slice, key));
             }
             return;
         }
@@ -201,6 +201,6 @@
         };
         self.insert_feed(slice, key.clone(), feed);
         self.replicate_feed(now, slice, &key);
-        self.moves.push_back((slice, key));
+        self.queued_renewals.push_back((slice, key));
     }
 }
--- a/src/engine/inbound.rs
+++ b/src/engine/inbound.rs
@@ -47,11 +47,11 @@
 }
 
 impl Engine {
-    pub(super) fn request(&mut self, now: Instant, request: Request, hops: u32) {
+    pub(super) fn handle_request(&mut self, now: Instant, request: Request, hops: u32) {
         // It may have waited in a buffer for longer than records are kept, so
         // that its home would take it for a new one and run it again.
         if request.kind.runs_once() && self.is_catching_up(now) {
-            self.turn_away(&request, Outcome::Unknown, Reason::UnknownDeadline);
+            self.answer_unrecorded(&request, Outcome::Unknown, Reason::UnknownDeadline);
             return;
         }
         let arrival = Arrival {
@@ -59,11 +59,11 @@
             hops,
             since: now,
         };
-        self.settle_route(now, arrival);
+        self.route_request(now, arrival);
     }
 
     /// Brings a request to whoever decides for it now.
-    pub(super) fn settle_route(&mut self, now: Instant, mut arrival: Arrival) {
+    pub(super) fn route_request(&mut self, now: Instant, mut arrival: Arrival) {
         if self.table.is_empty() {
             // Just started; the caller repeats it.
             self.note(Reason::ParkFull);
@@ -80,17 +80,17 @@
         flow.service = service.id.clone();
         let slice = self.slice_of(&arrival.request.flow);
         match self.route(slice, arrival.request.kind) {
-            Route::Here => self.serve(now, slice, &service, arrival),
+            Route::Here => self.admit_or_replay(now, slice, &service, arrival),
             // Two tables that are late name each other for a moment. A request
             // that nothing repeats waits here for the next table.
             Route::To(_) if arrival.hops >= MAX_HOPS && arrival.request.kind.runs_once() => {
-                self.wait(arrival);
+                self.park_request(arrival);
             }
             Route::To(holder) => {
                 let Arrival { request, hops, .. } = arrival;
                 self.relay(&holder, &request.flow, request.datagram, hops);
             }
-            Route::Wait => self.wait(arrival),
+            Route::Wait => self.park_request(arrival),
         }
     }
 
@@ -102,7 +102,7 @@
         if row.is_home(me) {
             return Route::Here;
         }
-        let live = |holder: &&id::Holder| self.members.is_live(holder);
+        let live = |holder: &&id::Holder| self.membership.is_live(holder);
         if let Some(home) = row.home.as_ref().filter(live) {
             return Route::To(home.clone());
         }
@@ -129,7 +129,7 @@
             hops: hops + 1,
             released: false,
         });
-        self.out.push(Action::Peer {
+        self.actions.push(Action::Peer {
             to: to.clone(),
             body,
         });
@@ -142,7 +142,7 @@
     /// Without the release the caller would get "unknown" for a request that nobody
     /// forwarded. Release and request travel in one message: apart, the request
     /// could come first and be taken for a copy of what the other still works on.
-    pub(super) fn released(
+    pub(super) fn handle_released_request(
         &mut self,
         now: Instant,
         from: &id::Holder,
@@ -157,48 +157,48 @@
             record.phase == Phase::Claimed && record.claimer.as_ref() == Some(from)
         };
         if self.record(slice, &key).is_some_and(|record| own(record)) {
-            self.forget(slice, &key);
+            self.remove_record(slice, &key);
         }
         if self.table.row(slice).is_home(from) {
             // The table here is late and would send it back.
-            self.wait(Arrival {
+            self.park_request(Arrival {
                 request,
                 hops,
                 since: now,
             });
         } else {
-            self.request(now, request, hops);
+            self.handle_request(now, request, hops);
         }
     }
 
-    fn wait(&mut self, arrival: Arrival) {
+    fn park_request(&mut self, arrival: Arrival) {
         let request = &arrival.request;
         let same = |parked: &Arrival| {
             parked.request.id == request.id && parked.request.flow == request.flow
         };
-        if self.park.iter().any(same) {
+        if self.parked_requests.iter().any(same) {
             return;
         }
-        if self.park.len() >= self.settings.max_parked {
+        if self.parked_requests.len() >= self.settings.max_parked {
             self.note(Reason::ParkFull);
             return;
         }
         self.note(Reason::Parked);
-        self.park.push_back(arrival);
+        self.parked_requests.push_back(arrival);
     }
 
     /// Tries the waiting requests again after the table or the view has changed.
-    pub(super) fn unpark(&mut self, now: Instant) {
+    pub(super) fn retry_parked(&mut self, now: Instant) {
         // After a pause of this process their time may be over already: the
         // caller would have its booking run long after it gave up.
         self.expire_parked(now);
-        for parked in std::mem::take(&mut self.park) {
+        for parked in std::mem::take(&mut self.parked_requests) {
             let slice = self.slice_of(&parked.request.flow);
             match self.route(slice, parked.request.kind) {
-                Route::Wait => self.park.push_back(parked),
+                Route::Wait => self.parked_requests.push_back(parked),
                 _ => {
                     let hops = parked.hops.min(MAX_HOPS - 1);
-                    self.settle_route(now, Arrival { hops, ..parked });
+                    self.route_request(now, Arrival { hops, ..parked });
                 }
             }
         }
@@ -207,22 +207,22 @@
     /// Gives up on requests that have waited long enough.
     pub(super) fn expire_parked(&mut self, now: Instant) {
         let over = |parked: &Arrival| now >= parked.since + PARK_TIME;
-        if !self.park.iter().any(over) {
+        if !self.parked_requests.iter().any(over) {
             return;
         }
-        let parked = std::mem::take(&mut self.park);
+        let parked = std::mem::take(&mut self.parked_requests);
         let (late, waiting) = parked.into_iter().partition(over);
-        self.park = waiting;
+        self.parked_requests = waiting;
         let late: Park = late;
         for parked in late {
             // Another copy may have reached the home before it fell silent, so
             // "not run" would be a guess.
-            self.turn_away(&parked.request, Outcome::Unknown, Reason::UnknownNoHome);
+            self.answer_unrecorded(&parked.request, Outcome::Unknown, Reason::UnknownNoHome);
         }
     }
 
     /// Answers without keeping a record.
-    fn turn_away(&mut self, request: &Request, outcome: Outcome, reason: Reason) {
+    fn answer_unrecorded(&mut self, request: &Request, outcome: Outcome, reason: Reason) {
         let (token, confirmable) = (request.token, request.confirmable);
         self.answer_directly(request.key(), token, confirmable, outcome, reason);
     }
@@ -238,7 +238,7 @@
     ) {
         let slice = self.slice_of(&key.flow);
         self.note_request(reason, slice, &key);
-        self.out.push(Action::Answer {
+        self.actions.push(Action::Answer {
             flow: key.flow,
             id: key.id,
             token,
@@ -249,20 +249,20 @@
         });
     }
 
-    fn serve(&mut self, now: Instant, slice: id::Slice, service: &Service, arrival: Arrival) {
+    fn admit_or_replay(&mut self, now: Instant, slice: id::Slice, service: &Service, arrival: Arrival) {
         let key = arrival.request.key();
         let state = self.slices.entry(slice).or_default();
         if state.records.contains_key(&key) {
-            self.copy(now, slice, &key, &arrival.request);
+            self.handle_duplicate(now, slice, &key, &arrival.request);
         } else if arrival.request.kind.runs_once() {
-            self.admit_once(now, slice, service, arrival);
+            self.admit_non_idempotent(now, slice, service, arrival);
         } else {
-            self.admit(now, slice, service, arrival.request);
+            self.admit_idempotent(now, slice, service, arrival.request);
         }
     }
 
     /// A copy of a request that is known here never causes work.
-    fn copy(&mut self, now: Instant, slice: id::Slice, key: &Key, request: &Request) {
+    fn handle_duplicate(&mut self, now: Instant, slice: id::Slice, key: &Key, request: &Request) {
         let Some(record) = self.slices.get(&slice).and_then(|s| s.records.get(key)) else {
             return;
         };
@@ -271,7 +271,7 @@
             Phase::Settled(outcome) => {
                 let sequence = record.sequence;
                 self.note_request(Reason::Replayed, slice, key);
-                self.out.push(Action::Answer {
+                self.actions.push(Action::Answer {
                     flow: key.flow.clone(),
                     id: key.id,
                     token: request.token,
@@ -284,15 +284,15 @@
             }
             Phase::Claimed if self.may_be_answered_elsewhere(now, slice, key) => {
                 self.note_request(Reason::CopyIgnored, slice, key);
-                self.tell_at_deadline(slice, key, request);
+                self.schedule_answer_at_deadline(slice, key, request);
             }
             Phase::Claimed => {
-                self.turn_away(request, Outcome::Unknown, Reason::UnknownClaimed);
+                self.answer_unrecorded(request, Outcome::Unknown, Reason::UnknownClaimed);
             }
             Phase::Claiming(_) | Phase::Sent => {
                 self.note_request(Reason::CopyIgnored, slice, key);
                 if separate.is_some() {
-                    self.out.push(Action::Acknowledge {
+                    self.actions.push(Action::Acknowledge {
                         flow: key.flow.clone(),
                         id: key.id,
                     });
@@ -313,7 +313,7 @@
             return false;
         };
         let claimer = record.claimer.as_ref();
-        let has_ended = claimer.is_some_and(|claimer| self.members.has_ended(claimer));
+        let has_ended = claimer.is_some_and(|claimer| self.membership.has_ended(claimer));
         !has_ended && now < record.born + self.deadline(&key.flow.service)
     }
 
@@ -321,7 +321,7 @@
     ///
     /// Copies are doubling pauses apart: if the home that claimed the request is dead,
     /// the next one would come, and get its "unknown", long after the deadline.
-    fn tell_at_deadline(&mut self, slice: id::Slice, key: &Key, request: &Request) {
+    fn schedule_answer_at_deadline(&mut self, slice: id::Slice, key: &Key, request: &Request) {
         let deadline = self.deadline(&key.flow.service);
         let Some(record) = self.record(slice, key) else {
             return;
@@ -335,26 +335,26 @@
         self.schedule(due, Timer::Deadline(slice, key.clone()));
     }
 
-    fn admit_once(&mut self, now: Instant, slice: id::Slice, service: &Service, arrival: Arrival) {
+    fn admit_non_idempotent(&mut self, now: Instant, slice: id::Slice, service: &Service, arrival: Arrival) {
         let Arrival { request, since, .. } = arrival;
         let blank = self.slices.get(&slice).and_then(|state| state.blank_since);
-        if !self.members.has_authority(now) {
-            self.turn_away(&request, Outcome::Unknown, Reason::UnknownAuthority);
+        if !self.membership.has_authority(now) {
+            self.answer_unrecorded(&request, Outcome::Unknown, Reason::UnknownAuthority);
             return;
         }
         // The records of an earlier home are lost. A request seen within one copy
         // lifetime of the takeover may be a copy of one that it let run.
         if blank.is_some_and(|since| now < since + service.profile.copy_lifetime()) {
-            self.turn_away(&request, Outcome::Unknown, Reason::UnknownBlank);
+            self.answer_unrecorded(&request, Outcome::Unknown, Reason::UnknownBlank);
             return;
         }
         if self.records >= self.settings.max_flows {
             // Nothing can be kept of it, and "not run" would need a record that
             // stops later copies.
-            self.turn_away(&request, Outcome::Unknown, Reason::UnknownLimit);
+            self.answer_unrecorded(&request, Outcome::Unknown, Reason::UnknownLimit);
             return;
         }
-        let intent = match self.limit(slice, service, &request.flow) {
+        let intent = match self.exceeded_limit(slice, service, &request.flow) {
             None => Intent::Forward,
             Some(reason) => Intent::Refuse {
                 retry_after: service.profile.retry_after_s,
@@ -362,44 +362,44 @@
             },
         };
         // The time it waited for a home counts.
-        let key = self.open(since, slice, service, request, Phase::Claiming(intent));
+        let key = self.insert_open_record(since, slice, service, request, Phase::Claiming(intent));
         self.usage(&service.id)
             .budget
             .deposit(service.profile.retry_budget_percent);
         self.claim(now, slice, &key);
     }
 
-    fn admit(&mut self, now: Instant, slice: id::Slice, service: &Service, request: Request) {
+    fn admit_idempotent(&mut self, now: Instant, slice: id::Slice, service: &Service, request: Request) {
         let refusal = Outcome::NotRun {
             retry_after: service.profile.retry_after_s,
         };
-        if let Some(reason) = self.limit(slice, service, &request.flow) {
-            self.turn_away(&request, refusal, reason);
+        if let Some(reason) = self.exceeded_limit(slice, service, &request.flow) {
+            self.answer_unrecorded(&request, refusal, reason);
             return;
         }
         if request.part.upload && self.records >= self.settings.max_flows {
-            self.turn_away(&request, refusal, Reason::RefusedLimit);
+            self.answer_unrecorded(&request, refusal, Reason::RefusedLimit);
             return;
         }
         let feeds = self.usage(&service.id).feeds;
         if request.kind == Kind::Open
             && (feeds >= service.profile.max_feeds || self.feeds >= self.settings.max_flows)
         {
-            self.turn_away(&request, refusal, Reason::RefusedLimit);
+            self.answer_unrecorded(&request, refusal, Reason::RefusedLimit);
             return;
         }
         if request.kind == Kind::Close {
             self.close_feed(now, slice, &request);
         }
-        let key = self.open(now, slice, service, request, Phase::Sent);
+        let key = self.insert_open_record(now, slice, service, request, Phase::Sent);
         self.usage(&service.id)
             .budget
             .deposit(service.profile.retry_budget_percent);
         self.dispatch(now, slice, &key);
     }
 
-    fn limit(&mut self, slice: id::Slice, service: &Service, flow: &Flow) -> Option<Reason> {
-        if self.closing {
+    fn exceeded_limit(&mut self, slice: id::Slice, service: &Service, flow: &Flow) -> Option<Reason> {
+        if self.is_stopping {
             return Some(Reason::RefusedStopping);
         }
         let busy = self
@@ -414,7 +414,7 @@
         (used >= share.max(1)).then_some(Reason::RefusedLimit)
     }
 
-    fn open(
+    fn insert_open_record(
         &mut self,
         since: Instant,
         slice: id::Slice,
@@ -453,7 +453,7 @@
         key
     }
 
-    pub(super) fn receipt(
+    pub(super) fn handle_receipt(
         &mut self,
         now: Instant,
         flow: Flow,
@@ -465,11 +465,11 @@
         let slice = self.slice_of(&flow);
         // The instance that sent the message is the one that waits for its
         // receipt, even if the slice has just moved.
-        if let Some(id) = self.receipts.remove(&(flow.clone(), message)) {
+        if let Some(id) = self.unacknowledged_answers.remove(&(flow.clone(), message)) {
             self.confirm_answer(slice, &Key { flow, id });
             return;
         }
-        if self.feed_receipt(now, slice, &flow, message, receipt) {
+        if self.apply_feed_receipt(now, slice, &flow, message, receipt) {
             return;
         }
         if self.table.is_empty() {
--- a/src/engine/outbound.rs
+++ b/src/engine/outbound.rs
@@ -47,9 +47,9 @@
     }
 
     /// The claim is safe: forward the request, or tell the caller that it is not run.
-    pub(super) fn proceed(&mut self, now: Instant, slice: id::Slice, key: &Key) {
+    pub(super) fn proceed_with_claim(&mut self, now: Instant, slice: id::Slice, key: &Key) {
         use crate::record::Intent;
-        let authority = self.members.has_authority(now);
+        let authority = self.membership.has_authority(now);
         let deadline = self.deadline(&key.flow.service);
         let Some(record) = self.record(slice, key) else {
             return;
@@ -97,7 +97,7 @@
         let tried = record.tried.clone();
         let waiting = !record.attempts.is_empty();
         let pinned = if part.later {
-            self.pinned(now, slice, &service, key)
+            self.pinned_server(now, slice, &service, key)
         } else {
             None
         };
@@ -139,7 +139,7 @@
     /// The server that has the earlier parts of the body, even if it is leaving: the
     /// body is work in progress there. It is asked again if it is late, since no
     /// other server can do anything with the part.
-    fn pinned(
+    fn pinned_server(
         &self,
         now: Instant,
         slice: id::Slice,
@@ -196,7 +196,7 @@
         service: &Service,
         server: Arc<Server>,
     ) {
-        let attempt = self.attempt_for(slice, key, &server);
+        let attempt = self.new_attempt_for(slice, key, &server);
         let Some(record) = self.record(slice, key) else {
             return;
         };
@@ -214,7 +214,7 @@
             let timer = Timer::Attempt(slice, key.clone(), attempt);
             self.schedule(now + service.profile.attempt_timeout(), timer);
         }
-        self.sendings.insert(
+        self.sent_attempts.insert(
             attempt,
             Sending {
                 slice,
@@ -224,7 +224,7 @@
             },
         );
         self.note_forwarded(slice, key, &server);
-        self.out.push(Action::Forward {
+        self.actions.push(Action::Forward {
             server,
             attempt,
             service: service.id.clone(),
@@ -236,7 +236,7 @@
     /// A number for a sending to this server. A server puts a body together by the
     /// endpoint that its parts come from: a part from another socket of ours would
     /// be refused as incomplete.
-    fn attempt_for(&mut self, slice: id::Slice, key: &Key, server: &Server) -> id::Attempt {
+    fn new_attempt_for(&mut self, slice: id::Slice, key: &Key, server: &Server) -> id::Attempt {
         let mut attempt = self.new_attempt();
         let later = self
             .record(slice, key)
@@ -272,9 +272,9 @@
             return;
         }
         let tries = record.tried.len() as u32;
-        if let Some(sending) = self.sendings.get(&attempt) {
+        if let Some(sending) = self.sent_attempts.get(&attempt) {
             let server = Arc::clone(&sending.server);
-            self.blame(now, &server);
+            self.record_server_failure(now, &server);
         }
         let Some(service) = self.service(&key.flow.service) else {
             return;
@@ -290,20 +290,20 @@
         self.dispatch(now, slice, key);
     }
 
-    pub(super) fn answer(
+    pub(super) fn handle_answer(
         &mut self,
         now: Instant,
         from: id::Endpoint,
         attempt: id::Attempt,
         answer: Answer,
     ) {
-        let sending = self.sendings.get(&attempt);
+        let sending = self.sent_attempts.get(&attempt);
         // An answer counts only if it comes from the server that was asked and
         // the sending is still of use: anything else could be another request's.
         let Some(sending) = sending.filter(|sending| sending.server.address == from) else {
             self.note(Reason::ForeignAnswer);
             if answer.feed {
-                self.out.push(Action::Reject {
+                self.actions.push(Action::Reject {
                     to: from,
                     attempt,
                     datagram: answer.datagram,
@@ -318,12 +318,12 @@
             Verdict::Refused => {}
         }
         match sending.purpose.clone() {
-            Purpose::Request(key) => self.request_answer(now, slice, &key, attempt, answer),
-            Purpose::Feed(key) => self.feed_answer(now, slice, &key, attempt, answer),
+            Purpose::Request(key) => self.handle_request_answer(now, slice, &key, attempt, answer),
+            Purpose::Feed(key) => self.handle_feed_answer(now, slice, &key, attempt, answer),
         }
     }
 
-    fn request_answer(
+    fn handle_request_answer(
         &mut self,
         now: Instant,
         slice: id::Slice,
@@ -332,13 +332,13 @@
         answer: Answer,
     ) {
         match answer.verdict {
-            Verdict::Refused => self.refused(now, slice, key, attempt, &answer),
-            Verdict::Handled | Verdict::NotFound => self.handled(now, slice, key, attempt, answer),
+            Verdict::Refused => self.handle_refusal(now, slice, key, attempt, &answer),
+            Verdict::Handled | Verdict::NotFound => self.handle_final_answer(now, slice, key, attempt, answer),
         }
     }
 
     /// The server states that it did not start the request, so that another may.
-    fn refused(
+    fn handle_refusal(
         &mut self,
         now: Instant,
         slice: id::Slice,
@@ -349,7 +349,7 @@
         let Some(sending) = self.drop_sending(attempt) else {
             return;
         };
-        self.pause(now, &sending.server, answer.retry_after);
+        self.pause_server(now, &sending.server, answer.retry_after);
         let Some(record) = self.record(slice, key) else {
             return;
         };
@@ -373,13 +373,13 @@
         }
     }
 
-    fn pause(&mut self, now: Instant, server: &Server, retry_after: Option<u32>) {
+    fn pause_server(&mut self, now: Instant, server: &Server, retry_after: Option<u32>) {
         let asked = Duration::from_secs(retry_after.unwrap_or(0).into());
         server.refuse(now, asked);
         self.note(Reason::ServerPaused);
     }
 
-    fn handled(
+    fn handle_final_answer(
         &mut self,
         now: Instant,
         slice: id::Slice,
@@ -408,7 +408,7 @@
                 flow: key.flow.clone(),
                 token,
             };
-            let sequence = self.establish(now, slice, feed, datagram, attempt, &sending);
+            let sequence = self.insert_opened_feed(now, slice, feed, datagram, attempt, &sending);
             if let Some(record) = self.record(slice, key) {
                 record.sequence = Some(sequence);
             }
@@ -419,7 +419,7 @@
 
     /// Ends a sending and gives its place at the server back.
     pub(super) fn drop_sending(&mut self, attempt: id::Attempt) -> Option<Sending> {
-        let sending = self.sendings.remove(&attempt)?;
+        let sending = self.sent_attempts.remove(&attempt)?;
         let mut state = sending.server.state();
         match sending.purpose {
             Purpose::Request(_) => state.outstanding = state.outstanding.saturating_sub(1),
@@ -430,7 +430,7 @@
     }
 
     /// Counts a failure of a server and lets it rest after too many in a row.
-    pub(super) fn blame(&mut self, now: Instant, server: &Server) {
+    pub(super) fn record_server_failure(&mut self, now: Instant, server: &Server) {
         let failures = server.fail();
         let Some(service) = self.service(&server.service) else {
             return;
@@ -462,7 +462,7 @@
             server: Some(server.id.clone()),
             ..self.flow_note(Reason::Forwarded, slice, &key.flow)
         };
-        self.out.push(Action::Note(note));
+        self.actions.push(Action::Note(note));
     }
 
     /// Notes a final outcome with the time since the first copy arrived.
@@ -480,6 +480,6 @@
             elapsed: Some(elapsed),
             ..self.flow_note(reason, slice, &key.flow)
         };
-        self.out.push(Action::Note(note));
+        self.actions.push(Action::Note(note));
     }
 }
--- a/src/engine/ownership.rs
+++ b/src/engine/ownership.rs
@@ -24,34 +24,34 @@
 use crate::table::Table;
 
 impl Engine {
-    pub(super) fn take_members(&mut self, now: Instant, members: Arc<View>) {
-        let before = std::mem::replace(&mut self.members, members);
-        if before.live == self.members.live {
+    pub(super) fn update_membership(&mut self, now: Instant, members: Arc<View>) {
+        let before = std::mem::replace(&mut self.membership, members);
+        if before.live == self.membership.live {
             return;
         }
         let mine = |(slice, _): &(id::Slice, &Row)| self.owns(*slice);
         let slices: Vec<id::Slice> = self.table.rows().filter(mine).map(|(s, _)| s).collect();
         for slice in slices {
-            self.review(now, slice);
+            self.review_feeds(now, slice);
         }
-        self.unpark(now);
+        self.retry_parked(now);
     }
 
     /// Takes up or hands back the feeds of a slice after the view has changed.
-    fn review(&mut self, now: Instant, slice: id::Slice) {
+    fn review_feeds(&mut self, now: Instant, slice: id::Slice) {
         let row = self.table.row(slice);
         if row.is_home(&self.settings.me) || !self.slices.contains_key(&slice) {
             return;
         }
         let backup = row.is_backup(&self.settings.me);
-        match (self.tends(slice), backup) {
-            (true, true) => self.activate_feeds(slice),
+        match (self.serves_feeds(slice), backup) {
+            (true, true) => self.queue_copied_feeds(slice),
             (true, false) => {}
-            (false, _) => self.return_feeds(now, slice),
+            (false, _) => self.hand_back_feeds(now, slice),
         }
     }
 
-    pub(super) fn take_table(&mut self, now: Instant, table: Arc<Table>) {
+    pub(super) fn update_table(&mut self, now: Instant, table: Arc<Table>) {
         let before = std::mem::replace(&mut self.table, table);
         let rows: Vec<(id::Slice, Row)> = self
             .table
@@ -62,12 +62,12 @@
         for (slice, row) in rows {
             let known = before.get(slice);
             let continued = known.is_some_and(|known| row.continues(known));
-            self.take_row(now, slice, row, continued);
+            self.update_row(now, slice, row, continued);
         }
-        self.unpark(now);
+        self.retry_parked(now);
     }
 
-    fn take_row(&mut self, now: Instant, slice: id::Slice, row: Row, continued: bool) {
+    fn update_row(&mut self, now: Instant, slice: id::Slice, row: Row, continued: bool) {
         let state = self.slices.entry(slice).or_default();
         let before = std::mem::take(&mut state.role);
         state.epoch = row.epoch;
@@ -81,7 +81,7 @@
             if before != Role::Home {
                 self.become_home(slice);
             }
-            self.take_backup(now, slice, row.backup);
+            self.update_backup(now, slice, row.backup);
             return;
         }
         if row.is_backup(&self.settings.me) {
@@ -90,14 +90,14 @@
         if before == Role::Home {
             self.step_down(now, slice);
         } else {
-            self.review(now, slice);
+            self.review_feeds(now, slice);
         }
     }
 
     fn become_home(&mut self, slice: id::Slice) {
         let state = self.slices.entry(slice).or_default();
         state.replica = None;
-        self.activate_feeds(slice);
+        self.queue_copied_feeds(slice);
         self.note(Reason::HomeGained);
     }
 
@@ -105,7 +105,7 @@
     /// a server is finished here.
     fn step_down(&mut self, now: Instant, slice: id::Slice) {
         self.note(Reason::HomeLost);
-        self.offer_unreplicated(slice);
+        self.transfer_unreplicated_feeds(slice);
         let Some(state) = self.slices.get_mut(&slice) else {
             return;
         };
@@ -115,14 +115,14 @@
         };
         let keys = sorted(state.records.iter().filter_map(waiting));
         for key in keys {
-            self.pass_on(now, slice, &key);
+            self.hand_over_request(now, slice, &key);
         }
-        self.releases.push_back((now + RELEASE_AFTER, slice));
+        self.scheduled_releases.push_back((now + RELEASE_AFTER, slice));
     }
 
     /// A feed opened just now may be unknown to the new home, which was the backup:
     /// it would be dropped here without anybody going on with it.
-    fn offer_unreplicated(&mut self, slice: id::Slice) {
+    fn transfer_unreplicated_feeds(&mut self, slice: id::Slice) {
         let home = self.table.row(slice).home.clone();
         let replica = self.slices.get(&slice).and_then(|s| s.replica.as_ref());
         let (Some(home), Some(replica)) = (home, replica) else {
@@ -137,14 +137,14 @@
                 slice: slice.0,
                 feed: Some(feed),
             });
-            self.out.push(Action::Peer {
+            self.actions.push(Action::Peer {
                 to: home.clone(),
                 body,
             });
         }
     }
 
-    fn pass_on(&mut self, now: Instant, slice: id::Slice, key: &Key) {
+    fn hand_over_request(&mut self, now: Instant, slice: id::Slice, key: &Key) {
         let deadline = self.deadline(&key.flow.service);
         let Some(record) = self.record(slice, key) else {
             return;
@@ -163,7 +163,7 @@
             part: record.part,
             datagram: record.datagram.clone(),
         };
-        self.close_record(slice, key);
+        self.remove_open_record(slice, key);
         let row = self.table.row(slice);
         let home = row.home.clone().filter(|home| *home != self.settings.me);
         let Some(to) = home else {
@@ -172,7 +172,7 @@
                 hops: 0,
                 since,
             };
-            self.settle_route(now, arrival);
+            self.route_request(now, arrival);
             return;
         };
         let body = peer::Body::Relay(peer::Relay {
@@ -181,16 +181,16 @@
             hops: 1,
             released: true,
         });
-        self.out.push(Action::Peer { to, body });
+        self.actions.push(Action::Peer { to, body });
     }
 
-    fn close_record(&mut self, slice: id::Slice, key: &Key) {
-        self.close_account(slice, key);
-        self.forget(slice, key);
+    fn remove_open_record(&mut self, slice: id::Slice, key: &Key) {
+        self.decrement_in_progress(slice, key);
+        self.remove_record(slice, key);
     }
 
     /// As home: follows what the row says about the backup.
-    fn take_backup(&mut self, now: Instant, slice: id::Slice, backup: Option<id::Holder>) {
+    fn update_backup(&mut self, now: Instant, slice: id::Slice, backup: Option<id::Holder>) {
         let Some(state) = self.slices.get_mut(&slice) else {
             return;
         };
@@ -202,7 +202,7 @@
                 replica.installed = true;
                 self.note(Reason::BackupJoined);
             }
-            (Some(backup), _) => self.copy_all(now, slice, &backup, true),
+            (Some(backup), _) => self.copy_slice(now, slice, &backup, true),
         }
     }
 }
--- a/src/engine/rebalance.rs
+++ b/src/engine/rebalance.rs
@@ -27,27 +27,27 @@
 impl Engine {
     /// Queues moves of feeds if it is time to look.
     pub(super) fn rebalance(&mut self, now: Instant) {
-        if self.rebalanced.is_some_and(|at| now < at + EVERY) {
+        if self.last_rebalance.is_some_and(|at| now < at + EVERY) {
             return;
         }
-        self.rebalanced = Some(now);
+        self.last_rebalance = Some(now);
         let snapshot = Arc::clone(&self.snapshot);
         let mut room = MOST_PER_ROUND;
         for service in snapshot.services.values() {
             for surplus in balance::surplus(service, now) {
-                let feeds = self.feeds_at(service, &surplus.server);
+                let feeds = self.movable_feeds_at(service, &surplus.server);
                 let share = surplus.share * feeds.len() as f64;
                 let count = (share.round() as usize).min(room);
                 room -= count;
                 for (slice, key) in feeds.into_iter().take(count) {
-                    self.move_away(slice, key);
+                    self.queue_move(slice, key);
                 }
             }
         }
     }
 
-    fn feeds_at(&self, service: &Service, server: &id::Server) -> Vec<(id::Slice, FeedKey)> {
-        let tended = self.slices.iter().filter(|(slice, _)| self.tends(**slice));
+    fn movable_feeds_at(&self, service: &Service, server: &id::Server) -> Vec<(id::Slice, FeedKey)> {
+        let tended = self.slices.iter().filter(|(slice, _)| self.serves_feeds(**slice));
         let feeds = tended.flat_map(|(slice, state)| {
             let feeds = state.feeds.iter().filter(|(key, feed)| {
                 let settled = feed.attempt.is_some() && feed.renewal.is_none();
@@ -58,7 +58,7 @@
         feeds.collect()
     }
 
-    fn move_away(&mut self, slice: id::Slice, key: FeedKey) {
+    fn queue_move(&mut self, slice: id::Slice, key: FeedKey) {
         let state = self.slices.get_mut(&slice);
         let Some(feed) = state.and_then(|state| state.feeds.get_mut(&key)) else {
             return;
@@ -66,6 +66,6 @@
         // Named as failed, the feed's own server is not chosen again; the next
         // notification clears it.
         feed.failed.push(feed.server.clone());
-        self.moves.push_back((slice, key));
+        self.queued_renewals.push_back((slice, key));
     }
 }
--- a/src/engine/replica.rs
+++ b/src/engine/replica.rs
@@ -54,7 +54,7 @@
             .get(&slice)
             .is_none_or(|state| state.replica.is_none());
         if alone {
-            self.proceed(now, slice, key);
+            self.proceed_with_claim(now, slice, key);
             return;
         }
         self.note_request(Reason::Claimed, slice, key);
@@ -72,14 +72,14 @@
         item: peer::Item,
         waiter: Option<Key>,
     ) {
-        let number = self.next_number + 1;
+        let number = self.next_step_number + 1;
         let Some(state) = self.slices.get_mut(&slice) else {
             return;
         };
         let Some(replica) = &mut state.replica else {
             return;
         };
-        self.next_number = number;
+        self.next_step_number = number;
         self.unacknowledged.insert(slice);
         let pending = Pending {
             item: item.clone(),
@@ -100,7 +100,7 @@
         number: u64,
         item: peer::Item,
     ) {
-        self.out.push(Action::Peer {
+        self.actions.push(Action::Peer {
             to: to.clone(),
             body: peer::Body::Replicate(peer::Replicate {
                 slice: slice.0,
@@ -112,14 +112,14 @@
     }
 
     /// Sends steps that wait for room, and again those that are late.
-    pub(super) fn pump(&mut self, now: Instant) {
+    pub(super) fn send_due_steps(&mut self, now: Instant) {
         let slices: Vec<id::Slice> = self.unacknowledged.iter().copied().collect();
         for slice in slices {
-            self.pump_slice(now, slice);
+            self.send_due_steps_of(now, slice);
         }
     }
 
-    fn pump_slice(&mut self, now: Instant, slice: id::Slice) {
+    fn send_due_steps_of(&mut self, now: Instant, slice: id::Slice) {
         let Some(state) = self.slices.get_mut(&slice) else {
             self.unacknowledged.remove(&slice);
             return;
@@ -130,7 +130,7 @@
             return;
         };
         let to = replica.holder.clone();
-        let wait = if self.members.is_live(&to) {
+        let wait = if self.membership.is_live(&to) {
             RESEND_AFTER
         } else {
             RESEND_SILENT
@@ -148,15 +148,15 @@
     }
 
     /// Copies everything to a new backup. From now on claims wait for it.
-    pub(super) fn join(&mut self, now: Instant, slices: &[id::Slice], backup: &id::Holder) {
+    pub(super) fn start_backup_copies(&mut self, now: Instant, slices: &[id::Slice], backup: &id::Holder) {
         for slice in slices {
             if self.table.row(*slice).is_home(&self.settings.me) {
-                self.join_slice(now, *slice, backup);
+                self.start_backup_copy(now, *slice, backup);
             }
         }
     }
 
-    fn join_slice(&mut self, now: Instant, slice: id::Slice, backup: &id::Holder) {
+    fn start_backup_copy(&mut self, now: Instant, slice: id::Slice, backup: &id::Holder) {
         let state = self.slices.entry(slice).or_default();
         if state
             .replica
@@ -165,12 +165,12 @@
         {
             return;
         }
-        self.copy_all(now, slice, backup, false);
+        self.copy_slice(now, slice, backup, false);
     }
 
     /// Copies the whole slice to a backup; claims wait for it from the first step
     /// on, so that none is known here alone when the backup is named in the table.
-    pub(super) fn copy_all(
+    pub(super) fn copy_slice(
         &mut self,
         now: Instant,
         slice: id::Slice,
@@ -197,30 +197,30 @@
         items.extend(feeds.map(|(key, feed)| peer::Item::Feed(pack_feed(key, feed))));
         let mut pending = BTreeMap::new();
         for item in items {
-            self.next_number += 1;
+            self.next_step_number += 1;
             let step = Pending {
                 item,
                 sent: None,
                 waiter: None,
             };
-            pending.insert(self.next_number, step);
+            pending.insert(self.next_step_number, step);
         }
         state.replica = Some(Replica {
             holder: backup.clone(),
             installed,
             complete: false,
-            copied: self.next_number,
+            copied: self.next_step_number,
             pending,
         });
         self.unacknowledged.insert(slice);
         for key in waiters {
             self.claim(now, slice, &key);
         }
-        self.pump_slice(now, slice);
+        self.send_due_steps_of(now, slice);
     }
 
     /// Goes on without a backup that was being joined.
-    pub(super) fn abandon(&mut self, now: Instant, slices: &[id::Slice]) {
+    pub(super) fn cancel_backup_copies(&mut self, now: Instant, slices: &[id::Slice]) {
         for slice in slices {
             let Some(state) = self.slices.get_mut(slice) else {
                 continue;
@@ -237,19 +237,19 @@
         };
         let keys = state.replica.take().map(waiters).unwrap_or_default();
         for key in keys {
-            self.proceed(now, slice, &key);
+            self.proceed_with_claim(now, slice, &key);
         }
     }
 
-    pub(super) fn peer(&mut self, now: Instant, from: id::Holder, body: peer::Body) {
+    pub(super) fn handle_peer_message(&mut self, now: Instant, from: id::Holder, body: peer::Body) {
         let handled = match body {
-            peer::Body::Replicate(message) => self.keep(now, &from, message),
+            peer::Body::Replicate(message) => self.store_step(now, &from, message),
             peer::Body::Replicated(message) => {
-                self.acknowledged(now, &from, &message);
+                self.handle_step_ack(now, &from, &message);
                 Ok(())
             }
-            peer::Body::Settle(message) => self.settled_elsewhere(message),
-            peer::Body::Adopt(message) => self.adopted(now, message),
+            peer::Body::Settle(message) => self.store_outcome(message),
+            peer::Body::Adopt(message) => self.handle_feed_transfer(now, message),
             // The rest belongs to the edge or to the control task.
             _ => Ok(()),
         };
@@ -259,10 +259,10 @@
     }
 
     /// As backup: keeps one step and acknowledges it.
-    fn keep(&mut self, now: Instant, from: &id::Holder, message: peer::Replicate) -> Result<()> {
+    fn store_step(&mut self, now: Instant, from: &id::Holder, message: peer::Replicate) -> Result<()> {
         let slice = id::Slice(message.slice);
         let epoch = id::Epoch(message.epoch);
-        if message.slice >= self.table.len() || !self.accepts(slice, from, epoch) {
+        if message.slice >= self.table.len() || !self.accepts_steps_from(slice, from, epoch) {
             return Ok(());
         }
         let state = self.slices.entry(slice).or_default();
@@ -270,7 +270,7 @@
         match message.item {
             Some(peer::Item::Claim(claim)) => {
                 let mut key = peer::unpack_key(claim.flow.as_ref(), &claim.id)?;
-                self.share_name(&mut key.flow);
+                self.intern_service_name(&mut key.flow);
                 let claimer = match claim.claimer.as_str() {
                     "" => from.clone(),
                     claimer => claimer.parse()?,
@@ -278,12 +278,12 @@
                 // A sender whose clock stood still tells less than it was: kept longer.
                 let age = Duration::from_millis(claim.age_ms);
                 let born = now.checked_sub(age).unwrap_or(now);
-                self.keep_claim(now, slice, key, Record::claimed(born, claimer));
+                self.store_claim(now, slice, key, Record::claimed(born, claimer));
             }
             Some(peer::Item::Feed(feed)) => {
                 let (mut key, mut feed) = unpack_feed(now, message.number, feed)?;
-                self.share_name(&mut key.flow);
-                self.share_server(&key.flow, &mut feed.server);
+                self.intern_service_name(&mut key.flow);
+                self.intern_server_name(&key.flow, &mut feed.server);
                 self.remove_feed(slice, &key);
                 self.insert_feed(slice, key, feed);
             }
@@ -292,10 +292,10 @@
                 let token = Token(peer::unpack_number(&end.token)?);
                 self.remove_feed(slice, &FeedKey { flow, token });
             }
-            Some(peer::Item::Begin(_)) => self.begin_copy(slice, message.number),
+            Some(peer::Item::Begin(_)) => self.drop_outdated_feeds(slice, message.number),
             None => {}
         }
-        self.out.push(Action::Peer {
+        self.actions.push(Action::Peer {
             to: from.clone(),
             body: peer::Body::Replicated(peer::Replicated {
                 slice: message.slice,
@@ -308,14 +308,14 @@
 
     /// Takes the configuration's own copy of a service's name: hundreds of
     /// thousands of copies that came in messages would take memory for nothing.
-    fn share_name(&self, flow: &mut Flow) {
+    fn intern_service_name(&self, flow: &mut Flow) {
         if let Some(service) = self.snapshot.services.get(&flow.service) {
             flow.service = service.id.clone();
         }
     }
 
     /// The same for a server's name.
-    fn share_server(&self, flow: &Flow, name: &mut id::Server) {
+    fn intern_server_name(&self, flow: &Flow, name: &mut id::Server) {
         let service = self.snapshot.services.get(&flow.service);
         if let Some(server) = service.and_then(|service| service.server(name)) {
             *name = server.id.clone();
@@ -323,7 +323,7 @@
     }
 
     /// Whether a claim of this sender may still be acknowledged.
-    fn accepts(&self, slice: id::Slice, from: &id::Holder, epoch: id::Epoch) -> bool {
+    fn accepts_steps_from(&self, slice: id::Slice, from: &id::Holder, epoch: id::Epoch) -> bool {
         let row = self.table.row(slice);
         if row.is_home(&self.settings.me) || epoch < row.epoch {
             return false;
@@ -337,7 +337,7 @@
         state.is_none_or(|state| epoch >= state.seen)
     }
 
-    fn keep_claim(&mut self, now: Instant, slice: id::Slice, key: Key, claimed: Record) {
+    fn store_claim(&mut self, now: Instant, slice: id::Slice, key: Key, claimed: Record) {
         let state = self.slices.entry(slice).or_default();
         if let Some(record) = state.records.get_mut(&key) {
             // A request that was released is claimed anew, by its next home.
@@ -348,11 +348,11 @@
         }
         state.records.insert(key.clone(), claimed);
         self.records += 1;
-        self.schedule_forget(now, slice, &key);
+        self.schedule_record_expiry(now, slice, &key);
     }
 
     /// Feeds from before the new copy are outdated; claims never are.
-    fn begin_copy(&mut self, slice: id::Slice, number: u64) {
+    fn drop_outdated_feeds(&mut self, slice: id::Slice, number: u64) {
         let Some(state) = self.slices.get(&slice) else {
             return;
         };
@@ -367,7 +367,7 @@
     }
 
     /// As home: the backup has a step.
-    fn acknowledged(&mut self, now: Instant, from: &id::Holder, message: &peer::Replicated) {
+    fn handle_step_ack(&mut self, now: Instant, from: &id::Holder, message: &peer::Replicated) {
         let slice = id::Slice(message.slice);
         let Some(state) = self.slices.get_mut(&slice) else {
             return;
@@ -383,16 +383,16 @@
         if copied && !replica.complete {
             replica.complete = true;
             let backup = replica.holder.clone();
-            self.out.push(Action::Joined { slice, backup });
+            self.actions.push(Action::Joined { slice, backup });
         } else if !copied {
-            self.pump_slice(now, slice);
+            self.send_due_steps_of(now, slice);
         }
         if let Some(key) = pending.waiter {
-            self.proceed(now, slice, &key);
+            self.proceed_with_claim(now, slice, &key);
         }
     }
 
-    fn settled_elsewhere(&mut self, message: peer::Settle) -> Result<()> {
+    fn store_outcome(&mut self, message: peer::Settle) -> Result<()> {
         let slice = id::Slice(message.slice);
         let key = peer::unpack_key(message.flow.as_ref(), &message.id)?;
         let token = Token(peer::unpack_number(&message.token)?);
@@ -407,13 +407,13 @@
         Ok(())
     }
 
-    fn adopted(&mut self, now: Instant, message: peer::Adopt) -> Result<()> {
+    fn handle_feed_transfer(&mut self, now: Instant, message: peer::Adopt) -> Result<()> {
         if message.slice >= self.table.len() {
             return Ok(());
         }
         let feed = message.feed.unwrap_or_default();
         let (key, feed) = unpack_feed(now, 0, feed)?;
-        self.adopt(now, id::Slice(message.slice), key, feed);
+        self.adopt_feed(now, id::Slice(message.slice), key, feed);
         Ok(())
     }
 }
--- a/src/engine/settlement.rs
+++ b/src/engine/settlement.rs
@@ -58,14 +58,14 @@
         for attempt in attempts {
             self.drop_sending(attempt);
         }
-        self.close_account(slice, key);
+        self.decrement_in_progress(slice, key);
         let elapsed = now.duration_since(born);
         self.note_settled(reason, slice, key, server, elapsed);
         if once {
-            self.tell_new_home(slice, key, token, &outcome);
+            self.send_outcome_to_new_home(slice, key, token, &outcome);
         }
         let delivery = separate.map_or(Delivery::Direct, |message| Delivery::Separate { message });
-        self.out.push(Action::Answer {
+        self.actions.push(Action::Answer {
             flow: key.flow.clone(),
             id: key.id,
             token,
@@ -75,17 +75,17 @@
             outcome,
         });
         if let Some(message) = separate {
-            self.receipts.insert((key.flow.clone(), message), key.id);
+            self.unacknowledged_answers.insert((key.flow.clone(), message), key.id);
             self.schedule(now + RESEND_AFTER, Timer::Resend(slice, key.clone()));
         }
         if kept {
-            self.schedule_forget(now, slice, key);
+            self.schedule_record_expiry(now, slice, key);
         } else if separate.is_none() {
-            self.forget(slice, key);
+            self.remove_record(slice, key);
         }
     }
 
-    pub(super) fn close_account(&mut self, slice: id::Slice, key: &Key) {
+    pub(super) fn decrement_in_progress(&mut self, slice: id::Slice, key: &Key) {
         let usage = self.usage(&key.flow.service);
         usage.in_progress = usage.in_progress.saturating_sub(1);
         let Some(state) = self.slices.get_mut(&slice) else {
@@ -101,7 +101,7 @@
 
     /// A request that was in progress here while its slice moved: the new home
     /// answers copies, so it gets the answer too.
-    fn tell_new_home(
+    fn send_outcome_to_new_home(
         &mut self,
         slice: id::Slice,
         key: &Key,
@@ -115,7 +115,7 @@
         let Some(home) = row.home.clone().filter(|home| *home != self.settings.me) else {
             return;
         };
-        self.out.push(Action::Peer {
+        self.actions.push(Action::Peer {
             to: home,
             body: peer::Body::Settle(peer::Settle {
                 slice: slice.0,
@@ -127,13 +127,13 @@
         });
     }
 
-    pub(super) fn schedule_forget(&mut self, now: Instant, slice: id::Slice, key: &Key) {
-        let keep = self.keep_time(&key.flow.service);
+    pub(super) fn schedule_record_expiry(&mut self, now: Instant, slice: id::Slice, key: &Key) {
+        let keep = self.record_lifetime(&key.flow.service);
         self.schedule(now + keep, Timer::Forget(slice, key.clone()));
     }
 
     /// How long a record is kept after its request came.
-    pub(super) fn keep_time(&self, service: &id::Service) -> Duration {
+    pub(super) fn record_lifetime(&self, service: &id::Service) -> Duration {
         self.copy_lifetime(service) + KEEP_MARGIN
     }
 
@@ -144,7 +144,7 @@
             })
     }
 
-    pub(super) fn forget(&mut self, slice: id::Slice, key: &Key) {
+    pub(super) fn remove_record(&mut self, slice: id::Slice, key: &Key) {
         let Some(state) = self.slices.get_mut(&slice) else {
             return;
         };
@@ -153,7 +153,7 @@
         };
         self.records -= 1;
         if let Some(message) = record.separate {
-            self.receipts.remove(&(key.flow.clone(), message));
+            self.unacknowledged_answers.remove(&(key.flow.clone(), message));
         }
     }
 
@@ -164,12 +164,12 @@
         };
         record.resends = MAX_RESENDS;
         if !record.is_kept() {
-            self.forget(slice, key);
+            self.remove_record(slice, key);
         }
     }
 
     /// The receipt of a separate answer is late: send it again.
-    pub(super) fn resend(&mut self, now: Instant, slice: id::Slice, key: &Key) {
+    pub(super) fn resend_answer(&mut self, now: Instant, slice: id::Slice, key: &Key) {
         let Some(record) = self.record(slice, key) else {
             return;
         };
@@ -179,7 +179,7 @@
         };
         if record.resends >= MAX_RESENDS {
             if !record.is_kept() {
-                self.forget(slice, key);
+                self.remove_record(slice, key);
             }
             return;
         }
@@ -187,7 +187,7 @@
         let wait = RESEND_AFTER * 2u32.pow(record.resends);
         let (token, confirmable, sequence) = (record.token, record.confirmable, record.sequence);
         self.schedule(now + wait, Timer::Resend(slice, key.clone()));
-        self.out.push(Action::Answer {
+        self.actions.push(Action::Answer {
             flow: key.flow.clone(),
             id: key.id,
             token,
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,4 +1,4 @@
-//! What the decision core is told.
+//! Events that the decision core handles.
 
 use std::sync::Arc;
 
@@ -12,70 +12,72 @@
 use crate::snapshot::Snapshot;
 use crate::table::Table;
 
-/// One thing that happened. The time is passed beside it.
+/// One event. Its time is passed alongside.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A request from a caller, here or relayed by a peer.
+    /// A request from a caller, received here or relayed by a peer.
     Request {
         /// The request.
         request: Request,
-        /// Relays so far.
+        /// Number of relays so far.
         hops: u32,
     },
-    /// A request that an earlier home claimed, never forwarded and gave up.
+    /// A request that the previous home claimed, never forwarded and handed over.
     Released {
-        /// The earlier home.
+        /// The previous home.
         from: id::Holder,
         /// The request.
         request: Request,
-        /// Relays so far.
+        /// Number of relays so far.
         hops: u32,
     },
-    /// A caller's receipt for one of our own messages.
+    /// A caller's reply to one of this instance's own messages.
     Receipt {
         /// Caller and service.
         flow: Flow,
-        /// Number of the message.
+        /// Message number that the caller refers to.
         message: u16,
-        /// What the caller says.
+        /// Whether the caller acknowledged or rejected the message.
         receipt: Receipt,
-        /// Relays so far.
+        /// Number of relays so far.
         hops: u32,
-        /// The datagram, to relay it.
+        /// The datagram, kept in case it must be relayed.
         datagram: bytes::Bytes,
     },
     /// An answer from a backend server.
     Answer {
-        /// Where it came from.
+        /// Address that the answer came from.
         from: id::Endpoint,
-        /// Which sending it answers.
+        /// Attempt that is answered.
         attempt: id::Attempt,
         /// The answer.
         answer: Answer,
     },
-    /// A message from a peer, already authenticated.
+    /// An authenticated message from a peer.
     Peer {
         /// The sender.
         from: id::Holder,
         /// The message.
         body: peer::Body,
     },
-    /// A new configuration is in force.
+    /// A new configuration is in effect.
     Snapshot(Arc<Snapshot>),
     /// Rows of the slice table changed.
     Table(Arc<Table>),
-    /// The view of the other instances changed.
+    /// The view of the other instances has changed.
     Members(Arc<View>),
-    /// Give this backup all records of these slices.
+    /// Copy all records of these slices to a new backup.
     Join {
         /// The slices.
         slices: Vec<id::Slice>,
         /// The new backup.
         backup: id::Holder,
     },
-    /// Give up joining a backup; no write that names it is under way.
+    /// Cancel the copy to a new backup; no table write that names it is in
+    /// progress.
     Abandon(Vec<id::Slice>),
-    /// The instance ends soon and cannot hand its slices over: new work is refused.
+    /// This instance stops soon and cannot hand its slices over: new requests are
+    /// refused.
     Closing,
     /// Time has passed.
     Tick,
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,6 +1,6 @@
-//! Requests, their identity and their outcomes, free of any wire format.
+//! Requests, their identity and their outcomes, independent of the wire format.
 //!
-//! The codec at the edge turns datagrams into these types. The decision modules
+//! The codec at the edge converts datagrams to these types. The decision modules
 //! treat payloads as opaque bytes.
 
 use std::fmt;
@@ -9,7 +9,8 @@
 
 use crate::id;
 
-/// Identity of a request among its caller's: equal for every copy of it.
+/// Identity of a request among those of its caller, equal for every duplicate of
+/// it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Id(pub u128);
 
@@ -19,7 +20,7 @@
     }
 }
 
-/// The caller's token: names the feed or answer that a datagram belongs to.
+/// The caller's token, which names the feed or request that a datagram belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Token(pub u128);
 
@@ -32,7 +33,7 @@
 /// A caller of one service: the unit that is hashed to a slice.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Flow {
-    /// The service, known from the address that the caller used.
+    /// The service, derived from the address that the caller used.
     pub service: id::Service,
     /// The caller.
     pub caller: id::Endpoint,
@@ -49,16 +50,16 @@
 pub struct Key {
     /// Caller and service.
     pub flow: Flow,
-    /// Which of the caller's requests.
+    /// Identity among the caller's requests.
     pub id: Id,
 }
 
-/// What a datagram from a caller asks for.
+/// Kind of request that a caller's datagram carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// Idempotent: may be repeated at another server.
     Idempotent,
-    /// Non-idempotent: runs at most once.
+    /// Non-idempotent: must run at most once.
     Once,
     /// Opens a feed; idempotent.
     Open,
@@ -67,20 +68,21 @@
 }
 
 impl Kind {
-    /// Whether a second sending could make the work happen twice.
+    /// Whether forwarding the request twice could run it twice.
     pub fn runs_once(self) -> bool {
         matches!(self, Self::Once)
     }
 }
 
-/// What a datagram is of a body that may need several.
+/// Position of a datagram in a block-wise transfer (RFC 7959).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Part {
-    /// Names the body among its caller's, by resource and method.
+    /// Identifies the body among those of its caller, by resource and method.
     pub body: u64,
-    /// Whether earlier parts are at a server already, which this one must meet.
+    /// Whether a server already holds earlier blocks, so that this one must go to
+    /// that server.
     pub later: bool,
-    /// Whether the body travels to the server.
+    /// Whether the body is sent to the server.
     pub upload: bool,
 }
 
@@ -91,13 +93,13 @@
     pub flow: Flow,
     /// Identity among the caller's requests.
     pub id: Id,
-    /// Names the answer.
+    /// Token that the answer carries.
     pub token: Token,
-    /// What it asks for.
+    /// Kind of request.
     pub kind: Kind,
     /// Whether the caller expects an acknowledgement of receipt.
     pub confirmable: bool,
-    /// Which part of which body it is.
+    /// Position in a block-wise transfer.
     pub part: Part,
     /// The whole datagram, opaque here.
     pub datagram: Bytes,
@@ -113,22 +115,22 @@
     }
 }
 
-/// A receipt from a caller about one of our own messages to it.
+/// A caller's reply to one of this instance's own messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Receipt {
-    /// The message arrived.
+    /// The caller received the message.
     Acknowledged,
-    /// The caller does not want it.
+    /// The caller does not want the message.
     Rejected,
 }
 
-/// What a backend server's answer means.
+/// How a backend server treated a request, according to its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The request was handled, whatever the result.
+    /// The request was handled, whatever its result.
     Handled,
-    /// The server handled it but knows no such thing, as a server of another
-    /// service would say too.
+    /// The server handled the request and answered "not found", as a server of
+    /// another service would too.
     NotFound,
     /// The server states that it did not start the request.
     Refused,
@@ -141,24 +143,25 @@
     pub verdict: Verdict,
     /// Whether the answer belongs to a feed that stays open.
     pub feed: bool,
-    /// Whether more parts of the same body follow.
+    /// Whether more blocks of the same body follow.
     pub more: bool,
-    /// Seconds after which a server that refused wants to be asked again.
+    /// Seconds after which a server that refused may be tried again.
     pub retry_after: Option<u32>,
     /// The whole datagram, opaque here.
     pub datagram: Bytes,
 }
 
-/// The final word on a request. The three are never blurred.
+/// The final outcome of a request. The three cases are kept strictly apart.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The server's own answer.
     Answered(Bytes),
-    /// It was not run and no copy of it will be; the caller may come back.
+    /// The request was not run and no duplicate of it will be; the caller may
+    /// retry.
     NotRun {
-        /// Seconds after which to come back.
+        /// Seconds after which the caller may retry.
         retry_after: u32,
     },
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -1,4 +1,4 @@
-//! Worker threads: each runs one engine and carries out its actions.
+//! Worker threads: each runs one engine and carries out the engine's actions.
 
 use std::collections::HashMap;
 use std::net::UdpSocket;
@@ -34,23 +34,25 @@
 use crate::peer::link::Link;
 use crate::table;
 
-/// Events that may wait for a worker; what comes beyond is dropped like on a wire.
-/// The queue's memory is taken at the start, and one much longer would only keep
-/// requests until their callers have repeated them.
-const QUEUE: usize = 16_384;
+/// Capacity of a worker's input queue; further events are dropped, as on a network.
+/// The queue's memory is allocated at the start, and a much longer queue would only
+/// hold requests until their callers have repeated them.
+const QUEUE_CAPACITY: usize = 16_384;
 
-/// Longest wait between two ticks.
-const TICK: Duration = Duration::from_millis(10);
+/// Longest time between two ticks.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Events handled between two looks at the clock's ticks.
-const BATCH: usize = 256;
+/// Events handled between two checks of whether a tick is due.
+const MAX_BATCH: usize = 256;
 
-/// What a worker is given.
+/// Input of a worker.
 #[derive(Debug)]
 pub(crate) enum Input {
     /// An event.
     Event(Event),
-    /// A backend server's answer, with the message to acknowledge.
+    /// A backend server's answer; `acknowledge` is the message number to
+    /// acknowledge to the server, and `path` the index of the socket that received
+    /// the answer.
     Answer {
         event: Event,
         from: id::Endpoint,
@@ -59,17 +61,17 @@
     },
 }
 
-/// What a worker tells the control task.
+/// Report to the control task that a backup holds all records of a slice.
 #[derive(Debug)]
 pub(crate) struct Joined {
     pub(crate) slice: id::Slice,
     pub(crate) backup: id::Holder,
 }
 
-/// Told of each note.
+/// Callback that receives each event for metrics, logs and `explain`.
 pub(crate) type Observe = Box<dyn Fn(Instant, &Note) + Send + Sync>;
 
-/// Where actions go; shared by all workers.
+/// Destinations of the workers' actions; shared by all workers.
 ///
 /// Lock order: `listeners` is a leaf, held for one lookup.
 pub(crate) struct Outlet {
@@ -81,7 +83,7 @@
     pub(crate) message: AtomicUsize,
 }
 
-/// A worker's load, as it last told.
+/// Load of a worker, as of its last tick.
 #[derive(Debug, Default)]
 pub(crate) struct Gauge {
     pub(crate) in_progress: AtomicU64,
@@ -91,9 +93,9 @@
     pub(crate) dropped: AtomicU64,
 }
 
-/// The workers' inputs, and their threads.
+/// The input queues of the workers, and their threads.
 ///
-/// Lock order: `threads` is a leaf, held to take them out.
+/// Lock order: `threads` is a leaf, held only to take the handles out.
 #[derive(Debug)]
 pub(crate) struct Pool {
     senders: Vec<Sender<Input>>,
@@ -118,12 +120,12 @@
         let mut senders = Vec::new();
         let mut threads = Vec::new();
         for (number, engine) in engines.into_iter().enumerate() {
-            let (sender, receiver) = crossbeam::channel::bounded(QUEUE);
+            let (sender, receiver) = crossbeam::channel::bounded(QUEUE_CAPACITY);
             let outlet = Arc::clone(outlet);
             let gauges = Arc::clone(&gauges);
             let closed = Arc::clone(&closed);
-            let work = move || run(engine, &receiver, &outlet, &gauges[number], &closed);
-            threads.push(spawn(number, work)?);
+            let run_worker = move || run(engine, &receiver, &outlet, &gauges[number], &closed);
+            threads.push(spawn(number, run_worker)?);
             senders.push(sender);
         }
         Ok(Self {
@@ -136,11 +138,10 @@
         })
     }
 
-    /// Ends the workers; what they were given and have not taken is dropped.
+    /// Stops the workers; queued events that were not handled are dropped.
     ///
-    /// Dropping the senders is not enough: whatever still holds them would keep the
-    /// engines running, and they would go on to send for an instance that has
-    /// stopped.
+    /// Dropping the senders is not enough: as long as any clone of a sender exists,
+    /// the engines would keep running and sending for an instance that has stopped.
     pub(crate) fn close(&self) {
         self.closed.store(true, Ordering::Relaxed);
     }
@@ -161,20 +162,21 @@
         table::slice(self.slices, self.hash_key, flow)
     }
 
-    /// Gives an event to the worker that owns a slice.
+    /// Queues an event for the worker that owns the slice; drops it if the queue is
+    /// full.
     pub(crate) fn give(&self, slice: id::Slice, event: Event) {
         let worker = slice.0 as usize % self.senders.len();
         self.push(worker, Input::Event(event));
     }
 
-    /// Gives an order of the control task to the worker that owns a slice; waits
-    /// for room, since a lost order would leave the slice without a backup.
+    /// Queues a command of the control task for the worker that owns the slice;
+    /// waits for room, since a lost command would leave the slice without a backup.
     pub(crate) fn order(&self, slice: id::Slice, event: Event) {
         let worker = slice.0 as usize % self.senders.len();
         let _ = self.senders[worker].send(Input::Event(event));
     }
 
-    /// Gives a server's answer to the worker whose sending it answers; tells
+    /// Queues a server's answer for the worker whose attempt it answers; returns
     /// whether there is such a worker.
     pub(crate) fn give_answer(&self, attempt: id::Attempt, input: Input) -> bool {
         let worker = (attempt.0 >> ATTEMPT_BITS) as usize;
@@ -185,7 +187,8 @@
         known
     }
 
-    /// Gives an event to all workers; waits for room, since none may miss it.
+    /// Queues an event for all workers; waits for room, since every worker must get
+    /// it.
     pub(crate) fn tell(&self, event: &Event) {
         for sender in &self.senders {
             let _ = sender.send(Input::Event(event.clone()));
@@ -207,9 +210,9 @@
     }
 }
 
-fn spawn(number: usize, work: impl FnOnce() + Send + 'static) -> Result<JoinHandle<()>> {
+fn spawn(number: usize, run_worker: impl FnOnce() + Send + 'static) -> Result<JoinHandle<()>> {
     let builder = thread::Builder::new().name(format!("worker-{number}"));
-    builder.spawn(work).map_err(|source| Error::Io {
+    builder.spawn(run_worker).map_err(|source| Error::Io {
         step: "start worker",
         peer: "system".to_owned(),
         source,
@@ -223,20 +226,20 @@
     gauge: &Gauge,
     closed: &AtomicBool,
 ) {
-    let mut ticked = Instant::now();
+    let mut last_tick = Instant::now();
     while !closed.load(Ordering::Relaxed) {
-        match receiver.recv_timeout(TICK) {
-            Ok(input) => take(&mut engine, input, outlet),
+        match receiver.recv_timeout(TICK_INTERVAL) {
+            Ok(input) => handle_input(&mut engine, input, outlet),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
-        for input in receiver.try_iter().take(BATCH) {
-            take(&mut engine, input, outlet);
+        for input in receiver.try_iter().take(MAX_BATCH) {
+            handle_input(&mut engine, input, outlet);
         }
         let now = Instant::now();
-        if now >= ticked + TICK {
-            ticked = now;
-            act(now, engine.handle(now, Event::Tick), outlet);
+        if now >= last_tick + TICK_INTERVAL {
+            last_tick = now;
+            carry_out_all(now, engine.handle(now, Event::Tick), outlet);
             let in_progress = engine.in_progress() as u64;
             gauge.in_progress.store(in_progress, Ordering::Relaxed);
             gauge.feeds.store(engine.feeds() as u64, Ordering::Relaxed);
@@ -250,10 +253,10 @@
     }
 }
 
-fn take(engine: &mut Engine, input: Input, outlet: &Outlet) {
+fn handle_input(engine: &mut Engine, input: Input, outlet: &Outlet) {
     let now = Instant::now();
     match input {
-        Input::Event(event) => act(now, engine.handle(now, event), outlet),
+        Input::Event(event) => carry_out_all(now, engine.handle(now, event), outlet),
         Input::Answer {
             event,
             from,
@@ -266,14 +269,15 @@
                 let receipt = codec::write_receipt(message);
                 let _ = outlet.paths[path].send_to(&receipt, from.0);
             }
-            act(now, actions, outlet);
+            carry_out_all(now, actions, outlet);
         }
     }
 }
 
-fn act(now: Instant, actions: Vec<Action>, outlet: &Outlet) {
+fn carry_out_all(now: Instant, actions: Vec<Action>, outlet: &Outlet) {
     for action in actions {
-        // A datagram that cannot be written or sent is like one that is lost.
+        // A datagram that cannot be encoded or sent is treated like one lost on the
+        // network.
         let _ = carry_out(now, action, outlet);
     }
 }
@@ -287,9 +291,9 @@
             remaining,
             datagram,
         } => {
-            let message = next_message(outlet);
+            let message = next_message_number(outlet);
             let bytes = codec::write_forward(&datagram, &service, attempt, message, remaining)?;
-            let _ = path(outlet, attempt).send_to(&bytes, server.address.0);
+            let _ = socket_for(outlet, attempt).send_to(&bytes, server.address.0);
         }
         Action::Reject {
             to,
@@ -298,7 +302,7 @@
         } => {
             if let Some(message) = codec::message_number(&datagram) {
                 let bytes = codec::write_rejection(message);
-                let _ = path(outlet, attempt).send_to(&bytes, to.0);
+                let _ = socket_for(outlet, attempt).send_to(&bytes, to.0);
             }
         }
         Action::Answer {
@@ -318,14 +322,14 @@
                     Delivery::Direct => None,
                     Delivery::Separate { message } => Some(message),
                 },
-                message: next_message(outlet),
+                message: next_message_number(outlet),
                 sequence,
             };
             let bytes = codec::write_answer(&address, &outcome)?;
-            outlet.to_caller(&flow, &bytes);
+            outlet.send_to_caller(&flow, &bytes);
         }
         Action::Acknowledge { flow, id } => {
-            outlet.to_caller(&flow, &codec::write_acknowledgement(id));
+            outlet.send_to_caller(&flow, &codec::write_acknowledgement(id));
         }
         Action::Notify {
             flow,
@@ -337,7 +341,7 @@
         } => {
             let datagram = datagram.as_ref();
             let bytes = codec::write_notification(token, message, sequence, confirmable, datagram)?;
-            outlet.to_caller(&flow, &bytes);
+            outlet.send_to_caller(&flow, &bytes);
         }
         Action::Peer { to, body } => outlet.link.send(&to, body),
         Action::Joined { slice, backup } => {
@@ -349,7 +353,7 @@
 }
 
 impl Outlet {
-    fn to_caller(&self, flow: &crate::request::Flow, bytes: &[u8]) {
+    fn send_to_caller(&self, flow: &crate::request::Flow, bytes: &[u8]) {
         let listener = self.listeners.read().ok();
         let listener = listener.and_then(|known| known.get(&flow.service).map(Arc::clone));
         if let Some(listener) = listener {
@@ -358,10 +362,10 @@
     }
 }
 
-fn next_message(outlet: &Outlet) -> u16 {
+fn next_message_number(outlet: &Outlet) -> u16 {
     outlet.message.fetch_add(1, Ordering::Relaxed) as u16
 }
 
-fn path(outlet: &Outlet, attempt: id::Attempt) -> &UdpSocket {
+fn socket_for(outlet: &Outlet, attempt: id::Attempt) -> &UdpSocket {
     &outlet.paths[(attempt.0 % PATHS) as usize]
 }
