--- a/src/engine.rs
+++ b/src/engine.rs
@@ -242,24 +242,24 @@
         self.timers.push(Reverse((at, timer)));
     }
 
-    fn note(&mut self, reason: Reason) {
+    fn emit(&mut self, reason: Reason) {
         self.actions.push(Action::Note(Note::new(reason)));
     }
 
-    fn note_flow(&mut self, reason: Reason, slice: id::Slice, flow: &Flow) {
-        let note = self.flow_note(reason, slice, flow);
-        self.actions.push(Action::Note(note));
+    fn emit_flow(&mut self, reason: Reason, slice: id::Slice, flow: &Flow) {
+        let event = self.flow_event(reason, slice, flow);
+        self.actions.push(Action::Note(event));
     }
 
-    fn note_request(&mut self, reason: Reason, slice: id::Slice, key: &Key) {
-        let note = Note {
+    fn emit_request(&mut self, reason: Reason, slice: id::Slice, key: &Key) {
+        let event = Note {
             request: Some(key.id),
-            ..self.flow_note(reason, slice, &key.flow)
+            ..self.flow_event(reason, slice, &key.flow)
         };
-        self.actions.push(Action::Note(note));
+        self.actions.push(Action::Note(event));
     }
 
-    fn flow_note(&self, reason: Reason, slice: id::Slice, flow: &Flow) -> Note {
+    fn flow_event(&self, reason: Reason, slice: id::Slice, flow: &Flow) -> Note {
         let service = self.snapshot.services.get(&flow.service);
         Note {
             flow: Some(flow.clone()),
--- a/src/engine/clock.rs
+++ b/src/engine/clock.rs
@@ -48,7 +48,10 @@
         self.expire_parked(now);
         self.send_due_steps(now);
         self.release_feeds(now);
-        if self.last_sweep.is_none_or(|sweep| now >= sweep + SWEEP_INTERVAL) {
+        if self
+            .last_sweep
+            .is_none_or(|sweep| now >= sweep + SWEEP_INTERVAL)
+        {
             self.last_sweep = Some(now);
             self.move_feeds_off_leaving_servers(now);
             self.expire_pins(now);
@@ -122,8 +125,8 @@
         }
         let attempts = record.attempts.clone();
         for attempt in attempts {
-            let sending = self.sent_attempts.get(&attempt);
-            if let Some(server) = sending.map(|sending| sending.server.clone()) {
+            let sent = self.sent_attempts.get(&attempt);
+            if let Some(server) = sent.map(|sent| sent.server.clone()) {
                 self.record_server_failure(now, &server);
             }
         }
--- a/src/engine/feed.rs
+++ b/src/engine/feed.rs
@@ -1,6 +1,7 @@
-//! Feeds: opening, notifications, silence, and moves between servers and homes.
+//! Feeds: registration, notifications, silence detection, and moves between servers
+//! and homes.
 //!
-//! A move always registers at the new place before the old registration is
+//! A move always registers the feed at the new place before the old registration is
 //! dropped, so that the caller sees one unbroken sequence.
 
 use std::sync::Arc;
@@ -31,57 +32,61 @@
 use crate::server::Server;
 use crate::snapshot::Service;
 
-/// A caller that showed no sign of life for this long must acknowledge the next
-/// notification: otherwise feeds of callers that vanished would stay for ever.
+/// A caller from which no receipt came for this long must acknowledge the next
+/// notification: otherwise feeds of callers that disappeared would stay forever.
 const CONFIRM_AFTER: Duration = Duration::from_secs(30);
 
-/// Notifications without a receipt after which the caller is taken to be gone.
+/// Confirmable notifications without a receipt after which the caller is considered
+/// gone.
 const MAX_UNCONFIRMED: u32 = 4;
 
-/// Added to the sequence when another instance goes on with a feed. The copy may
-/// lag behind what the caller has seen; a caller drops what looks older.
+/// Added to the sequence when another instance continues a feed. That instance's
+/// copy may lag behind what the caller has received, and a caller drops
+/// notifications that seem older.
 pub(super) const SEQUENCE_LEAP: u32 = 1 << 16;
 
 /// Notifications after which the backup's copy of the sequence is refreshed; well
-/// under [`SEQUENCE_LEAP`], so that the leap always passes what the caller saw.
-const SEQUENCE_REFRESH: u32 = 1 << 14;
+/// below [`SEQUENCE_LEAP`], so that the leap always exceeds what the caller has
+/// received.
+const SEQUENCE_REFRESH_INTERVAL: u32 = 1 << 14;
 
-/// Wrap of the sequence (RFC 7641, section 3.4).
+/// Sequence numbers have 24 bits and wrap around (RFC 7641, section 3.4).
 pub(super) const SEQUENCE_MASK: u32 = (1 << 24) - 1;
 
-/// Message numbers back from the newest in which a receipt is looked for.
+/// Number of recent message numbers that a receipt may refer to.
 const RECEIPT_WINDOW: u16 = 256;
 
-/// Wait before a feed that no server takes is tried again.
-const RETRY_WAIT: Duration = Duration::from_secs(1);
+/// Delay before the next attempt to place a feed that no server accepts.
+const PLACEMENT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Silences after which a feed that no server takes is given up.
-const LOST_AFTER_SILENCES: u32 = 3;
+/// Silence limits after which a feed that no server accepts is ended.
+const MAX_SILENCE_PERIODS: u32 = 3;
 
 /// Added to the message numbers at each leap of the sequence. Without it the next
-/// instance would use numbers again that the caller has just seen, and the caller
-/// would drop its notifications as copies (RFC 7252, section 4.5).
+/// instance would reuse numbers that the caller has just received, and the caller
+/// would drop its notifications as duplicates (RFC 7252, section 4.5).
 const MESSAGE_LEAP: u16 = 40_503;
 
+/// Message number of the notification with this sequence number.
 fn message_number(token: Token, sequence: u32) -> u16 {
-    let salt = token.0 ^ (token.0 >> 16) ^ (token.0 >> 32) ^ (token.0 >> 48);
+    let token_bits = token.0 ^ (token.0 >> 16) ^ (token.0 >> 32) ^ (token.0 >> 48);
     let leaps = (sequence / SEQUENCE_LEAP) as u16;
-    (salt as u16)
+    (token_bits as u16)
         .wrapping_add(sequence as u16)
         .wrapping_add(leaps.wrapping_mul(MESSAGE_LEAP))
 }
 
-/// Whether a message number is one of the last of a feed.
+/// Whether a message number belongs to one of a feed's last notifications.
 fn is_recent(token: Token, newest: u32, message: u16) -> bool {
     let back = message_number(token, newest).wrapping_sub(message);
     if back <= newest as u16 && back < RECEIPT_WINDOW {
         return true;
     }
-    // Just after a leap, the last ones are those from before it.
-    let before = (newest & !(SEQUENCE_LEAP - 1)).wrapping_sub(1) & SEQUENCE_MASK;
-    let passed = (newest as u16).wrapping_add(1);
-    let back = message_number(token, before).wrapping_sub(message);
-    passed < RECEIPT_WINDOW && back < RECEIPT_WINDOW - passed
+    // Just after a leap, the last notifications include those from before it.
+    let last_before_leap = (newest & !(SEQUENCE_LEAP - 1)).wrapping_sub(1) & SEQUENCE_MASK;
+    let since_leap = (newest as u16).wrapping_add(1);
+    let back = message_number(token, last_before_leap).wrapping_sub(message);
+    since_leap < RECEIPT_WINDOW && back < RECEIPT_WINDOW - since_leap
 }
 
 /// Whether a sequence number is newer than another (RFC 7641, section 3.4).
@@ -96,26 +101,27 @@
         self.slices.get_mut(&slice)?.feeds.get_mut(key)
     }
 
-    /// Whether this instance looks after the feeds of a slice: it is home, or the
-    /// home cannot be heard and it is the backup or took the feed in itself.
+    /// Whether this instance serves the feeds of a slice: it is home, or the home
+    /// is unreachable and this instance is the backup or took the feed over itself.
     pub(super) fn serves_feeds(&self, slice: id::Slice) -> bool {
         let row = self.table.row(slice);
         let me = &self.settings.me;
         if row.is_home(me) {
             return true;
         }
-        let live = |holder: &Option<id::Holder>| {
+        let is_live = |holder: &Option<id::Holder>| {
             holder
                 .as_ref()
                 .is_some_and(|holder| self.membership.is_live(holder))
         };
-        if live(&row.home) {
+        if is_live(&row.home) {
             return false;
         }
-        row.is_backup(me) || !live(&row.backup)
+        row.is_backup(me) || !is_live(&row.backup)
     }
 
-    /// Keeps a feed that a server has just accepted; returns its first sequence.
+    /// Adds a feed that a server has just accepted; returns its first sequence
+    /// number.
     pub(super) fn insert_opened_feed(
         &mut self,
         now: Instant,
@@ -123,12 +129,12 @@
         key: FeedKey,
         datagram: Bytes,
         attempt: id::Attempt,
-        sending: &Sending,
+        sent: &Sending,
     ) -> u32 {
-        let server = Arc::clone(&sending.server);
-        let earlier = self.remove_feed(slice, &key);
-        let sequence = earlier.map_or(1, |feed| feed.sequence + 1) & SEQUENCE_MASK;
-        self.insert_sending(now, slice, &key, attempt, &server);
+        let server = Arc::clone(&sent.server);
+        let previous = self.remove_feed(slice, &key);
+        let sequence = previous.map_or(1, |feed| feed.sequence + 1) & SEQUENCE_MASK;
+        self.insert_feed_attempt(now, slice, &key, attempt, &server);
         let feed = Feed {
             datagram: datagram.as_ref().into(),
             server: server.id.clone(),
@@ -145,17 +151,18 @@
         self.insert_feed(slice, key.clone(), feed);
         self.schedule_silence_check(now, slice, &key);
         self.replicate_feed(now, slice, &key);
-        self.note_flow(Reason::FeedOpened, slice, &key.flow);
+        self.emit_flow(Reason::FeedOpened, slice, &key.flow);
         if !self.serves_feeds(slice) {
-            // The slice moved, or its home was heard again, while the server had
-            // the request. Nobody would look after the feed here: receipts go to
-            // the home, and without them it would end in silence.
+            // The slice moved, or its home became reachable again, while the server
+            // had the request. This instance does not serve feeds of the slice:
+            // receipts go to the home, and without them the feed would end without
+            // notice.
             self.hand_back_feeds(now, slice);
         }
         sequence
     }
 
-    fn insert_sending(
+    fn insert_feed_attempt(
         &mut self,
         now: Instant,
         slice: id::Slice,
@@ -192,16 +199,16 @@
     }
 
     fn drop_registrations(&mut self, feed: &Feed) {
-        // The server learns by the rejection of its next notification.
+        // The server stops after the rejection of its next notification.
         if let Some(attempt) = feed.attempt {
-            self.drop_sending(attempt);
+            self.remove_attempt(attempt);
         }
         if let Some(renewal) = &feed.renewal {
-            self.drop_sending(renewal.attempt);
+            self.remove_attempt(renewal.attempt);
         }
     }
 
-    /// Sets the feed's next look for when it has been silent too long.
+    /// Schedules the feed's next check for when the silence limit is reached.
     fn schedule_silence_check(&mut self, now: Instant, slice: id::Slice, key: &FeedKey) {
         let silence = self.feed_silence_limit(&key.flow.service);
         self.schedule_feed_check(now + silence, slice, key);
@@ -217,7 +224,9 @@
 
     fn feed_silence_limit(&self, service: &id::Service) -> Duration {
         self.service(service)
-            .map_or(RETRY_WAIT, |service| service.profile.feed_silence())
+            .map_or(PLACEMENT_RETRY_DELAY, |service| {
+                service.profile.feed_silence()
+            })
     }
 
     pub(super) fn close_feed(&mut self, now: Instant, slice: id::Slice, request: &Request) {
@@ -232,7 +241,7 @@
         if self.remove_feed(slice, key).is_none() {
             return;
         }
-        self.note_flow(reason, slice, &key.flow);
+        self.emit_flow(reason, slice, &key.flow);
         let item = peer::Item::FeedEnd(peer::FeedEnd {
             flow: Some(peer::pack_flow(&key.flow)),
             token: peer::pack_number(key.token.0),
@@ -272,12 +281,12 @@
             confirmable,
             datagram: Some(datagram),
         });
-        if sequence % SEQUENCE_REFRESH == 0 {
+        if sequence % SEQUENCE_REFRESH_INTERVAL == 0 {
             self.replicate_feed(now, slice, key);
         }
     }
 
-    /// A receipt for a notification; tells whether it was one.
+    /// Applies a receipt for a notification; returns whether it belonged to a feed.
     pub(super) fn apply_feed_receipt(
         &mut self,
         now: Instant,
@@ -321,12 +330,12 @@
         answer: Answer,
     ) {
         let Some(feed) = self.feed(slice, key) else {
-            self.drop_sending(attempt);
+            self.remove_attempt(attempt);
             return;
         };
-        let renewing = feed.renewal.as_ref().map(|renewal| renewal.attempt) == Some(attempt);
-        let open = answer.feed && answer.verdict == Verdict::Handled;
-        match (renewing, open) {
+        let is_renewal = feed.renewal.as_ref().map(|renewal| renewal.attempt) == Some(attempt);
+        let stays_open = answer.feed && answer.verdict == Verdict::Handled;
+        match (is_renewal, stays_open) {
             (true, true) => self.finish_renewal(now, slice, key, answer.datagram),
             (true, false) => self.fail_renewal(now, slice, key),
             (false, true) => self.notify(now, slice, key, answer.datagram),
@@ -341,20 +350,20 @@
         let Some(renewal) = feed.renewal.take() else {
             return;
         };
-        let moved = feed.server != renewal.server || feed.attempt.is_none();
-        let old = feed.attempt.replace(renewal.attempt);
+        let has_moved = feed.server != renewal.server || feed.attempt.is_none();
+        let old_attempt = feed.attempt.replace(renewal.attempt);
         feed.server = renewal.server;
-        if let Some(old) = old {
-            self.drop_sending(old);
+        if let Some(old_attempt) = old_attempt {
+            self.remove_attempt(old_attempt);
         }
-        let reason = if moved {
+        let reason = if has_moved {
             Reason::FeedMoved
         } else {
             Reason::FeedRefreshed
         };
-        self.note_flow(reason, slice, &key.flow);
+        self.emit_flow(reason, slice, &key.flow);
         self.notify(now, slice, key, datagram);
-        if moved {
+        if has_moved {
             self.replicate_feed(now, slice, key);
         }
         self.schedule_silence_check(now, slice, key);
@@ -368,13 +377,19 @@
             return;
         };
         feed.failed.push(renewal.server);
-        self.drop_sending(renewal.attempt);
+        self.remove_attempt(renewal.attempt);
         self.start_renewal(now, slice, key);
     }
 
-    /// The server ended the registration. If it only refuses to go on, another
-    /// server takes the feed and the caller need not know.
-    fn handle_registration_end(&mut self, now: Instant, slice: id::Slice, key: &FeedKey, answer: Answer) {
+    /// Handles the end of a registration by its server. If the server only refused
+    /// to continue, another server takes the feed and the caller need not know.
+    fn handle_registration_end(
+        &mut self,
+        now: Instant,
+        slice: id::Slice,
+        key: &FeedKey,
+        answer: Answer,
+    ) {
         let Some(feed) = self.feed(slice, key) else {
             return;
         };
@@ -382,11 +397,11 @@
             let attempt = feed.attempt.take();
             let server = feed.server.clone();
             feed.failed.push(server);
-            let renewing = feed.renewal.is_some();
+            let is_renewing = feed.renewal.is_some();
             if let Some(attempt) = attempt {
-                self.drop_sending(attempt);
+                self.remove_attempt(attempt);
             }
-            if !renewing {
+            if !is_renewing {
                 self.start_renewal(now, slice, key);
             }
             return;
@@ -394,7 +409,7 @@
         self.end_feed_with_notice(now, slice, key, Some(answer.datagram), Reason::FeedEnded);
     }
 
-    /// Tells the caller that the feed is over and forgets it.
+    /// Notifies the caller that the feed has ended and removes it.
     fn end_feed_with_notice(
         &mut self,
         now: Instant,
@@ -418,7 +433,8 @@
         self.end_feed(now, slice, key, reason);
     }
 
-    /// Registers the feed anew: at its own server if that is well, else elsewhere.
+    /// Registers the feed again: at its own server if that accepts work, else at
+    /// another.
     pub(super) fn start_renewal(&mut self, now: Instant, slice: id::Slice, key: &FeedKey) {
         let Some(service) = self.service(&key.flow.service) else {
             return;
@@ -428,13 +444,14 @@
         };
         let datagram = Bytes::copy_from_slice(&feed.datagram);
         let failed = feed.failed.clone();
-        let own = feed.server.clone();
-        let Some(server) = self.choose_feed_server(now, &service, &key.flow, &own, &failed) else {
+        let current = feed.server.clone();
+        let Some(server) = self.choose_feed_server(now, &service, &key.flow, &current, &failed)
+        else {
             self.retry_or_end_feed(now, slice, key, &service);
             return;
         };
         let attempt = self.new_attempt();
-        self.insert_sending(now, slice, key, attempt, &server);
+        self.insert_feed_attempt(now, slice, key, attempt, &server);
         if let Some(feed) = self.feed(slice, key) {
             feed.renewal = Some(Box::new(Renewal {
                 attempt,
@@ -458,42 +475,50 @@
         now: Instant,
         service: &Service,
         flow: &Flow,
-        own: &id::Server,
+        current: &id::Server,
         failed: &[id::Server],
     ) -> Option<Arc<Server>> {
-        let keep = service
-            .server(own)
-            .filter(|server| !failed.contains(own) && server.state().takes_work(now));
-        if let Some(server) = keep {
+        let kept = service
+            .server(current)
+            .filter(|server| !failed.contains(current) && server.state().takes_work(now));
+        if let Some(server) = kept {
             return Some(Arc::clone(server));
         }
         let zone = &self.settings.zone;
         balance::choose(service, flow, Work::Feed, zone, failed, now, &mut self.rng)
     }
 
-    /// No server takes the feed now: wait, and in the end tell the caller, who
-    /// would otherwise wait for ever.
-    fn retry_or_end_feed(&mut self, now: Instant, slice: id::Slice, key: &FeedKey, service: &Service) {
+    /// Handles a feed that no server accepts now: schedules another attempt, and in
+    /// the end notifies the caller, which would otherwise wait forever.
+    fn retry_or_end_feed(
+        &mut self,
+        now: Instant,
+        slice: id::Slice,
+        key: &FeedKey,
+        service: &Service,
+    ) {
         let Some(feed) = self.feed(slice, key) else {
             return;
         };
         feed.failed.clear();
-        let patience = service.profile.feed_silence() * LOST_AFTER_SILENCES;
-        if now >= feed.heard + patience {
+        let max_silence = service.profile.feed_silence() * MAX_SILENCE_PERIODS;
+        if now >= feed.heard + max_silence {
             self.end_feed_with_notice(now, slice, key, None, Reason::FeedLost);
             return;
         }
-        self.schedule_feed_check(now + RETRY_WAIT, slice, key);
+        self.schedule_feed_check(now + PLACEMENT_RETRY_DELAY, slice, key);
     }
 
-    /// Looks after a feed whose time has come.
+    /// Handles the feed's timer: starts a renewal after silence, or gives up a
+    /// renewal that got no answer in time.
     pub(super) fn check_feed(&mut self, now: Instant, slice: id::Slice, key: &FeedKey) {
         let silence = self.feed_silence_limit(&key.flow.service);
-        let tends = self.serves_feeds(slice);
+        let serves = self.serves_feeds(slice);
         let service = self.service(&key.flow.service);
-        let (true, Some(service)) = (tends, service) else {
-            // Another looks after it, or nobody can for now. If that changes back,
-            // its silence must be noticed again.
+        let (true, Some(service)) = (serves, service) else {
+            // Another instance serves the feed, or none can at the moment. If this
+            // instance serves it again later, the feed's silence must still be
+            // noticed.
             if self.feed(slice, key).is_some_and(|feed| feed.due <= now) {
                 self.schedule_feed_check(now + silence, slice, key);
             }
@@ -526,7 +551,7 @@
     }
 }
 
-/// Packs a feed for a peer.
+/// Encodes a feed for a peer.
 pub(super) fn pack_feed(key: &FeedKey, feed: &Feed) -> peer::Feed {
     peer::Feed {
         flow: Some(peer::pack_flow(&key.flow)),
--- a/src/engine/handover.rs
+++ b/src/engine/handover.rs
@@ -1,6 +1,7 @@
-//! Feeds that move between servers and instances.
+//! Moves of feeds between servers and between instances.
 //!
-//! Moves are paced, and the old registration is kept until the new one is in use.
+//! Moves are rate-limited, and the old registration is kept until the new one is in
+//! use.
 
 use std::time::Duration;
 
@@ -19,19 +20,20 @@
 use crate::record::FeedKey;
 use crate::record::Timer;
 
-/// Feeds registered anew per tick: a home that takes over thousands must not
-/// flood the servers.
+/// Feeds registered again per tick: a home that takes over thousands of feeds must
+/// not flood the servers.
 const MOVES_PER_TICK: usize = 64;
 
 /// How long a registration is kept after another instance took the feed over.
 pub(crate) const RELEASE_AFTER: Duration = Duration::from_secs(2);
 
-/// Time between two offers of feeds to the home that was unreachable.
-const RETURN_EVERY: Duration = Duration::from_millis(500);
+/// Interval at which feeds are offered to a home that became reachable again.
+const TRANSFER_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Engine {
-    /// Starts looking after the feeds of a slice that another instance had.
-    pub(super) fn queue_copied_feeds(&mut self, slice: id::Slice) {
+    /// Takes over the slice's feeds that this instance holds as copies only:
+    /// advances their sequences and queues their registration.
+    pub(super) fn take_over_copied_feeds(&mut self, slice: id::Slice) {
         let Some(state) = self.slices.get_mut(&slice) else {
             return;
         };
@@ -43,7 +45,7 @@
         }
     }
 
-    /// Registers the next few feeds that wait to be moved.
+    /// Starts the registration of the next few queued feeds.
     pub(super) fn start_queued_renewals(&mut self, now: Instant) {
         for _ in 0..MOVES_PER_TICK {
             let Some((slice, key)) = self.queued_renewals.pop_front() else {
@@ -59,7 +61,8 @@
                 continue;
             }
             if feed.attempt.is_none() {
-                // Silence is counted from now on: the copy's time is another's.
+                // The silence limit is counted from now: the times in the copy are
+                // from another instance.
                 feed.heard = now;
                 feed.confirmed = now;
             }
@@ -67,15 +70,16 @@
         }
     }
 
-    /// Finds feeds whose server has begun to leave or is gone: left alone, these
-    /// would stand still until the profile's limit of silence.
+    /// Queues moves of feeds whose server has begun to leave or is gone: without a
+    /// move, these feeds would get no notifications until the profile's silence
+    /// limit.
     pub(super) fn move_feeds_off_leaving_servers(&mut self, now: Instant) {
         let mut leaving = Vec::new();
         for service in self.snapshot.services.values() {
             for server in &service.servers {
-                let leaves = server.state().is_leaving();
-                let away = leaves || balance::is_gone(service, server, now);
-                if !away {
+                let is_leaving = server.state().is_leaving();
+                let must_vacate = is_leaving || balance::is_gone(service, server, now);
+                if !must_vacate {
                     self.leaving_servers.remove(&server.id);
                 } else if self.leaving_servers.insert(server.id.clone()) {
                     leaving.push(server.id.clone());
@@ -93,30 +97,32 @@
                 }
             }
         }
-        // A hash map's order is random: the same events must give the same moves.
+        // The iteration order of a hash map is random, but the same events must
+        // cause the same moves.
         moved.sort();
         self.queued_renewals.extend(moved);
     }
 
-    /// Hands feeds that were taken in for an unreachable home to that home, again
-    /// and again until they are released here: a lost message would end them.
+    /// Hands feeds that were taken over for an unreachable home back to that home,
+    /// repeatedly until they are released here: a lost message would end them.
     pub(super) fn hand_back_feeds(&mut self, now: Instant, slice: id::Slice) {
-        // A registration under way counts: answered later, it would go on here
-        // beside the home's own.
-        let ours = |feed: &Feed| feed.attempt.is_some() || feed.renewal.is_some();
+        // A registration in progress is included: if it were answered later, it
+        // would stay here beside the home's own.
+        let is_registered = |feed: &Feed| feed.attempt.is_some() || feed.renewal.is_some();
         let state = self.slices.get(&slice);
-        if !state.is_some_and(|state| state.feeds.values().any(ours)) {
+        if !state.is_some_and(|state| state.feeds.values().any(is_registered)) {
             return;
         }
         self.send_feed_transfers(slice);
-        for round in 1..RELEASE_AFTER.as_millis() / RETURN_EVERY.as_millis() {
-            let at = now + RETURN_EVERY * round as u32;
+        for round in 1..RELEASE_AFTER.as_millis() / TRANSFER_INTERVAL.as_millis() {
+            let at = now + TRANSFER_INTERVAL * round as u32;
             self.schedule(at, Timer::Return(slice));
         }
-        self.scheduled_releases.push_back((now + RELEASE_AFTER, slice));
+        self.scheduled_releases
+            .push_back((now + RELEASE_AFTER, slice));
     }
 
-    /// Offers feeds to the slice's home.
+    /// Sends the slice's registered feeds to its home.
     pub(super) fn send_feed_transfers(&mut self, slice: id::Slice) {
         let row = self.table.row(slice);
         let Some(home) = row.home.clone().filter(|home| *home != self.settings.me) else {
@@ -125,8 +131,8 @@
         let Some(state) = self.slices.get(&slice) else {
             return;
         };
-        let active = state.feeds.iter().filter(|(_, f)| f.attempt.is_some());
-        let offers: Vec<Action> = active
+        let registered = state.feeds.iter().filter(|(_, f)| f.attempt.is_some());
+        let transfers: Vec<Action> = registered
             .map(|(key, feed)| Action::Peer {
                 to: home.clone(),
                 body: peer::Body::Adopt(peer::Adopt {
@@ -135,37 +141,41 @@
                 }),
             })
             .collect();
-        self.actions.extend(offers);
+        self.actions.extend(transfers);
     }
 
-    /// Drops the registrations of slices that another instance looks after by now.
+    /// Drops the registrations of slices that another instance serves by now.
     pub(super) fn release_feeds(&mut self, now: Instant) {
-        while self.scheduled_releases.front().is_some_and(|(at, _)| *at <= now) {
+        while self
+            .scheduled_releases
+            .front()
+            .is_some_and(|(at, _)| *at <= now)
+        {
             let Some((_, slice)) = self.scheduled_releases.pop_front() else {
                 return;
             };
             if self.serves_feeds(slice) {
                 continue;
             }
-            let keep = self.table.row(slice).is_backup(&self.settings.me);
-            self.release_slice(slice, keep);
+            let is_backup = self.table.row(slice).is_backup(&self.settings.me);
+            self.unregister_feeds(slice, is_backup);
         }
     }
 
-    fn release_slice(&mut self, slice: id::Slice, keep: bool) {
+    fn unregister_feeds(&mut self, slice: id::Slice, is_backup: bool) {
         let Some(state) = self.slices.get_mut(&slice) else {
             return;
         };
-        let active = |(key, feed): (&FeedKey, &Feed)| {
-            let active = feed.attempt.is_some() || feed.renewal.is_some();
-            active.then(|| key.clone())
+        let registered = |(key, feed): (&FeedKey, &Feed)| {
+            let is_registered = feed.attempt.is_some() || feed.renewal.is_some();
+            is_registered.then(|| key.clone())
         };
-        let keys: Vec<FeedKey> = state.feeds.iter().filter_map(active).collect();
+        let keys: Vec<FeedKey> = state.feeds.iter().filter_map(registered).collect();
         for key in keys {
             let Some(mut feed) = self.remove_feed(slice, &key) else {
                 continue;
             };
-            if keep {
+            if is_backup {
                 feed.attempt = None;
                 feed.renewal = None;
                 self.insert_feed(slice, key, feed);
@@ -173,22 +183,23 @@
         }
     }
 
-    /// Takes in a feed that another instance served meanwhile.
+    /// As home: takes over a feed that another instance served in the meantime.
     pub(super) fn adopt_feed(&mut self, now: Instant, slice: id::Slice, key: FeedKey, feed: Feed) {
         if !self.table.row(slice).is_home(&self.settings.me) {
             return;
         }
         let sequence = (feed.sequence + SEQUENCE_LEAP) & SEQUENCE_MASK;
         if let Some(known) = self.feed(slice, &key) {
-            // Both may have served it, and the caller takes what looks newest: it
-            // would drop all that comes from here with smaller numbers.
+            // Both instances may have served the feed, and the caller accepts only
+            // the newest sequence numbers: it would drop all notifications with
+            // smaller ones from here.
             if !is_newer(feed.sequence, known.sequence) {
                 return;
             }
             known.sequence = sequence;
-            let idle = known.attempt.is_none() && known.renewal.is_none();
+            let is_unregistered = known.attempt.is_none() && known.renewal.is_none();
             self.replicate_feed(now, slice, &key);
-            if idle {
+            if is_unregistered {
                 self.queued_renewals.push_back((slice, key));
             }
             return;
--- a/src/engine/inbound.rs
+++ b/src/engine/inbound.rs
@@ -1,4 +1,4 @@
-//! What comes from callers: routing to the slice's home, copies, admission.
+//! Datagrams from callers: routing to the slice's home, duplicates, and admission.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,29 +27,30 @@
 use crate::request::Token;
 use crate::snapshot::Service;
 
-/// Relays after which a datagram is dropped: tables that disagree could send it
-/// in a circle for ever.
+/// Relays after which a datagram is dropped: instances whose tables disagree could
+/// relay it in a loop forever.
 const MAX_HOPS: u32 = 3;
 
-/// How long a non-idempotent request may wait for its slice to get a home.
-/// It covers noticing a dead home and promoting its backup.
+/// How long a non-idempotent request may wait for its slice to get a home. The time
+/// covers the detection of a failed home and the promotion of its backup.
 pub(crate) const PARK_TIME: Duration = Duration::from_secs(5);
 
-/// How long an answer may take before receipt is acknowledged by itself; under
-/// the two seconds after which a caller repeats its request.
+/// How long an answer may take before the request is acknowledged separately; less
+/// than the two seconds after which a caller repeats its request.
 pub(super) const ACKNOWLEDGE_AFTER: Duration = Duration::from_secs(1);
 
-/// Where a datagram is to be handled.
+/// Destination of a datagram.
 enum Route {
-    Here,
-    To(id::Holder),
-    Wait,
+    Local,
+    Remote(id::Holder),
+    Park,
 }
 
 impl Engine {
     pub(super) fn handle_request(&mut self, now: Instant, request: Request, hops: u32) {
-        // It may have waited in a buffer for longer than records are kept, so
-        // that its home would take it for a new one and run it again.
+        // The request may have waited in a socket buffer for longer than records
+        // are kept, so that its home would take it for a new request and run it
+        // again.
         if request.kind.runs_once() && self.is_catching_up(now) {
             self.answer_unrecorded(&request, Outcome::Unknown, Reason::UnknownDeadline);
             return;
@@ -62,65 +63,67 @@
         self.route_request(now, arrival);
     }
 
-    /// Brings a request to whoever decides for it now.
+    /// Passes a request to the instance that decides for it now.
     pub(super) fn route_request(&mut self, now: Instant, mut arrival: Arrival) {
         if self.table.is_empty() {
-            // Just started; the caller repeats it.
-            self.note(Reason::ParkFull);
+            // This instance has just started; the caller repeats the request.
+            self.emit(Reason::ParkFull);
             return;
         }
         let flow = &mut arrival.request.flow;
-        let known = self.snapshot.services.get(&flow.service);
-        let Some(service) = known.map(Arc::clone) else {
-            self.note(Reason::UnknownService);
+        let listed = self.snapshot.services.get(&flow.service);
+        let Some(service) = listed.map(Arc::clone) else {
+            self.emit(Reason::UnknownService);
             return;
         };
-        // A relayed datagram brings a copy of the name, which would be kept as
-        // long as the flow.
+        // A relayed datagram contains its own copy of the service's name, which
+        // would be kept in memory as long as the flow.
         flow.service = service.id.clone();
         let slice = self.slice_of(&arrival.request.flow);
         match self.route(slice, arrival.request.kind) {
-            Route::Here => self.admit_or_replay(now, slice, &service, arrival),
-            // Two tables that are late name each other for a moment. A request
-            // that nothing repeats waits here for the next table.
-            Route::To(_) if arrival.hops >= MAX_HOPS && arrival.request.kind.runs_once() => {
+            Route::Local => self.admit_or_replay(now, slice, &service, arrival),
+            // Two instances with outdated tables relay to each other for a moment.
+            // A non-idempotent request waits here for the next table.
+            Route::Remote(_) if arrival.hops >= MAX_HOPS && arrival.request.kind.runs_once() => {
                 self.park_request(arrival);
             }
-            Route::To(holder) => {
+            Route::Remote(holder) => {
                 let Arrival { request, hops, .. } = arrival;
                 self.relay(&holder, &request.flow, request.datagram, hops);
             }
-            Route::Wait => self.park_request(arrival),
+            Route::Park => self.park_request(arrival),
         }
     }
 
-    /// Idempotent work needs no authority: when the home cannot be heard, its
-    /// backup does it, and failing that the instance that has the datagram.
+    /// Determines where a request is handled.
+    ///
+    /// Idempotent requests need no authority: when the home is unreachable, its
+    /// backup handles them, or else the instance that has the datagram.
     fn route(&self, slice: id::Slice, kind: Kind) -> Route {
         let me = &self.settings.me;
         let row = self.table.row(slice);
         if row.is_home(me) {
-            return Route::Here;
+            return Route::Local;
         }
-        let live = |holder: &&id::Holder| self.membership.is_live(holder);
-        if let Some(home) = row.home.as_ref().filter(live) {
-            return Route::To(home.clone());
+        let is_live = |holder: &&id::Holder| self.membership.is_live(holder);
+        if let Some(home) = row.home.as_ref().filter(is_live) {
+            return Route::Remote(home.clone());
         }
         if !row.is_backup(me)
-            && let Some(backup) = row.backup.as_ref().filter(live)
+            && let Some(backup) = row.backup.as_ref().filter(is_live)
         {
-            return Route::To(backup.clone());
+            return Route::Remote(backup.clone());
         }
         if kind.runs_once() {
-            Route::Wait
+            Route::Park
         } else {
-            Route::Here
+            Route::Local
         }
     }
 
     fn relay(&mut self, to: &id::Holder, flow: &Flow, datagram: Bytes, hops: u32) {
         if hops >= MAX_HOPS {
-            self.note(Reason::TooManyHops);
+            self.emit(Reason::TooManyHops);
             return;
         }
         let body = peer::Body::Relay(peer::Relay {
@@ -133,15 +136,16 @@
             to: to.clone(),
             body,
         });
-        self.note(Reason::Relayed);
+        self.emit(Reason::Relayed);
     }
 
-    /// Takes over a request that an earlier home claimed and did not forward.
+    /// Takes over a request that the previous home claimed and did not forward.
     ///
-    /// The claim may be kept here without its acknowledgement having come there.
-    /// Without the release the caller would get "unknown" for a request that nobody
-    /// forwarded. Release and request travel in one message: apart, the request
-    /// could come first and be taken for a copy of what the other still works on.
+    /// This instance may hold the claim although its acknowledgement never reached
+    /// the previous home. Without the release the caller would get "unknown" for a
+    /// request that was never forwarded. Release and request travel in one message:
+    /// in separate messages, the request could arrive first and be taken for a
+    /// duplicate of a request that the other home is still working on.
     pub(super) fn handle_released_request(
         &mut self,
         now: Instant,
@@ -151,16 +155,21 @@
     ) {
         let slice = self.slice_of(&request.flow);
         let key = request.key();
-        // Only the claimer knows that it did not forward the request. Another one
-        // may have: this message could be a late one about an earlier claim.
-        let own = |record: &Record| {
+        // Only the home that made the claim knows that it did not forward the
+        // request. Another home may have forwarded it: this message could be a
+        // delayed one about an earlier claim.
+        let is_claimed_by_sender = |record: &Record| {
             record.phase == Phase::Claimed && record.claimer.as_ref() == Some(from)
         };
-        if self.record(slice, &key).is_some_and(|record| own(record)) {
+        if self
+            .record(slice, &key)
+            .is_some_and(|record| is_claimed_by_sender(record))
+        {
             self.remove_record(slice, &key);
         }
         if self.table.row(slice).is_home(from) {
-            // The table here is late and would send it back.
+            // The table here is outdated, and routing by it would send the request
+            // back.
             self.park_request(Arrival {
                 request,
                 hops,
@@ -173,29 +182,29 @@
 
     fn park_request(&mut self, arrival: Arrival) {
         let request = &arrival.request;
-        let same = |parked: &Arrival| {
+        let is_duplicate = |parked: &Arrival| {
             parked.request.id == request.id && parked.request.flow == request.flow
         };
-        if self.parked_requests.iter().any(same) {
+        if self.parked_requests.iter().any(is_duplicate) {
             return;
         }
         if self.parked_requests.len() >= self.settings.max_parked {
-            self.note(Reason::ParkFull);
+            self.emit(Reason::ParkFull);
             return;
         }
-        self.note(Reason::Parked);
+        self.emit(Reason::Parked);
         self.parked_requests.push_back(arrival);
     }
 
-    /// Tries the waiting requests again after the table or the view has changed.
+    /// Routes the parked requests again after the table or the view has changed.
     pub(super) fn retry_parked(&mut self, now: Instant) {
-        // After a pause of this process their time may be over already: the
-        // caller would have its booking run long after it gave up.
+        // After a pause of this process their time may be over already: a booking
+        // would run long after its caller has given up.
         self.expire_parked(now);
         for parked in std::mem::take(&mut self.parked_requests) {
             let slice = self.slice_of(&parked.request.flow);
             match self.route(slice, parked.request.kind) {
-                Route::Wait => self.parked_requests.push_back(parked),
+                Route::Park => self.parked_requests.push_back(parked),
                 _ => {
                     let hops = parked.hops.min(MAX_HOPS - 1);
                     self.route_request(now, Arrival { hops, ..parked });
@@ -204,30 +213,30 @@
         }
     }
 
-    /// Gives up on requests that have waited long enough.
+    /// Answers requests that have waited for a home for too long.
     pub(super) fn expire_parked(&mut self, now: Instant) {
-        let over = |parked: &Arrival| now >= parked.since + PARK_TIME;
-        if !self.parked_requests.iter().any(over) {
+        let has_expired = |parked: &Arrival| now >= parked.since + PARK_TIME;
+        if !self.parked_requests.iter().any(has_expired) {
             return;
         }
         let parked = std::mem::take(&mut self.parked_requests);
-        let (late, waiting) = parked.into_iter().partition(over);
+        let (expired, waiting) = parked.into_iter().partition(has_expired);
         self.parked_requests = waiting;
-        let late: Park = late;
-        for parked in late {
-            // Another copy may have reached the home before it fell silent, so
-            // "not run" would be a guess.
+        let expired: Park = expired;
+        for parked in expired {
+            // A duplicate may have reached the home before it failed, so "not run"
+            // could be wrong.
             self.answer_unrecorded(&parked.request, Outcome::Unknown, Reason::UnknownNoHome);
         }
     }
 
-    /// Answers without keeping a record.
+    /// Answers a request without keeping a record of it.
     fn answer_unrecorded(&mut self, request: &Request, outcome: Outcome, reason: Reason) {
         let (token, confirmable) = (request.token, request.confirmable);
         self.answer_directly(request.key(), token, confirmable, outcome, reason);
     }
 
-    /// Answers a datagram of the caller with no record of the answer.
+    /// Answers a caller's datagram without recording the answer.
     pub(super) fn answer_directly(
         &mut self,
         key: Key,
@@ -237,7 +246,7 @@
         reason: Reason,
     ) {
         let slice = self.slice_of(&key.flow);
-        self.note_request(reason, slice, &key);
+        self.emit_request(reason, slice, &key);
         self.actions.push(Action::Answer {
             flow: key.flow,
             id: key.id,
@@ -249,7 +258,13 @@
         });
     }
 
-    fn admit_or_replay(&mut self, now: Instant, slice: id::Slice, service: &Service, arrival: Arrival) {
+    fn admit_or_replay(
+        &mut self,
+        now: Instant,
+        slice: id::Slice,
+        service: &Service,
+        arrival: Arrival,
+    ) {
         let key = arrival.request.key();
         let state = self.slices.entry(slice).or_default();
         if state.records.contains_key(&key) {
@@ -261,7 +276,8 @@
         }
     }
 
-    /// A copy of a request that is known here never causes work.
+    /// Handles a duplicate of a request that has a record here. A duplicate is
+    /// never forwarded.
     fn handle_duplicate(&mut self, now: Instant, slice: id::Slice, key: &Key, request: &Request) {
         let Some(record) = self.slices.get(&slice).and_then(|s| s.records.get(key)) else {
             return;
@@ -270,7 +286,7 @@
         match record.phase.clone() {
             Phase::Settled(outcome) => {
                 let sequence = record.sequence;
-                self.note_request(Reason::Replayed, slice, key);
+                self.emit_request(Reason::Replayed, slice, key);
                 self.actions.push(Action::Answer {
                     flow: key.flow.clone(),
                     id: key.id,
@@ -283,14 +299,14 @@
                 });
             }
             Phase::Claimed if self.may_be_answered_elsewhere(now, slice, key) => {
-                self.note_request(Reason::CopyIgnored, slice, key);
+                self.emit_request(Reason::CopyIgnored, slice, key);
                 self.schedule_answer_at_deadline(slice, key, request);
             }
             Phase::Claimed => {
                 self.answer_unrecorded(request, Outcome::Unknown, Reason::UnknownClaimed);
             }
             Phase::Claiming(_) | Phase::Sent => {
-                self.note_request(Reason::CopyIgnored, slice, key);
+                self.emit_request(Reason::CopyIgnored, slice, key);
                 if separate.is_some() {
                     self.actions.push(Action::Acknowledge {
                         flow: key.flow.clone(),
@@ -303,10 +319,11 @@
 
     /// Whether the home that claimed a request may still answer it.
     ///
-    /// It may for as long as the request has time: a home in a planned move finishes
-    /// what it has, and one that is cut off from its peers is silent here and answers
-    /// its callers all the same. Told "unknown" meanwhile, a caller gives up before its
-    /// answer comes. At the deadline that home says "unknown" itself.
+    /// It may until the request's deadline: a home in a planned move finishes the
+    /// requests that it has, and one that is cut off from its peers seems to have
+    /// failed but still answers its callers. A caller that got "unknown" in the
+    /// meantime would give up before the answer arrives. At the deadline that home
+    /// answers "unknown" itself.
     fn may_be_answered_elsewhere(&self, now: Instant, slice: id::Slice, key: &Key) -> bool {
         let state = self.slices.get(&slice);
         let Some(record) = state.and_then(|state| state.records.get(key)) else {
@@ -317,10 +334,11 @@
         !has_ended && now < record.born + self.deadline(&key.flow.service)
     }
 
-    /// Keeps in mind that the sender of this copy waits for a word.
+    /// Records that the sender of this duplicate waits for an answer.
     ///
-    /// Copies are doubling pauses apart: if the home that claimed the request is dead,
-    /// the next one would come, and get its "unknown", long after the deadline.
+    /// The intervals between duplicates double: if the home that claimed the
+    /// request has failed, the next duplicate, and with it the answer "unknown",
+    /// would come long after the deadline.
     fn schedule_answer_at_deadline(&mut self, slice: id::Slice, key: &Key, request: &Request) {
         let deadline = self.deadline(&key.flow.service);
         let Some(record) = self.record(slice, key) else {
@@ -335,22 +353,29 @@
         self.schedule(due, Timer::Deadline(slice, key.clone()));
     }
 
-    fn admit_non_idempotent(&mut self, now: Instant, slice: id::Slice, service: &Service, arrival: Arrival) {
+    fn admit_non_idempotent(
+        &mut self,
+        now: Instant,
+        slice: id::Slice,
+        service: &Service,
+        arrival: Arrival,
+    ) {
         let Arrival { request, since, .. } = arrival;
         let blank = self.slices.get(&slice).and_then(|state| state.blank_since);
         if !self.membership.has_authority(now) {
             self.answer_unrecorded(&request, Outcome::Unknown, Reason::UnknownAuthority);
             return;
         }
-        // The records of an earlier home are lost. A request seen within one copy
-        // lifetime of the takeover may be a copy of one that it let run.
+        // The records of the previous home are lost. A request that arrives within
+        // one copy lifetime of the takeover may be a duplicate of one that the
+        // previous home let run.
         if blank.is_some_and(|since| now < since + service.profile.copy_lifetime()) {
             self.answer_unrecorded(&request, Outcome::Unknown, Reason::UnknownBlank);
             return;
         }
         if self.records >= self.settings.max_flows {
-            // Nothing can be kept of it, and "not run" would need a record that
-            // stops later copies.
+            // No record can be kept, and "not run" would need a record that stops
+            // later duplicates.
             self.answer_unrecorded(&request, Outcome::Unknown, Reason::UnknownLimit);
             return;
         }
@@ -361,7 +386,7 @@
                 reason,
             },
         };
-        // The time it waited for a home counts.
+        // The time that the request waited for a home counts toward its deadline.
         let key = self.insert_open_record(since, slice, service, request, Phase::Claiming(intent));
         self.usage(&service.id)
             .budget
@@ -369,7 +394,13 @@
         self.claim(now, slice, &key);
     }
 
-    fn admit_idempotent(&mut self, now: Instant, slice: id::Slice, service: &Service, request: Request) {
+    fn admit_idempotent(
+        &mut self,
+        now: Instant,
+        slice: id::Slice,
+        service: &Service,
+        request: Request,
+    ) {
         let refusal = Outcome::NotRun {
             retry_after: service.profile.retry_after_s,
         };
@@ -398,7 +429,12 @@
         self.dispatch(now, slice, &key);
     }
 
-    fn exceeded_limit(&mut self, slice: id::Slice, service: &Service, flow: &Flow) -> Option<Reason> {
+    fn exceeded_limit(
+        &mut self,
+        slice: id::Slice,
+        service: &Service,
+        flow: &Flow,
+    ) -> Option<Reason> {
         if self.is_stopping {
             return Some(Reason::RefusedStopping);
         }
@@ -463,8 +499,8 @@
         datagram: Bytes,
     ) {
         let slice = self.slice_of(&flow);
-        // The instance that sent the message is the one that waits for its
-        // receipt, even if the slice has just moved.
+        // The instance that sent the message is the one that waits for the receipt,
+        // even if the slice has just moved.
         if let Some(id) = self.unacknowledged_answers.remove(&(flow.clone(), message)) {
             self.confirm_answer(slice, &Key { flow, id });
             return;
@@ -475,7 +511,7 @@
         if self.table.is_empty() {
             return;
         }
-        if let Route::To(holder) = self.route(slice, Kind::Close) {
+        if let Route::Remote(holder) = self.route(slice, Kind::Close) {
             self.relay(&holder, &flow, datagram, hops);
         }
     }
--- a/src/engine/outbound.rs
+++ b/src/engine/outbound.rs
@@ -1,4 +1,4 @@
-//! Forwarding to backend servers, their answers, and final outcomes.
+//! Forwarding of requests to backend servers, and the servers' answers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,8 +29,9 @@
 use crate::server::Server;
 use crate::snapshot::Service;
 
-/// How long the server of a larger body's parts is remembered after the last one.
-const PIN_TIME: Duration = Duration::from_secs(60);
+/// How long the server that receives a block-wise transfer is remembered after the
+/// last block.
+const PIN_LIFETIME: Duration = Duration::from_secs(60);
 
 impl Engine {
     pub(super) fn record(&mut self, slice: id::Slice, key: &Key) -> Option<&mut Record> {
@@ -46,10 +47,11 @@
             .map_or(Duration::ZERO, |service| service.profile.deadline())
     }
 
-    /// The claim is safe: forward the request, or tell the caller that it is not run.
+    /// Continues a request whose claim is replicated: forwards it, or answers that
+    /// it is not run.
     pub(super) fn proceed_with_claim(&mut self, now: Instant, slice: id::Slice, key: &Key) {
         use crate::record::Intent;
-        let authority = self.membership.has_authority(now);
+        let has_authority = self.membership.has_authority(now);
         let deadline = self.deadline(&key.flow.service);
         let Some(record) = self.record(slice, key) else {
             return;
@@ -58,14 +60,15 @@
             return;
         };
         // After a pause of this process the acknowledgement can be read before the
-        // timer fires: the caller would have its booking run after it gave up.
+        // timer fires: a booking would run after its caller has given up.
         if now >= record.born + deadline {
             self.settle(now, slice, key, Outcome::Unknown, Reason::UnknownDeadline);
             return;
         }
-        // The limit may have passed while the acknowledgement was under way or
-        // this process was paused; another instance may decide by now.
-        if !authority {
+        // The authority may have expired while the acknowledgement was outstanding
+        // or this process was paused; another instance may decide for the slice by
+        // now.
+        if !has_authority {
             self.settle(now, slice, key, Outcome::Unknown, Reason::UnknownAuthority);
             return;
         }
@@ -81,7 +84,7 @@
         }
     }
 
-    /// Sends an open request to a server, or settles it if there is none.
+    /// Forwards an open request to a server, or settles it if there is none.
     pub(super) fn dispatch(&mut self, now: Instant, slice: id::Slice, key: &Key) {
         let Some(service) = self.service(&key.flow.service) else {
             self.settle(now, slice, key, Outcome::Unknown, Reason::UnknownService);
@@ -95,7 +98,7 @@
         }
         let (part, kind) = (record.part, record.kind);
         let tried = record.tried.clone();
-        let waiting = !record.attempts.is_empty();
+        let has_open_attempts = !record.attempts.is_empty();
         let pinned = if part.later {
             self.pinned_server(now, slice, &service, key)
         } else {
@@ -123,7 +126,7 @@
                 }
                 self.dispatch(now, slice, key);
             }
-            None if waiting => {}
+            None if has_open_attempts => {}
             None => {
                 let reason = if tried.is_empty() {
                     Reason::RefusedNoServer
@@ -136,9 +139,9 @@
         }
     }
 
-    /// The server that has the earlier parts of the body, even if it is leaving: the
-    /// body is work in progress there. It is asked again if it is late, since no
-    /// other server can do anything with the part.
+    /// The server that has the earlier blocks of the body, even if it is leaving:
+    /// the transfer is work in progress there. The server is used again even after
+    /// a timeout, since no other server can use the block.
     fn pinned_server(
         &self,
         now: Instant,
@@ -148,9 +151,9 @@
     ) -> Option<Arc<Server>> {
         let pin = self.pin(slice, key)?;
         let server = service.server(&pin.server)?;
-        let fresh = now < pin.used + PIN_TIME;
-        let usable = fresh && balance::may_return(service, server, now);
-        usable.then(|| Arc::clone(server))
+        let is_recent = now < pin.used + PIN_LIFETIME;
+        let is_usable = is_recent && balance::may_return(service, server, now);
+        is_usable.then(|| Arc::clone(server))
     }
 
     fn pin(&self, slice: id::Slice, key: &Key) -> Option<&Pin> {
@@ -181,10 +184,10 @@
         state.pins.insert((key.flow.clone(), record.part.body), pin);
     }
 
-    /// Forgets the servers of bodies that were given up.
+    /// Forgets the servers of transfers that were abandoned.
     pub(super) fn expire_pins(&mut self, now: Instant) {
         for state in self.slices.values_mut() {
-            state.pins.retain(|_, pin| now < pin.used + PIN_TIME);
+            state.pins.retain(|_, pin| now < pin.used + PIN_LIFETIME);
         }
     }
 
@@ -204,13 +207,13 @@
         record.attempts.push(attempt);
         record.tried.push(server.id.clone());
         let deadline = record.born + service.profile.deadline();
-        let once = record.kind.runs_once();
+        let runs_once = record.kind.runs_once();
         let later = record.part.later;
         let datagram = record.datagram.clone();
         if later {
             self.set_pin(now, slice, key, &server, attempt);
         }
-        if !once {
+        if !runs_once {
             let timer = Timer::Attempt(slice, key.clone(), attempt);
             self.schedule(now + service.profile.attempt_timeout(), timer);
         }
@@ -223,7 +226,7 @@
                 since: now,
             },
         );
-        self.note_forwarded(slice, key, &server);
+        self.emit_forwarded(slice, key, &server);
         self.actions.push(Action::Forward {
             server,
             attempt,
@@ -233,9 +236,9 @@
         });
     }
 
-    /// A number for a sending to this server. A server puts a body together by the
-    /// endpoint that its parts come from: a part from another socket of ours would
-    /// be refused as incomplete.
+    /// A number for an attempt at this server. A server assembles a body by the
+    /// endpoint that its blocks come from: it would refuse a block from another
+    /// socket as incomplete.
     fn new_attempt_for(&mut self, slice: id::Slice, key: &Key, server: &Server) -> id::Attempt {
         let mut attempt = self.new_attempt();
         let later = self
@@ -257,7 +260,8 @@
         id::Attempt(u64::from(self.settings.worker) << ATTEMPT_BITS | self.next_attempt)
     }
 
-    /// An idempotent request's server is late: ask one more, within the budget.
+    /// Handles an attempt without an answer in time: tries one more server, within
+    /// the retry budget. Only idempotent requests are retried.
     pub(super) fn retry(
         &mut self,
         now: Instant,
@@ -272,8 +276,8 @@
             return;
         }
         let tries = record.tried.len() as u32;
-        if let Some(sending) = self.sent_attempts.get(&attempt) {
-            let server = Arc::clone(&sending.server);
+        if let Some(sent) = self.sent_attempts.get(&attempt) {
+            let server = Arc::clone(&sent.server);
             self.record_server_failure(now, &server);
         }
         let Some(service) = self.service(&key.flow.service) else {
@@ -283,10 +287,10 @@
             return;
         }
         if !self.usage(&service.id).budget.withdraw() {
-            self.note_request(Reason::RetryDenied, slice, key);
+            self.emit_request(Reason::RetryDenied, slice, key);
             return;
         }
-        self.note_request(Reason::Retried, slice, key);
+        self.emit_request(Reason::Retried, slice, key);
         self.dispatch(now, slice, key);
     }
 
@@ -297,11 +301,12 @@
         attempt: id::Attempt,
         answer: Answer,
     ) {
-        let sending = self.sent_attempts.get(&attempt);
-        // An answer counts only if it comes from the server that was asked and
-        // the sending is still of use: anything else could be another request's.
-        let Some(sending) = sending.filter(|sending| sending.server.address == from) else {
-            self.note(Reason::ForeignAnswer);
+        let sent = self.sent_attempts.get(&attempt);
+        // An answer is used only if it comes from the server that got the attempt
+        // and the attempt is still open: any other answer could belong to another
+        // request.
+        let Some(sent) = sent.filter(|sent| sent.server.address == from) else {
+            self.emit(Reason::ForeignAnswer);
             if answer.feed {
                 self.actions.push(Action::Reject {
                     to: from,
@@ -311,13 +316,13 @@
             }
             return;
         };
-        let slice = sending.slice;
+        let slice = sent.slice;
         match answer.verdict {
-            Verdict::Handled => sending.server.prove(sending.since),
-            Verdict::NotFound => sending.server.doubt(now),
+            Verdict::Handled => sent.server.prove(sent.since),
+            Verdict::NotFound => sent.server.doubt(now),
             Verdict::Refused => {}
         }
-        match sending.purpose.clone() {
+        match sent.purpose.clone() {
             Purpose::Request(key) => self.handle_request_answer(now, slice, &key, attempt, answer),
             Purpose::Feed(key) => self.handle_feed_answer(now, slice, &key, attempt, answer),
         }
@@ -333,11 +338,14 @@
     ) {
         match answer.verdict {
             Verdict::Refused => self.handle_refusal(now, slice, key, attempt, &answer),
-            Verdict::Handled | Verdict::NotFound => self.handle_final_answer(now, slice, key, attempt, answer),
+            Verdict::Handled | Verdict::NotFound => {
+                self.handle_final_answer(now, slice, key, attempt, answer)
+            }
         }
     }
 
-    /// The server states that it did not start the request, so that another may.
+    /// The server states that it did not start the request, so that another server
+    /// may run it.
     fn handle_refusal(
         &mut self,
         now: Instant,
@@ -346,27 +354,27 @@
         attempt: id::Attempt,
         answer: &Answer,
     ) {
-        let Some(sending) = self.drop_sending(attempt) else {
+        let Some(sent) = self.remove_attempt(attempt) else {
             return;
         };
-        self.pause_server(now, &sending.server, answer.retry_after);
+        self.pause_server(now, &sent.server, answer.retry_after);
         let Some(record) = self.record(slice, key) else {
             return;
         };
-        record.attempts.retain(|open| *open != attempt);
-        let waiting = !record.attempts.is_empty();
+        record.attempts.retain(|other| *other != attempt);
+        let has_open_attempts = !record.attempts.is_empty();
         let tries = record.tried.len() as u32;
         let later = record.part.later;
         let Some(service) = self.service(&key.flow.service) else {
             return;
         };
-        // Another server has none of the earlier parts: the caller, told to come
-        // back, can go on where it is.
-        let more = tries < service.profile.max_attempts && !later;
-        if more && self.usage(&service.id).budget.withdraw() {
-            self.note_request(Reason::Retried, slice, key);
+        // Another server has none of the earlier blocks: the caller, told to retry
+        // later, can continue with this server.
+        let may_retry = tries < service.profile.max_attempts && !later;
+        if may_retry && self.usage(&service.id).budget.withdraw() {
+            self.emit_request(Reason::Retried, slice, key);
             self.dispatch(now, slice, key);
-        } else if !waiting {
+        } else if !has_open_attempts {
             let retry_after = answer.retry_after.unwrap_or(service.profile.retry_after_s);
             let outcome = Outcome::NotRun { retry_after };
             self.settle(now, slice, key, outcome, Reason::RefusedByServer);
@@ -376,7 +384,7 @@
     fn pause_server(&mut self, now: Instant, server: &Server, retry_after: Option<u32>) {
         let asked = Duration::from_secs(retry_after.unwrap_or(0).into());
         server.refuse(now, asked);
-        self.note(Reason::ServerPaused);
+        self.emit(Reason::ServerPaused);
     }
 
     fn handle_final_answer(
@@ -387,28 +395,28 @@
         attempt: id::Attempt,
         answer: Answer,
     ) {
-        let Some(sending) = self.drop_sending(attempt) else {
+        let Some(sent) = self.remove_attempt(attempt) else {
             return;
         };
-        sending.server.succeed();
+        sent.server.succeed();
         let Some(record) = self.record(slice, key) else {
             return;
         };
         if !record.is_open() {
             return;
         }
-        record.attempts.retain(|open| *open != attempt);
-        let open = record.kind == Kind::Open && answer.feed;
+        record.attempts.retain(|other| *other != attempt);
+        let opens_feed = record.kind == Kind::Open && answer.feed;
         let (token, datagram) = (record.token, record.datagram.clone());
         if answer.more {
-            self.set_pin(now, slice, key, &sending.server, attempt);
+            self.set_pin(now, slice, key, &sent.server, attempt);
         }
-        if open {
+        if opens_feed {
             let feed = FeedKey {
                 flow: key.flow.clone(),
                 token,
             };
-            let sequence = self.insert_opened_feed(now, slice, feed, datagram, attempt, &sending);
+            let sequence = self.insert_opened_feed(now, slice, feed, datagram, attempt, &sent);
             if let Some(record) = self.record(slice, key) {
                 record.sequence = Some(sequence);
             }
@@ -417,19 +425,19 @@
         self.settle(now, slice, key, outcome, Reason::Answered);
     }
 
-    /// Ends a sending and gives its place at the server back.
-    pub(super) fn drop_sending(&mut self, attempt: id::Attempt) -> Option<Sending> {
-        let sending = self.sent_attempts.remove(&attempt)?;
-        let mut state = sending.server.state();
-        match sending.purpose {
+    /// Removes an attempt and frees its slot at the server.
+    pub(super) fn remove_attempt(&mut self, attempt: id::Attempt) -> Option<Sending> {
+        let sent = self.sent_attempts.remove(&attempt)?;
+        let mut state = sent.server.state();
+        match sent.purpose {
             Purpose::Request(_) => state.outstanding = state.outstanding.saturating_sub(1),
             Purpose::Feed(_) => state.feeds = state.feeds.saturating_sub(1),
         }
         drop(state);
-        Some(sending)
+        Some(sent)
     }
 
-    /// Counts a failure of a server and lets it rest after too many in a row.
+    /// Counts a failure of a server and ejects it after too many in a row.
     pub(super) fn record_server_failure(&mut self, now: Instant, server: &Server) {
         let failures = server.fail();
         let Some(service) = self.service(&server.service) else {
@@ -438,35 +446,36 @@
         if failures < service.profile.eject_after {
             return;
         }
-        // When most servers look bad, the cause is more likely on our side or
-        // shared by all: sending everything to the few left would break them too.
-        let away = |server: &&Arc<Server>| server.state().is_resting(now);
-        let resting = service.servers.iter().filter(away).count();
+        // When most servers fail, the cause is more likely on this side or common
+        // to all: sending everything to the few that are left would overload them
+        // too.
+        let in_cooldown = |server: &&Arc<Server>| server.state().is_resting(now);
+        let cooling = service.servers.iter().filter(in_cooldown).count();
         let floor = service.servers.len() * service.profile.eject_floor_percent as usize;
-        let stay = (service.servers.len() - resting).saturating_sub(1) * 100;
-        if stay < floor {
-            self.note(Reason::EjectionDenied);
+        let remaining = (service.servers.len() - cooling).saturating_sub(1) * 100;
+        if remaining < floor {
+            self.emit(Reason::EjectionDenied);
             return;
         }
-        let rest = Duration::from_secs(service.profile.eject_rest_s);
+        let cooldown = Duration::from_secs(service.profile.eject_rest_s);
         let mut state = server.state();
         state.failures = 0;
-        state.ejected_until = Some(now + rest);
+        state.ejected_until = Some(now + cooldown);
         drop(state);
-        self.note(Reason::Ejected);
+        self.emit(Reason::Ejected);
     }
 
-    fn note_forwarded(&mut self, slice: id::Slice, key: &Key, server: &Server) {
-        let note = Note {
+    fn emit_forwarded(&mut self, slice: id::Slice, key: &Key, server: &Server) {
+        let event = Note {
             request: Some(key.id),
             server: Some(server.id.clone()),
-            ..self.flow_note(Reason::Forwarded, slice, &key.flow)
+            ..self.flow_event(Reason::Forwarded, slice, &key.flow)
         };
-        self.actions.push(Action::Note(note));
+        self.actions.push(Action::Note(event));
     }
 
-    /// Notes a final outcome with the time since the first copy arrived.
-    pub(super) fn note_settled(
+    /// Reports a final outcome with the time since the first datagram arrived.
+    pub(super) fn emit_settled(
         &mut self,
         reason: Reason,
         slice: id::Slice,
@@ -474,12 +483,12 @@
         server: Option<id::Server>,
         elapsed: Duration,
     ) {
-        let note = Note {
+        let event = Note {
             request: Some(key.id),
             server,
             elapsed: Some(elapsed),
-            ..self.flow_note(reason, slice, &key.flow)
+            ..self.flow_event(reason, slice, &key.flow)
         };
-        self.actions.push(Action::Note(note));
+        self.actions.push(Action::Note(event));
     }
 }
--- a/src/engine/ownership.rs
+++ b/src/engine/ownership.rs
@@ -1,4 +1,5 @@
-//! Becoming home or backup of a slice, and ceasing to be.
+//! Transitions of this instance's roles: becoming home or backup of a slice, and
+//! losing the role.
 
 use std::sync::Arc;
 
@@ -29,23 +30,24 @@
         if before.live == self.membership.live {
             return;
         }
-        let mine = |(slice, _): &(id::Slice, &Row)| self.owns(*slice);
-        let slices: Vec<id::Slice> = self.table.rows().filter(mine).map(|(s, _)| s).collect();
+        let is_owned = |(slice, _): &(id::Slice, &Row)| self.owns(*slice);
+        let slices: Vec<id::Slice> = self.table.rows().filter(is_owned).map(|(s, _)| s).collect();
         for slice in slices {
             self.review_feeds(now, slice);
         }
         self.retry_parked(now);
     }
 
-    /// Takes up or hands back the feeds of a slice after the view has changed.
+    /// Takes over or hands back the feeds of a slice after the view or the row has
+    /// changed.
     fn review_feeds(&mut self, now: Instant, slice: id::Slice) {
         let row = self.table.row(slice);
         if row.is_home(&self.settings.me) || !self.slices.contains_key(&slice) {
             return;
         }
-        let backup = row.is_backup(&self.settings.me);
-        match (self.serves_feeds(slice), backup) {
-            (true, true) => self.queue_copied_feeds(slice),
+        let is_backup = row.is_backup(&self.settings.me);
+        match (self.serves_feeds(slice), is_backup) {
+            (true, true) => self.take_over_copied_feeds(slice),
             (true, false) => {}
             (false, _) => self.hand_back_feeds(now, slice),
         }
@@ -61,20 +63,20 @@
             .collect();
         for (slice, row) in rows {
             let known = before.get(slice);
-            let continued = known.is_some_and(|known| row.continues(known));
-            self.update_row(now, slice, row, continued);
+            let is_continuation = known.is_some_and(|known| row.continues(known));
+            self.update_row(now, slice, row, is_continuation);
         }
         self.retry_parked(now);
     }
 
-    fn update_row(&mut self, now: Instant, slice: id::Slice, row: Row, continued: bool) {
+    fn update_row(&mut self, now: Instant, slice: id::Slice, row: Row, is_continuation: bool) {
         let state = self.slices.entry(slice).or_default();
         let before = std::mem::take(&mut state.role);
         state.epoch = row.epoch;
-        // Every instance counts the window from when it first sees the takeover,
-        // so that a planned move does not begin it anew: each one would cost the
+        // Every instance counts the window from when it first sees the takeover, so
+        // that a planned move does not restart it: each restart would cost the
         // callers another copy lifetime of unknown outcomes.
-        let since = state.blank_since.filter(|_| continued).unwrap_or(now);
+        let since = state.blank_since.filter(|_| is_continuation).unwrap_or(now);
         state.blank_since = row.blank.then_some(since);
         if row.is_home(&self.settings.me) {
             state.role = Role::Home;
@@ -97,31 +99,33 @@
     fn become_home(&mut self, slice: id::Slice) {
         let state = self.slices.entry(slice).or_default();
         state.replica = None;
-        self.queue_copied_feeds(slice);
-        self.note(Reason::HomeGained);
+        self.take_over_copied_feeds(slice);
+        self.emit(Reason::HomeGained);
     }
 
-    /// Another instance is home: what was not forwarded yet goes there, what is at
-    /// a server is finished here.
+    /// Another instance is home now: requests that were not forwarded yet are
+    /// handed over to it, those at a server are finished here.
     fn step_down(&mut self, now: Instant, slice: id::Slice) {
-        self.note(Reason::HomeLost);
+        self.emit(Reason::HomeLost);
         self.transfer_unreplicated_feeds(slice);
         let Some(state) = self.slices.get_mut(&slice) else {
             return;
         };
         state.replica = None;
-        let waiting = |(key, record): (&Key, &Record)| {
+        let unforwarded = |(key, record): (&Key, &Record)| {
             matches!(record.phase, Phase::Claiming(_)).then(|| key.clone())
         };
-        let keys = sorted(state.records.iter().filter_map(waiting));
+        let keys = sorted(state.records.iter().filter_map(unforwarded));
         for key in keys {
             self.hand_over_request(now, slice, &key);
         }
-        self.scheduled_releases.push_back((now + RELEASE_AFTER, slice));
+        self.scheduled_releases
+            .push_back((now + RELEASE_AFTER, slice));
     }
 
-    /// A feed opened just now may be unknown to the new home, which was the backup:
-    /// it would be dropped here without anybody going on with it.
+    /// Transfers feeds whose replication is not acknowledged: the new home, which
+    /// was the backup, may not know a feed opened just now, and the feed would be
+    /// dropped here without any instance continuing it.
     fn transfer_unreplicated_feeds(&mut self, slice: id::Slice) {
         let home = self.table.row(slice).home.clone();
         let replica = self.slices.get(&slice).and_then(|s| s.replica.as_ref());
@@ -189,7 +193,7 @@
         self.remove_record(slice, key);
     }
 
-    /// As home: follows what the row says about the backup.
+    /// As home: applies the row's backup.
     fn update_backup(&mut self, now: Instant, slice: id::Slice, backup: Option<id::Holder>) {
         let Some(state) = self.slices.get_mut(&slice) else {
             return;
@@ -200,7 +204,7 @@
             (None, _) => {}
             (Some(backup), Some(replica)) if replica.holder == backup => {
                 replica.installed = true;
-                self.note(Reason::BackupJoined);
+                self.emit(Reason::BackupJoined);
             }
             (Some(backup), _) => self.copy_slice(now, slice, &backup, true),
         }
--- a/src/engine/rebalance.rs
+++ b/src/engine/rebalance.rs
@@ -1,9 +1,10 @@
-//! Moving feeds away from servers that hold more than their share.
+//! Moves of feeds away from servers that hold more than their share.
 //!
-//! Feeds last for hours: a server that came back after a drain would stay empty
-//! all day while the others are full. How far a server may be above its share is
-//! the profile's weight between broken flows and imbalance, see
-//! [`balance::surplus`]. Moves are paced and register at the new server first.
+//! Feeds last for hours: without moves, a server that came back after a drain would
+//! have no feeds for the rest of the day while the others are full. How far a
+//! server may exceed its share follows from the profile's weight between broken
+//! flows and imbalance, see [`balance::surplus`]. Moves are rate-limited, and a
+//! feed is registered at the new server first.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,29 +17,32 @@
 use crate::record::FeedKey;
 use crate::snapshot::Service;
 
-/// Time between rounds: more than a heartbeat, so that a round sees what the
-/// round before has moved and does not move it twice.
-const EVERY: Duration = Duration::from_secs(2);
+/// Interval between rounds: longer than a heartbeat, so that a round sees the moves
+/// of the previous one and does not repeat them.
+const ROUND_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Feeds moved in one round: a burst of registrations would take the slots that
+/// Feeds moved per round: a burst of registrations would take the slots that
 /// requests need.
-const MOST_PER_ROUND: usize = 64;
+const MAX_MOVES_PER_ROUND: usize = 64;
 
 impl Engine {
-    /// Queues moves of feeds if it is time to look.
+    /// Queues moves of feeds if a round is due.
     pub(super) fn rebalance(&mut self, now: Instant) {
-        if self.last_rebalance.is_some_and(|at| now < at + EVERY) {
+        if self
+            .last_rebalance
+            .is_some_and(|at| now < at + ROUND_INTERVAL)
+        {
             return;
         }
         self.last_rebalance = Some(now);
         let snapshot = Arc::clone(&self.snapshot);
-        let mut room = MOST_PER_ROUND;
+        let mut budget = MAX_MOVES_PER_ROUND;
         for service in snapshot.services.values() {
             for surplus in balance::surplus(service, now) {
                 let feeds = self.movable_feeds_at(service, &surplus.server);
                 let share = surplus.share * feeds.len() as f64;
-                let count = (share.round() as usize).min(room);
-                room -= count;
+                let count = (share.round() as usize).min(budget);
+                budget -= count;
                 for (slice, key) in feeds.into_iter().take(count) {
                     self.queue_move(slice, key);
                 }
@@ -46,12 +50,19 @@
         }
     }
 
-    fn movable_feeds_at(&self, service: &Service, server: &id::Server) -> Vec<(id::Slice, FeedKey)> {
-        let tended = self.slices.iter().filter(|(slice, _)| self.serves_feeds(**slice));
-        let feeds = tended.flat_map(|(slice, state)| {
+    fn movable_feeds_at(
+        &self,
+        service: &Service,
+        server: &id::Server,
+    ) -> Vec<(id::Slice, FeedKey)> {
+        let served = self
+            .slices
+            .iter()
+            .filter(|(slice, _)| self.serves_feeds(**slice));
+        let feeds = served.flat_map(|(slice, state)| {
             let feeds = state.feeds.iter().filter(|(key, feed)| {
-                let settled = feed.attempt.is_some() && feed.renewal.is_none();
-                settled && feed.server == *server && key.flow.service == service.id
+                let is_settled = feed.attempt.is_some() && feed.renewal.is_none();
+                is_settled && feed.server == *server && key.flow.service == service.id
             });
             feeds.map(|(key, _)| (*slice, key.clone()))
         });
@@ -63,8 +74,8 @@
         let Some(feed) = state.and_then(|state| state.feeds.get_mut(&key)) else {
             return;
         };
-        // Named as failed, the feed's own server is not chosen again; the next
-        // notification clears it.
+        // Listed as failed, the feed's own server is not chosen again; the next
+        // notification clears the list.
         feed.failed.push(feed.server.clone());
         self.queued_renewals.push_back((slice, key));
     }
--- a/src/engine/replica.rs
+++ b/src/engine/replica.rs
@@ -1,16 +1,17 @@
-//! Replication between home and backup, and changes of the slice table.
+//! Replication between home and backup.
 //!
-//! Three rules carry the promise that a non-idempotent request runs at most once
-//! whatever is killed, cut or frozen:
+//! Three rules guarantee that a non-idempotent request runs at most once whichever
+//! processes or connections fail or are paused:
 //!
 //! 1. A home forwards a request only after its backup has acknowledged the claim.
-//! 2. A backup keeps every claim before it acknowledges it, and acknowledges none
-//!    once it knows itself to be home. One worker does both, so no claim falls
-//!    between the two.
-//! 3. A new home never runs what was claimed before.
+//! 2. A backup stores every claim before it acknowledges it, and acknowledges
+//!    none once it knows that it is home. One worker does both, so no claim is
+//!    missed between the two.
+//! 3. A new home never runs a request that was claimed before.
 //!
-//! A home that thaws after its backup took over can still forward what was
-//! acknowledged before, which the new home will not run, and nothing else.
+//! A home that resumes after its backup took over can still forward the requests
+//! whose claims were acknowledged before, which the new home will not run, and no
+//! others.
 
 use std::collections::BTreeMap;
 use std::collections::HashSet;
@@ -36,28 +37,29 @@
 use crate::request::Outcome;
 use crate::request::Token;
 
-/// Steps of a first copy that may be under way at once: more would overflow the
-/// receiver's socket and be sent again for nothing.
+/// Limit of the unacknowledged steps of a first copy: more would overflow the
+/// receiver's socket buffer and have to be sent again.
 const WINDOW: usize = 64;
 
-/// Wait before a step is sent again.
+/// Delay before a step is sent again.
 const RESEND_AFTER: Duration = Duration::from_millis(100);
 
-/// The same, to a backup that is not heard.
-const RESEND_SILENT: Duration = Duration::from_secs(1);
+/// Delay before a step is sent again to a backup that is not live.
+const RESEND_SUSPECTED_AFTER: Duration = Duration::from_secs(1);
 
 impl Engine {
-    /// Claims a request at the backup; it proceeds once that is acknowledged.
+    /// Claims a request at the backup; the request proceeds once the claim is
+    /// acknowledged.
     pub(super) fn claim(&mut self, now: Instant, slice: id::Slice, key: &Key) {
-        let alone = self
+        let has_no_backup = self
             .slices
             .get(&slice)
             .is_none_or(|state| state.replica.is_none());
-        if alone {
+        if has_no_backup {
             self.proceed_with_claim(now, slice, key);
             return;
         }
-        self.note_request(Reason::Claimed, slice, key);
+        self.emit_request(Reason::Claimed, slice, key);
         let record = self.record(slice, key);
         let age = record.map(|record| now - record.born).unwrap_or_default();
         let item = peer::Item::Claim(pack_claim(key, None, age));
@@ -111,7 +113,8 @@
         });
     }
 
-    /// Sends steps that wait for room, and again those that are late.
+    /// Sends steps that wait for room in the window, and resends those without an
+    /// acknowledgement in time.
     pub(super) fn send_due_steps(&mut self, now: Instant) {
         let slices: Vec<id::Slice> = self.unacknowledged.iter().copied().collect();
         for slice in slices {
@@ -130,14 +133,14 @@
             return;
         };
         let to = replica.holder.clone();
-        let wait = if self.membership.is_live(&to) {
+        let resend_delay = if self.membership.is_live(&to) {
             RESEND_AFTER
         } else {
-            RESEND_SILENT
+            RESEND_SUSPECTED_AFTER
         };
         let mut due = Vec::new();
         for (number, pending) in replica.pending.iter_mut().take(WINDOW) {
-            if pending.sent.is_none_or(|sent| now >= sent + wait) {
+            if pending.sent.is_none_or(|sent| now >= sent + resend_delay) {
                 pending.sent = Some(now);
                 due.push((*number, pending.item.clone()));
             }
@@ -147,8 +150,14 @@
         }
     }
 
-    /// Copies everything to a new backup. From now on claims wait for it.
-    pub(super) fn start_backup_copies(&mut self, now: Instant, slices: &[id::Slice], backup: &id::Holder) {
+    /// Starts the copy of slices to a new backup. From now on claims wait for its
+    /// acknowledgements.
+    pub(super) fn start_backup_copies(
+        &mut self,
+        now: Instant,
+        slices: &[id::Slice],
+        backup: &id::Holder,
+    ) {
         for slice in slices {
             if self.table.row(*slice).is_home(&self.settings.me) {
                 self.start_backup_copy(now, *slice, backup);
@@ -168,8 +177,9 @@
         self.copy_slice(now, slice, backup, false);
     }
 
-    /// Copies the whole slice to a backup; claims wait for it from the first step
-    /// on, so that none is known here alone when the backup is named in the table.
+    /// Copies the whole slice to a backup. Claims wait for the backup from the
+    /// first step on, so that no claim is known only here when the table names the
+    /// backup.
     pub(super) fn copy_slice(
         &mut self,
         now: Instant,
@@ -178,12 +188,16 @@
         installed: bool,
     ) {
         let state = self.slices.entry(slice).or_default();
-        let waiters = state.replica.take().map(waiters).unwrap_or_default();
+        let waiters = state
+            .replica
+            .take()
+            .map(waiting_requests)
+            .unwrap_or_default();
         let mut items = vec![peer::Item::Begin(peer::Begin {})];
         let waiting: HashSet<&Key> = waiters.iter().collect();
         let runs_once = |(key, record): (&Key, &Record)| {
-            let claim = record.kind.runs_once() && !waiting.contains(key);
-            claim.then(|| key.clone())
+            let is_claim = record.kind.runs_once() && !waiting.contains(key);
+            is_claim.then(|| key.clone())
         };
         let claims = sorted(state.records.iter().filter_map(runs_once));
         let claim = |key: &Key| {
@@ -219,7 +233,7 @@
         self.send_due_steps_of(now, slice);
     }
 
-    /// Goes on without a backup that was being joined.
+    /// Continues without a backup whose copy was in progress.
     pub(super) fn cancel_backup_copies(&mut self, now: Instant, slices: &[id::Slice]) {
         for slice in slices {
             let Some(state) = self.slices.get_mut(slice) else {
@@ -235,14 +249,18 @@
         let Some(state) = self.slices.get_mut(&slice) else {
             return;
         };
-        let keys = state.replica.take().map(waiters).unwrap_or_default();
+        let keys = state
+            .replica
+            .take()
+            .map(waiting_requests)
+            .unwrap_or_default();
         for key in keys {
             self.proceed_with_claim(now, slice, &key);
         }
     }
 
     pub(super) fn handle_peer_message(&mut self, now: Instant, from: id::Holder, body: peer::Body) {
-        let handled = match body {
+        let result = match body {
             peer::Body::Replicate(message) => self.store_step(now, &from, message),
             peer::Body::Replicated(message) => {
                 self.handle_step_ack(now, &from, &message);
@@ -250,16 +268,21 @@
             }
             peer::Body::Settle(message) => self.store_outcome(message),
             peer::Body::Adopt(message) => self.handle_feed_transfer(now, message),
-            // The rest belongs to the edge or to the control task.
+            // The other messages are handled by the edge or the control task.
             _ => Ok(()),
         };
-        if handled.is_err() {
-            self.note(Reason::BadPeerMessage);
+        if result.is_err() {
+            self.emit(Reason::BadPeerMessage);
         }
     }
 
-    /// As backup: keeps one step and acknowledges it.
-    fn store_step(&mut self, now: Instant, from: &id::Holder, message: peer::Replicate) -> Result<()> {
+    /// As backup: stores one step and acknowledges it.
+    fn store_step(
+        &mut self,
+        now: Instant,
+        from: &id::Holder,
+        message: peer::Replicate,
+    ) -> Result<()> {
         let slice = id::Slice(message.slice);
         let epoch = id::Epoch(message.epoch);
         if message.slice >= self.table.len() || !self.accepts_steps_from(slice, from, epoch) {
@@ -275,7 +298,8 @@
                     "" => from.clone(),
                     claimer => claimer.parse()?,
                 };
-                // A sender whose clock stood still tells less than it was: kept longer.
+                // If the sender's clock stood still, the stated age is too small,
+                // and the record is only kept for longer.
                 let age = Duration::from_millis(claim.age_ms);
                 let born = now.checked_sub(age).unwrap_or(now);
                 self.store_claim(now, slice, key, Record::claimed(born, claimer));
@@ -306,15 +330,15 @@
         Ok(())
     }
 
-    /// Takes the configuration's own copy of a service's name: hundreds of
-    /// thousands of copies that came in messages would take memory for nothing.
+    /// Replaces a service's name by the configuration's own copy: hundreds of
+    /// thousands of copies from messages would waste memory.
     fn intern_service_name(&self, flow: &mut Flow) {
         if let Some(service) = self.snapshot.services.get(&flow.service) {
             flow.service = service.id.clone();
         }
     }
 
-    /// The same for a server's name.
+    /// Replaces a server's name by the configuration's own copy, as for services.
     fn intern_server_name(&self, flow: &Flow, name: &mut id::Server) {
         let service = self.snapshot.services.get(&flow.service);
         if let Some(server) = service.and_then(|service| service.server(name)) {
@@ -328,8 +352,8 @@
         if row.is_home(&self.settings.me) || epoch < row.epoch {
             return false;
         }
-        // At the row's own epoch the table says who is home. At a greater one
-        // this instance's table is behind; the sender has read a newer one.
+        // At the row's own epoch the table names the home. At a greater epoch this
+        // instance's table is outdated; the sender has read a newer one.
         if epoch == row.epoch && !row.is_home(from) {
             return false;
         }
@@ -340,7 +364,7 @@
     fn store_claim(&mut self, now: Instant, slice: id::Slice, key: Key, claimed: Record) {
         let state = self.slices.entry(slice).or_default();
         if let Some(record) = state.records.get_mut(&key) {
-            // A request that was released is claimed anew, by its next home.
+            // A released request is claimed again by its next home.
             if record.phase == Phase::Claimed {
                 record.claimer = claimed.claimer;
             }
@@ -351,14 +375,14 @@
         self.schedule_record_expiry(now, slice, &key);
     }
 
-    /// Feeds from before the new copy are outdated; claims never are.
+    /// Drops feeds from before the new copy, which are outdated; claims never are.
     fn drop_outdated_feeds(&mut self, slice: id::Slice, number: u64) {
         let Some(state) = self.slices.get(&slice) else {
             return;
         };
         let outdated = |(key, feed): (&FeedKey, &Feed)| {
-            let old = feed.stamp < number && feed.attempt.is_none();
-            old.then(|| key.clone())
+            let is_outdated = feed.stamp < number && feed.attempt.is_none();
+            is_outdated.then(|| key.clone())
         };
         let keys: Vec<FeedKey> = state.feeds.iter().filter_map(outdated).collect();
         for key in keys {
@@ -366,7 +390,7 @@
         }
     }
 
-    /// As home: the backup has a step.
+    /// As home: the backup has stored a step.
     fn handle_step_ack(&mut self, now: Instant, from: &id::Holder, message: &peer::Replicated) {
         let slice = id::Slice(message.slice);
         let Some(state) = self.slices.get_mut(&slice) else {
@@ -379,12 +403,12 @@
             return;
         };
         let first = replica.pending.keys().next();
-        let copied = first.is_none_or(|first| *first > replica.copied);
-        if copied && !replica.complete {
+        let copy_acknowledged = first.is_none_or(|first| *first > replica.copied);
+        if copy_acknowledged && !replica.complete {
             replica.complete = true;
             let backup = replica.holder.clone();
             self.actions.push(Action::Joined { slice, backup });
-        } else if !copied {
+        } else if !copy_acknowledged {
             self.send_due_steps_of(now, slice);
         }
         if let Some(key) = pending.waiter {
@@ -418,8 +442,8 @@
     }
 }
 
-/// Keys in an order that does not depend on a hash map's: the same events must
-/// give the same actions.
+/// Sorts keys, whose order must not depend on that of a hash map: the same events
+/// must cause the same actions.
 pub(super) fn sorted(keys: impl Iterator<Item = Key>) -> Vec<Key> {
     let mut keys: Vec<Key> = keys.collect();
     keys.sort();
@@ -427,7 +451,7 @@
 }
 
 /// Requests that wait for a replica's acknowledgements.
-fn waiters(replica: Replica) -> Vec<Key> {
+fn waiting_requests(replica: Replica) -> Vec<Key> {
     let pending = replica.pending.into_values();
     pending.filter_map(|pending| pending.waiter).collect()
 }
--- a/src/engine/settlement.rs
+++ b/src/engine/settlement.rs
@@ -1,4 +1,4 @@
-//! Final outcomes: given once, kept for copies, repeated until received.
+//! Final outcomes: sent once, kept for duplicates, and resent until received.
 
 use std::time::Duration;
 
@@ -15,21 +15,25 @@
 use crate::request::Key;
 use crate::request::Outcome;
 
-/// First wait for the receipt of a separate answer; doubled each time.
+/// First delay before a separate answer without a receipt is sent again; doubled
+/// each time.
 const RESEND_AFTER: Duration = Duration::from_secs(2);
 
-/// Separate answers sent before the caller is taken to be gone.
+/// Times that a separate answer is resent before the caller is considered gone.
 const MAX_RESENDS: u32 = 4;
 
-/// How long copies are expected for a service whose profile is not known here.
+/// Copy lifetime (the time in which duplicates of a request may arrive) of a
+/// service whose profile is not known here.
 const DEFAULT_COPY_LIFETIME: Duration = Duration::from_secs(600);
 
-/// Added to the copy lifetime for which a record is kept: the last copy may wait
+/// Time that a record is kept beyond the copy lifetime: the last duplicate may wait
 /// for a home at another instance, or through a short pause of its process, and
-/// would run again if it found nothing.
-const KEEP_MARGIN: Duration = Duration::from_secs(20);
+/// would be run again if it found no record.
+const RECORD_MARGIN: Duration = Duration::from_secs(20);
+
 impl Engine {
-    /// Gives the final outcome at once and keeps it for copies where they matter.
+    /// Sends the final outcome at once and keeps it for duplicates where they
+    /// matter.
     pub(super) fn settle(
         &mut self,
         now: Instant,
@@ -47,8 +51,8 @@
         record.phase = Phase::Settled(outcome.clone());
         record.datagram = bytes::Bytes::new();
         let attempts = std::mem::take(&mut record.attempts);
-        let (token, confirmable, kept) = (record.token, record.confirmable, record.is_kept());
-        let once = record.kind.runs_once();
+        let (token, confirmable, is_kept) = (record.token, record.confirmable, record.is_kept());
+        let runs_once = record.kind.runs_once();
         let (separate, sequence) = (record.separate, record.sequence);
         let born = record.born;
         let server = match outcome {
@@ -56,12 +60,12 @@
             _ => None,
         };
         for attempt in attempts {
-            self.drop_sending(attempt);
+            self.remove_attempt(attempt);
         }
         self.decrement_in_progress(slice, key);
         let elapsed = now.duration_since(born);
-        self.note_settled(reason, slice, key, server, elapsed);
-        if once {
+        self.emit_settled(reason, slice, key, server, elapsed);
+        if runs_once {
             self.send_outcome_to_new_home(slice, key, token, &outcome);
         }
         let delivery = separate.map_or(Delivery::Direct, |message| Delivery::Separate { message });
@@ -75,10 +79,11 @@
             outcome,
         });
         if let Some(message) = separate {
-            self.unacknowledged_answers.insert((key.flow.clone(), message), key.id);
+            self.unacknowledged_answers
+                .insert((key.flow.clone(), message), key.id);
             self.schedule(now + RESEND_AFTER, Timer::Resend(slice, key.clone()));
         }
-        if kept {
+        if is_kept {
             self.schedule_record_expiry(now, slice, key);
         } else if separate.is_none() {
             self.remove_record(slice, key);
@@ -99,8 +104,8 @@
         }
     }
 
-    /// A request that was in progress here while its slice moved: the new home
-    /// answers copies, so it gets the answer too.
+    /// Sends the answer of a request that was in progress here while its slice
+    /// moved to the new home, which answers the duplicates.
     fn send_outcome_to_new_home(
         &mut self,
         slice: id::Slice,
@@ -128,13 +133,13 @@
     }
 
     pub(super) fn schedule_record_expiry(&mut self, now: Instant, slice: id::Slice, key: &Key) {
-        let keep = self.record_lifetime(&key.flow.service);
-        self.schedule(now + keep, Timer::Forget(slice, key.clone()));
+        let lifetime = self.record_lifetime(&key.flow.service);
+        self.schedule(now + lifetime, Timer::Forget(slice, key.clone()));
     }
 
-    /// How long a record is kept after its request came.
+    /// How long a record is kept after its request arrived.
     pub(super) fn record_lifetime(&self, service: &id::Service) -> Duration {
-        self.copy_lifetime(service) + KEEP_MARGIN
+        self.copy_lifetime(service) + RECORD_MARGIN
     }
 
     pub(super) fn copy_lifetime(&self, service: &id::Service) -> Duration {
@@ -153,11 +158,12 @@
         };
         self.records -= 1;
         if let Some(message) = record.separate {
-            self.unacknowledged_answers.remove(&(key.flow.clone(), message));
+            self.unacknowledged_answers
+                .remove(&(key.flow.clone(), message));
         }
     }
 
-    /// The caller has a separate answer.
+    /// The caller has received a separate answer.
     pub(super) fn confirm_answer(&mut self, slice: id::Slice, key: &Key) {
         let Some(record) = self.record(slice, key) else {
             return;
@@ -168,7 +174,7 @@
         }
     }
 
-    /// The receipt of a separate answer is late: send it again.
+    /// Sends a separate answer again whose receipt did not arrive in time.
     pub(super) fn resend_answer(&mut self, now: Instant, slice: id::Slice, key: &Key) {
         let Some(record) = self.record(slice, key) else {
             return;
@@ -184,9 +190,9 @@
             return;
         }
         record.resends += 1;
-        let wait = RESEND_AFTER * 2u32.pow(record.resends);
+        let delay = RESEND_AFTER * 2u32.pow(record.resends);
         let (token, confirmable, sequence) = (record.token, record.confirmable, record.sequence);
-        self.schedule(now + wait, Timer::Resend(slice, key.clone()));
+        self.schedule(now + delay, Timer::Resend(slice, key.clone()));
         self.actions.push(Action::Answer {
             flow: key.flow.clone(),
             id: key.id,
