--- a/tests/lab/mod.rs
+++ b/tests/lab/mod.rs
@@ -246,7 +246,8 @@
     }
 }
 
-/// Passes the peer messages among the actions that are addressed to one engine to it.
+/// Passes the messages that are addressed to one instance to its engine; returns the
+/// engine's actions.
 pub(crate) fn deliver(
     now: Instant,
     from: &id::Holder,
