--- a/src/engine/settlement.rs
+++ b/src/engine/settlement.rs
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Sends the answer of a request that was in progress here while its slice
-    /// moved to the new home, which answers the duplicates.
+    /// Sends the new home the answer to a request that was in progress here when
+    /// its slice moved: the new home answers the duplicates.
     fn send_outcome_to_new_home(
         &mut self,
         slice: id::Slice,
--- a/tests/claim.rs
+++ b/tests/claim.rs
@@ -121,7 +121,7 @@
 /// replaced. That instance may have run the same booking, or still be running it,
 /// so it sends no acknowledgement.
 #[test]
-fn who_believes_to_be_home_acknowledges_nothing() {
+fn an_outdated_home_acknowledges_nothing() {
     let mut pair = Pair::new(row(1, Some(&holder("a", 1)), None));
     assert_eq!(forwards(&pair.book(1)).len(), 1);
     let claim = Body::Replicate(peer::Replicate {
@@ -160,7 +160,7 @@
 /// on the older home's claims are outdated, although the backup's table still names
 /// that home.
 #[test]
-fn a_claim_of_a_newer_epoch_shuts_the_older_ones_out() {
+fn claims_of_older_epochs_are_not_acknowledged_after_a_newer_one() {
     let mut pair = Pair::joined();
     let claims = pair.book(1);
     let c = holder("c", 1);
--- a/tests/once.rs
+++ b/tests/once.rs
@@ -158,7 +158,7 @@
 /// Each outcome is then compared with the servers' own counts: no booking ran
 /// twice, every answered booking ran, and none that was reported as not run did.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_long_history_under_faults_is_told_truly() {
+async fn outcomes_under_faults_are_reported_correctly() {
     let mut cluster = start(6).await;
     let faults = Faults {
         loss: 0.03,
--- a/tests/outcome.rs
+++ b/tests/outcome.rs
@@ -240,7 +240,7 @@
 /// All blocks of one upload go to the same server, also while that server is
 /// draining.
 #[test]
-fn parts_meet_the_same_server() {
+fn blocks_go_to_the_same_server() {
     let mut pair = alone();
     let mut first = None;
     for number in 0..20 {
