--- a/benches/core.rs
+++ b/benches/core.rs
@@ -163,7 +163,7 @@
     group.bench_function("once_whole", |bencher| {
         bencher.iter_custom(|count| {
             batches(count, |size| {
-                let events = requests(&core, &mut next, size, Kind::Once);
+                let events = requests(&core, &mut next, size, Kind::NonIdempotent);
                 let (claimed, out) = run(&mut core, events);
                 let receipts = out.iter().flat_map(|actions| fixture::receipts(actions));
                 let receipts = receipts.collect();
@@ -184,7 +184,9 @@
                     next += 1;
                     Event::Peer {
                         from: fixture::holder("b"),
-                        body: peer::Body::Replicate(fixture::claim_step(&backup, next)),
+                        body: peer::PeerMessage::ReplicationStep(fixture::claim_step(
+                            &backup, next,
+                        )),
                     }
                 });
                 let events = events.collect();
@@ -210,7 +212,7 @@
 fn backup() -> Core {
     let mut core = Core::new("b", "a", 0);
     for number in 0..PROMOTED {
-        let body = peer::Body::Replicate(fixture::feed_step(&core, number));
+        let body = peer::PeerMessage::ReplicationStep(fixture::feed_step(&core, number));
         let from = fixture::holder("b");
         core.handle(Event::Peer { from, body });
     }
@@ -266,7 +268,7 @@
                             epoch: id::Epoch(epoch),
                             ..table.row(slice).clone()
                         };
-                        table.advance(slice, row);
+                        table.update_if_newer(slice, row);
                         let event = Event::Table(Arc::new(table));
                         let start = Clock::now();
                         black_box(core.handle(event));
@@ -298,7 +300,7 @@
         bencher.iter(|| codec::read_server(from, black_box(&notification)));
     });
     group.bench_function("write_answer", |bencher| {
-        let address = codec::Address {
+        let address = codec::AnswerHeader {
             id: godwitreel::request::Id(0x1234 << 72),
             token: godwitreel::request::Token(4 << 64 | 0x0102_0304),
             confirmable: true,
@@ -325,20 +327,20 @@
         from: fixture::holder("a").to_string(),
         to: "b".to_owned(),
         sequence: 1 << 20,
-        body: Some(peer::Body::Relay(peer::Relay {
+        body: Some(peer::PeerMessage::Relay(peer::Relay {
             flow: Some(peer::pack_flow(&core.flow(1))),
             datagram: Bytes::from_static(fixture::GET),
             hops: 1,
             released: false,
         })),
     };
-    let sealed = wire::seal(&keys, &envelope);
+    let sealed = wire::sign_frame(&keys, &envelope);
     let me: id::Instance = fixture::name("b");
     group.bench_function("seal", |bencher| {
-        bencher.iter(|| wire::seal(&keys, black_box(&envelope)));
+        bencher.iter(|| wire::sign_frame(&keys, black_box(&envelope)));
     });
     group.bench_function("open", |bencher| {
-        bencher.iter(|| wire::open(&keys, &me, "10.0.0.1:7000", black_box(&sealed)));
+        bencher.iter(|| wire::verify_frame(&keys, &me, "10.0.0.1:7000", black_box(&sealed)));
     });
     group.finish();
 }
--- a/src/action.rs
+++ b/src/action.rs
@@ -96,22 +96,22 @@
         /// Receiver; the message is dropped if that incarnation is unknown.
         to: id::Holder,
         /// The message.
-        body: peer::Body,
+        body: peer::PeerMessage,
     },
     /// The new backup of this slice holds all its records.
-    Joined {
+    BackupSynced {
         /// The slice.
         slice: id::Slice,
         /// The backup.
         backup: id::Holder,
     },
     /// Report an event for metrics, logs and `explain`.
-    Note(Note),
+    TraceEvent(TraceEvent),
 }
 
 /// An event that is counted, logged and shown by `explain`.
 #[derive(Clone, Debug)]
-pub struct Note {
+pub struct TraceEvent {
     /// Kind of event.
     pub reason: Reason,
     /// Flow that the event concerns.
@@ -130,7 +130,7 @@
     pub elapsed: Option<Duration>,
 }
 
-impl Note {
+impl TraceEvent {
     /// An event with only a reason.
     pub fn new(reason: Reason) -> Self {
         Self {
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -29,18 +29,18 @@
 use tokio::time::Instant;
 
 use crate::action::Action;
-use crate::action::Note;
-use crate::budget::Budget;
+use crate::action::TraceEvent;
+use crate::budget::RetryBudget;
 use crate::event::Event;
 use crate::id;
-use crate::peer::member::View;
+use crate::peer::member::MembershipView;
 use crate::reason::Reason;
 use crate::record::FeedKey;
-use crate::record::Park;
-use crate::record::Receipts;
-use crate::record::Sending;
+use crate::record::ParkedRequests;
+use crate::record::SentAttempt;
 use crate::record::Slice;
 use crate::record::Timer;
+use crate::record::UnacknowledgedAnswers;
 use crate::request::Flow;
 use crate::request::Key;
 use crate::snapshot::Snapshot;
@@ -53,7 +53,7 @@
 /// Number of sockets used toward the backend servers; an attempt's number selects
 /// one of them. A device on the network may lose its connection state for one of
 /// them; a feed without notifications is registered again from another.
-pub const PATHS: u64 = 4;
+pub const SERVER_SOCKETS: u64 = 4;
 
 /// Fixed settings of an engine.
 #[derive(Clone, Debug)]
@@ -81,7 +81,7 @@
 struct Usage {
     in_progress: u32,
     feeds: u32,
-    budget: Budget,
+    budget: RetryBudget,
 }
 
 /// The decision core of one worker.
@@ -90,12 +90,12 @@
     settings: Settings,
     snapshot: Arc<Snapshot>,
     table: Arc<Table>,
-    membership: Arc<View>,
+    membership: Arc<MembershipView>,
     slices: HashMap<id::Slice, Slice>,
-    sent_attempts: HashMap<id::Attempt, Sending>,
+    sent_attempts: HashMap<id::Attempt, SentAttempt>,
     usage: HashMap<id::Service, Usage>,
-    unacknowledged_answers: Receipts,
-    parked_requests: Park,
+    unacknowledged_answers: UnacknowledgedAnswers,
+    parked_requests: ParkedRequests,
     timers: BinaryHeap<Reverse<(Instant, Timer)>>,
     /// Slices with replication steps that are not acknowledged yet.
     unacknowledged: BTreeSet<id::Slice>,
@@ -138,8 +138,8 @@
             slices: HashMap::new(),
             sent_attempts: HashMap::new(),
             usage: HashMap::new(),
-            unacknowledged_answers: Receipts::new(),
-            parked_requests: Park::new(),
+            unacknowledged_answers: UnacknowledgedAnswers::new(),
+            parked_requests: ParkedRequests::new(),
             timers: BinaryHeap::new(),
             unacknowledged: BTreeSet::new(),
             queued_renewals: VecDeque::new(),
@@ -166,7 +166,7 @@
         self.detect_pause(now);
         match event {
             Event::Request { request, hops } => self.handle_request(now, request, hops),
-            Event::Released {
+            Event::ReleasedRequest {
                 from,
                 request,
                 hops,
@@ -186,10 +186,10 @@
             Event::Peer { from, body } => self.handle_peer_message(now, from, body),
             Event::Snapshot(snapshot) => self.snapshot = snapshot,
             Event::Table(table) => self.update_table(now, table),
-            Event::Members(members) => self.update_membership(now, members),
-            Event::Join { slices, backup } => self.start_backup_copies(now, &slices, &backup),
-            Event::Abandon(slices) => self.cancel_backup_copies(now, &slices),
-            Event::Closing => self.is_stopping = true,
+            Event::Membership(members) => self.update_membership(now, members),
+            Event::AddBackup { slices, backup } => self.start_backup_copies(now, &slices, &backup),
+            Event::CancelBackup(slices) => self.cancel_backup_copies(now, &slices),
+            Event::Stopping => self.is_stopping = true,
             Event::Tick => self.tick(now),
         }
         std::mem::take(&mut self.actions)
@@ -243,30 +243,31 @@
     }
 
     fn emit(&mut self, reason: Reason) {
-        self.actions.push(Action::Note(Note::new(reason)));
+        self.actions
+            .push(Action::TraceEvent(TraceEvent::new(reason)));
     }
 
     fn emit_flow(&mut self, reason: Reason, slice: id::Slice, flow: &Flow) {
         let event = self.flow_event(reason, slice, flow);
-        self.actions.push(Action::Note(event));
+        self.actions.push(Action::TraceEvent(event));
     }
 
     fn emit_request(&mut self, reason: Reason, slice: id::Slice, key: &Key) {
-        let event = Note {
+        let event = TraceEvent {
             request: Some(key.id),
             ..self.flow_event(reason, slice, &key.flow)
         };
-        self.actions.push(Action::Note(event));
+        self.actions.push(Action::TraceEvent(event));
     }
 
-    fn flow_event(&self, reason: Reason, slice: id::Slice, flow: &Flow) -> Note {
+    fn flow_event(&self, reason: Reason, slice: id::Slice, flow: &Flow) -> TraceEvent {
         let service = self.snapshot.services.get(&flow.service);
-        Note {
+        TraceEvent {
             flow: Some(flow.clone()),
             slice: Some(slice),
             epoch: Some(self.table.row(slice).epoch),
             revision: service.map(|service| service.revision),
-            ..Note::new(reason)
+            ..TraceEvent::new(reason)
         }
     }
 }
--- a/src/engine/clock.rs
+++ b/src/engine/clock.rs
@@ -74,9 +74,9 @@
                 Timer::Attempt(slice, key, attempt) => self.retry(now, slice, &key, attempt),
                 Timer::Deadline(slice, key) => self.expire_deadline(now, slice, &key),
                 Timer::Resend(slice, key) => self.resend_answer(now, slice, &key),
-                Timer::Forget(slice, key) => self.expire_record(now, slice, &key),
+                Timer::Expire(slice, key) => self.expire_record(now, slice, &key),
                 Timer::Feed(slice, key) => self.check_feed(now, slice, &key),
-                Timer::Return(slice) => {
+                Timer::OfferFeeds(slice) => {
                     if !self.serves_feeds(slice) {
                         self.send_feed_transfers(slice);
                     }
@@ -92,7 +92,7 @@
         let Some(record) = self.record(slice, key) else {
             return;
         };
-        let is_early = now < record.born + ACKNOWLEDGE_AFTER;
+        let is_early = now < record.received_at + ACKNOWLEDGE_AFTER;
         if is_early || !record.is_open() || record.separate.is_some() {
             return;
         }
@@ -115,7 +115,7 @@
         if !record.is_open() {
             return;
         }
-        let due = record.born + deadline;
+        let due = record.received_at + deadline;
         if now < due {
             // The timer belongs to an earlier request with the same key, which was
             // answered and whose record was removed: the duplicate has its own
@@ -141,14 +141,14 @@
         let Some(record) = self.record(slice, key) else {
             return;
         };
-        let due = record.born + deadline;
+        let due = record.received_at + deadline;
         if now < due {
             // The profile's deadline was extended since.
             self.schedule(due, Timer::Deadline(slice, key.clone()));
             return;
         }
-        let is_awaited = std::mem::take(&mut record.is_awaited);
-        if !is_awaited || !is_home {
+        let has_waiting_sender = std::mem::take(&mut record.has_waiting_sender);
+        if !has_waiting_sender || !is_home {
             return;
         }
         let (token, confirmable) = (record.token, record.confirmable);
@@ -163,7 +163,7 @@
             return;
         };
         let is_finished = record.is_settled() || record.phase == Phase::Claimed;
-        let born = record.born;
+        let born = record.received_at;
         if is_finished && now >= born + self.record_lifetime(&key.flow.service) {
             self.remove_record(slice, key);
         } else {
--- a/src/engine/feed.rs
+++ b/src/engine/feed.rs
@@ -13,7 +13,7 @@
 use super::Engine;
 use crate::action::Action;
 use crate::balance;
-use crate::balance::Work;
+use crate::balance::WorkKind;
 use crate::id;
 use crate::peer;
 use crate::reason::Reason;
@@ -21,7 +21,7 @@
 use crate::record::FeedKey;
 use crate::record::Purpose;
 use crate::record::Renewal;
-use crate::record::Sending;
+use crate::record::SentAttempt;
 use crate::record::Timer;
 use crate::request::Answer;
 use crate::request::Flow;
@@ -129,7 +129,7 @@
         key: FeedKey,
         datagram: Bytes,
         attempt: id::Attempt,
-        sent: &Sending,
+        sent: &SentAttempt,
     ) -> u32 {
         let server = Arc::clone(&sent.server);
         let previous = self.remove_feed(slice, &key);
@@ -142,11 +142,11 @@
             renewal: None,
             failed: Vec::new(),
             sequence,
-            heard: now,
+            last_notification: now,
             confirmed: now,
             unconfirmed: 0,
-            due: now,
-            stamp: 0,
+            next_check: now,
+            replication_step: 0,
         };
         self.insert_feed(slice, key.clone(), feed);
         self.schedule_silence_check(now, slice, &key);
@@ -173,7 +173,7 @@
         server.state().feeds += 1;
         self.sent_attempts.insert(
             attempt,
-            Sending {
+            SentAttempt {
                 slice,
                 purpose: Purpose::Feed(key.clone()),
                 server: Arc::clone(server),
@@ -218,7 +218,7 @@
         let Some(feed) = self.feed(slice, key) else {
             return;
         };
-        feed.due = at;
+        feed.next_check = at;
         self.schedule(at, Timer::Feed(slice, key.clone()));
     }
 
@@ -242,7 +242,7 @@
             return;
         }
         self.emit_flow(reason, slice, &key.flow);
-        let item = peer::Item::FeedEnd(peer::FeedEnd {
+        let item = peer::ReplicationItem::FeedEnd(peer::FeedEnd {
             flow: Some(peer::pack_flow(&key.flow)),
             token: peer::pack_number(key.token.0),
         });
@@ -253,7 +253,7 @@
         let Some(feed) = self.feed(slice, key) else {
             return;
         };
-        let item = peer::Item::Feed(pack_feed(key, feed));
+        let item = peer::ReplicationItem::Feed(pack_feed(key, feed));
         self.replicate(now, slice, item, None);
     }
 
@@ -262,7 +262,7 @@
             return;
         };
         feed.sequence = (feed.sequence + 1) & SEQUENCE_MASK;
-        feed.heard = now;
+        feed.last_notification = now;
         feed.failed.clear();
         let confirmable = now >= feed.confirmed + CONFIRM_AFTER;
         if confirmable {
@@ -334,7 +334,7 @@
             return;
         };
         let is_renewal = feed.renewal.as_ref().map(|renewal| renewal.attempt) == Some(attempt);
-        let stays_open = answer.feed && answer.verdict == Verdict::Handled;
+        let stays_open = answer.keeps_feed_open && answer.verdict == Verdict::Handled;
         match (is_renewal, stays_open) {
             (true, true) => self.finish_renewal(now, slice, key, answer.datagram),
             (true, false) => self.fail_renewal(now, slice, key),
@@ -485,7 +485,15 @@
             return Some(Arc::clone(server));
         }
         let zone = &self.settings.zone;
-        balance::choose(service, flow, Work::Feed, zone, failed, now, &mut self.rng)
+        balance::choose(
+            service,
+            flow,
+            WorkKind::Feed,
+            zone,
+            failed,
+            now,
+            &mut self.rng,
+        )
     }
 
     /// Handles a feed that no server accepts now: schedules another attempt, and in
@@ -502,7 +510,7 @@
         };
         feed.failed.clear();
         let max_silence = service.profile.feed_silence() * MAX_SILENCE_PERIODS;
-        if now >= feed.heard + max_silence {
+        if now >= feed.last_notification + max_silence {
             self.end_feed_with_notice(now, slice, key, None, Reason::FeedLost);
             return;
         }
@@ -519,7 +527,10 @@
             // Another instance serves the feed, or none can at the moment. If this
             // instance serves it again later, the feed's silence must still be
             // noticed.
-            if self.feed(slice, key).is_some_and(|feed| feed.due <= now) {
+            if self
+                .feed(slice, key)
+                .is_some_and(|feed| feed.next_check <= now)
+            {
                 self.schedule_feed_check(now + silence, slice, key);
             }
             return;
@@ -527,7 +538,7 @@
         let Some(feed) = self.feed(slice, key) else {
             return;
         };
-        if feed.due > now {
+        if feed.next_check > now {
             return;
         }
         let timeout = service.profile.attempt_timeout();
@@ -542,10 +553,10 @@
                 self.record_server_failure(now, &server);
             }
             self.fail_renewal(now, slice, key);
-        } else if feed.attempt.is_none() || now >= feed.heard + silence {
+        } else if feed.attempt.is_none() || now >= feed.last_notification + silence {
             self.start_renewal(now, slice, key);
         } else {
-            let at = feed.heard + silence;
+            let at = feed.last_notification + silence;
             self.schedule_feed_check(at, slice, key);
         }
     }
--- a/src/engine/handover.rs
+++ b/src/engine/handover.rs
@@ -63,7 +63,7 @@
             if feed.attempt.is_none() {
                 // The silence limit is counted from now: the times in the copy are
                 // from another instance.
-                feed.heard = now;
+                feed.last_notification = now;
                 feed.confirmed = now;
             }
             self.start_renewal(now, slice, &key);
@@ -116,7 +116,7 @@
         self.send_feed_transfers(slice);
         for round in 1..RELEASE_AFTER.as_millis() / TRANSFER_INTERVAL.as_millis() {
             let at = now + TRANSFER_INTERVAL * round as u32;
-            self.schedule(at, Timer::Return(slice));
+            self.schedule(at, Timer::OfferFeeds(slice));
         }
         self.scheduled_releases
             .push_back((now + RELEASE_AFTER, slice));
@@ -135,7 +135,7 @@
         let transfers: Vec<Action> = registered
             .map(|(key, feed)| Action::Peer {
                 to: home.clone(),
-                body: peer::Body::Adopt(peer::Adopt {
+                body: peer::PeerMessage::FeedTransfer(peer::FeedTransfer {
                     slice: slice.0,
                     feed: Some(pack_feed(key, feed)),
                 }),
@@ -206,7 +206,7 @@
         }
         let feed = Feed {
             sequence,
-            heard: now,
+            last_notification: now,
             confirmed: now,
             ..feed
         };
--- a/src/engine/inbound.rs
+++ b/src/engine/inbound.rs
@@ -12,9 +12,9 @@
 use crate::id;
 use crate::peer;
 use crate::reason::Reason;
-use crate::record::Arrival;
-use crate::record::Intent;
-use crate::record::Park;
+use crate::record::ClaimFollowUp;
+use crate::record::IncomingRequest;
+use crate::record::ParkedRequests;
 use crate::record::Phase;
 use crate::record::Record;
 use crate::record::Timer;
@@ -33,7 +33,7 @@
 
 /// How long a non-idempotent request may wait for its slice to get a home. The time
 /// covers the detection of a failed home and the promotion of its backup.
-pub(crate) const PARK_TIME: Duration = Duration::from_secs(5);
+pub(crate) const PARK_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How long an answer may take before the request is acknowledged separately; less
 /// than the two seconds after which a caller repeats its request.
@@ -51,11 +51,11 @@
         // The request may have waited in a socket buffer for longer than records
         // are kept, so that its home would take it for a new request and run it
         // again.
-        if request.kind.runs_once() && self.is_catching_up(now) {
+        if request.kind.is_non_idempotent() && self.is_catching_up(now) {
             self.answer_unrecorded(&request, Outcome::Unknown, Reason::UnknownDeadline);
             return;
         }
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             request,
             hops,
             since: now,
@@ -64,7 +64,7 @@
     }
 
     /// Passes a request to the instance that decides for it now.
-    pub(super) fn route_request(&mut self, now: Instant, mut arrival: Arrival) {
+    pub(super) fn route_request(&mut self, now: Instant, mut arrival: IncomingRequest) {
         if self.table.is_empty() {
             // This instance has just started; the caller repeats the request.
             self.emit(Reason::ParkFull);
@@ -84,11 +84,13 @@
             Route::Local => self.admit_or_replay(now, slice, &service, arrival),
             // Two instances with outdated tables relay to each other for a moment.
             // A non-idempotent request waits here for the next table.
-            Route::Remote(_) if arrival.hops >= MAX_HOPS && arrival.request.kind.runs_once() => {
+            Route::Remote(_)
+                if arrival.hops >= MAX_HOPS && arrival.request.kind.is_non_idempotent() =>
+            {
                 self.park_request(arrival);
             }
             Route::Remote(holder) => {
-                let Arrival { request, hops, .. } = arrival;
+                let IncomingRequest { request, hops, .. } = arrival;
                 self.relay(&holder, &request.flow, request.datagram, hops);
             }
             Route::Park => self.park_request(arrival),
@@ -114,7 +116,7 @@
         {
             return Route::Remote(backup.clone());
         }
-        if kind.runs_once() {
+        if kind.is_non_idempotent() {
             Route::Park
         } else {
             Route::Local
@@ -126,7 +128,7 @@
             self.emit(Reason::TooManyHops);
             return;
         }
-        let body = peer::Body::Relay(peer::Relay {
+        let body = peer::PeerMessage::Relay(peer::Relay {
             flow: Some(peer::pack_flow(flow)),
             datagram,
             hops: hops + 1,
@@ -159,7 +161,7 @@
         // request. Another home may have forwarded it: this message could be a
         // delayed one about an earlier claim.
         let is_claimed_by_sender = |record: &Record| {
-            record.phase == Phase::Claimed && record.claimer.as_ref() == Some(from)
+            record.phase == Phase::Claimed && record.claimed_by.as_ref() == Some(from)
         };
         if self
             .record(slice, &key)
@@ -170,7 +172,7 @@
         if self.table.row(slice).is_home(from) {
             // The table here is outdated, and routing by it would send the request
             // back.
-            self.park_request(Arrival {
+            self.park_request(IncomingRequest {
                 request,
                 hops,
                 since: now,
@@ -180,9 +182,9 @@
         }
     }
 
-    fn park_request(&mut self, arrival: Arrival) {
+    fn park_request(&mut self, arrival: IncomingRequest) {
         let request = &arrival.request;
-        let is_duplicate = |parked: &Arrival| {
+        let is_duplicate = |parked: &IncomingRequest| {
             parked.request.id == request.id && parked.request.flow == request.flow
         };
         if self.parked_requests.iter().any(is_duplicate) {
@@ -207,7 +209,7 @@
                 Route::Park => self.parked_requests.push_back(parked),
                 _ => {
                     let hops = parked.hops.min(MAX_HOPS - 1);
-                    self.route_request(now, Arrival { hops, ..parked });
+                    self.route_request(now, IncomingRequest { hops, ..parked });
                 }
             }
         }
@@ -215,14 +217,14 @@
 
     /// Answers requests that have waited for a home for too long.
     pub(super) fn expire_parked(&mut self, now: Instant) {
-        let has_expired = |parked: &Arrival| now >= parked.since + PARK_TIME;
+        let has_expired = |parked: &IncomingRequest| now >= parked.since + PARK_TIMEOUT;
         if !self.parked_requests.iter().any(has_expired) {
             return;
         }
         let parked = std::mem::take(&mut self.parked_requests);
         let (expired, waiting) = parked.into_iter().partition(has_expired);
         self.parked_requests = waiting;
-        let expired: Park = expired;
+        let expired: ParkedRequests = expired;
         for parked in expired {
             // A duplicate may have reached the home before it failed, so "not run"
             // could be wrong.
@@ -263,13 +265,13 @@
         now: Instant,
         slice: id::Slice,
         service: &Service,
-        arrival: Arrival,
+        arrival: IncomingRequest,
     ) {
         let key = arrival.request.key();
         let state = self.slices.entry(slice).or_default();
         if state.records.contains_key(&key) {
             self.handle_duplicate(now, slice, &key, &arrival.request);
-        } else if arrival.request.kind.runs_once() {
+        } else if arrival.request.kind.is_non_idempotent() {
             self.admit_non_idempotent(now, slice, service, arrival);
         } else {
             self.admit_idempotent(now, slice, service, arrival.request);
@@ -329,9 +331,9 @@
         let Some(record) = state.and_then(|state| state.records.get(key)) else {
             return false;
         };
-        let claimer = record.claimer.as_ref();
+        let claimer = record.claimed_by.as_ref();
         let has_ended = claimer.is_some_and(|claimer| self.membership.has_ended(claimer));
-        !has_ended && now < record.born + self.deadline(&key.flow.service)
+        !has_ended && now < record.received_at + self.deadline(&key.flow.service)
     }
 
     /// Records that the sender of this duplicate waits for an answer.
@@ -346,10 +348,10 @@
         };
         record.token = request.token;
         record.confirmable = request.confirmable;
-        if std::mem::replace(&mut record.is_awaited, true) {
+        if std::mem::replace(&mut record.has_waiting_sender, true) {
             return;
         }
-        let due = record.born + deadline;
+        let due = record.received_at + deadline;
         self.schedule(due, Timer::Deadline(slice, key.clone()));
     }
 
@@ -358,10 +360,13 @@
         now: Instant,
         slice: id::Slice,
         service: &Service,
-        arrival: Arrival,
+        arrival: IncomingRequest,
     ) {
-        let Arrival { request, since, .. } = arrival;
-        let blank = self.slices.get(&slice).and_then(|state| state.blank_since);
+        let IncomingRequest { request, since, .. } = arrival;
+        let blank = self
+            .slices
+            .get(&slice)
+            .and_then(|state| state.records_lost_since);
         if !self.membership.has_authority(now) {
             self.answer_unrecorded(&request, Outcome::Unknown, Reason::UnknownAuthority);
             return;
@@ -380,8 +385,8 @@
             return;
         }
         let intent = match self.exceeded_limit(slice, service, &request.flow) {
-            None => Intent::Forward,
-            Some(reason) => Intent::Refuse {
+            None => ClaimFollowUp::Forward,
+            Some(reason) => ClaimFollowUp::Refuse {
                 retry_after: service.profile.retry_after_s,
                 reason,
             },
@@ -408,18 +413,18 @@
             self.answer_unrecorded(&request, refusal, reason);
             return;
         }
-        if request.part.upload && self.records >= self.settings.max_flows {
+        if request.block.is_upload && self.records >= self.settings.max_flows {
             self.answer_unrecorded(&request, refusal, Reason::RefusedLimit);
             return;
         }
         let feeds = self.usage(&service.id).feeds;
-        if request.kind == Kind::Open
+        if request.kind == Kind::OpenFeed
             && (feeds >= service.profile.max_feeds || self.feeds >= self.settings.max_flows)
         {
             self.answer_unrecorded(&request, refusal, Reason::RefusedLimit);
             return;
         }
-        if request.kind == Kind::Close {
+        if request.kind == Kind::CloseFeed {
             self.close_feed(now, slice, &request);
         }
         let key = self.insert_open_record(now, slice, service, request, Phase::Sent);
@@ -441,7 +446,7 @@
         let busy = self
             .slices
             .get(&slice)
-            .and_then(|state| state.busy.get(flow));
+            .and_then(|state| state.open_requests.get(flow));
         if busy.is_some_and(|busy| *busy >= service.profile.max_per_caller) {
             return Some(Reason::RefusedCaller);
         }
@@ -461,23 +466,23 @@
         let key = request.key();
         let record = Record {
             phase,
-            claimer: None,
-            is_awaited: false,
+            claimed_by: None,
+            has_waiting_sender: false,
             kind: request.kind,
             token: request.token,
             confirmable: request.confirmable,
-            part: request.part,
-            born: since,
+            block: request.block,
+            received_at: since,
             separate: None,
             resends: 0,
             sequence: None,
             attempts: Vec::new(),
-            tried: Vec::new(),
+            tried_servers: Vec::new(),
             datagram: request.datagram,
         };
         let state = self.slices.entry(slice).or_default();
         state.records.insert(key.clone(), record);
-        *state.busy.entry(key.flow.clone()).or_default() += 1;
+        *state.open_requests.entry(key.flow.clone()).or_default() += 1;
         self.records += 1;
         self.usage(&service.id).in_progress += 1;
         if request.confirmable {
@@ -511,7 +516,7 @@
         if self.table.is_empty() {
             return;
         }
-        if let Route::Remote(holder) = self.route(slice, Kind::Close) {
+        if let Route::Remote(holder) = self.route(slice, Kind::CloseFeed) {
             self.relay(&holder, &flow, datagram, hops);
         }
     }
--- a/src/engine/outbound.rs
+++ b/src/engine/outbound.rs
@@ -7,11 +7,11 @@
 
 use super::ATTEMPT_BITS;
 use super::Engine;
-use super::PATHS;
+use super::SERVER_SOCKETS;
 use crate::action::Action;
-use crate::action::Note;
+use crate::action::TraceEvent;
 use crate::balance;
-use crate::balance::Work;
+use crate::balance::WorkKind;
 use crate::id;
 use crate::reason::Reason;
 use crate::record::FeedKey;
@@ -19,7 +19,7 @@
 use crate::record::Pin;
 use crate::record::Purpose;
 use crate::record::Record;
-use crate::record::Sending;
+use crate::record::SentAttempt;
 use crate::record::Timer;
 use crate::request::Answer;
 use crate::request::Key;
@@ -50,7 +50,7 @@
     /// Continues a request whose claim is replicated: forwards it, or answers that
     /// it is not run.
     pub(super) fn proceed_with_claim(&mut self, now: Instant, slice: id::Slice, key: &Key) {
-        use crate::record::Intent;
+        use crate::record::ClaimFollowUp;
         let has_authority = self.membership.has_authority(now);
         let deadline = self.deadline(&key.flow.service);
         let Some(record) = self.record(slice, key) else {
@@ -61,7 +61,7 @@
         };
         // After a pause of this process the acknowledgement can be read before the
         // timer fires: a booking would run after its caller has given up.
-        if now >= record.born + deadline {
+        if now >= record.received_at + deadline {
             self.settle(now, slice, key, Outcome::Unknown, Reason::UnknownDeadline);
             return;
         }
@@ -73,8 +73,8 @@
             return;
         }
         match intent {
-            Intent::Forward => self.dispatch(now, slice, key),
-            Intent::Refuse {
+            ClaimFollowUp::Forward => self.dispatch(now, slice, key),
+            ClaimFollowUp::Refuse {
                 retry_after,
                 reason,
             } => {
@@ -96,24 +96,24 @@
         if !record.is_open() {
             return;
         }
-        let (part, kind) = (record.part, record.kind);
-        let tried = record.tried.clone();
+        let (part, kind) = (record.block, record.kind);
+        let tried = record.tried_servers.clone();
         let has_open_attempts = !record.attempts.is_empty();
-        let pinned = if part.later {
+        let pinned = if part.is_continuation {
             self.pinned_server(now, slice, &service, key)
         } else {
             None
         };
         let work = match kind {
-            Kind::Open => Work::Feed,
-            _ => Work::Request,
+            Kind::OpenFeed => WorkKind::Feed,
+            _ => WorkKind::Request,
         };
         let choice = pinned.or_else(|| {
             let zone = &self.settings.zone;
             balance::choose(&service, &key.flow, work, zone, &tried, now, &mut self.rng)
         });
         match choice {
-            Some(server) if part.later => {
+            Some(server) if part.is_continuation => {
                 server.state().outstanding += 1;
                 self.forward(now, slice, key, &service, server);
             }
@@ -122,7 +122,7 @@
             }
             Some(server) => {
                 if let Some(record) = self.record(slice, key) {
-                    record.tried.push(server.id.clone());
+                    record.tried_servers.push(server.id.clone());
                 }
                 self.dispatch(now, slice, key);
             }
@@ -152,14 +152,14 @@
         let pin = self.pin(slice, key)?;
         let server = service.server(&pin.server)?;
         let is_recent = now < pin.used + PIN_LIFETIME;
-        let is_usable = is_recent && balance::may_return(service, server, now);
+        let is_usable = is_recent && balance::accepts_pinned_work(service, server, now);
         is_usable.then(|| Arc::clone(server))
     }
 
     fn pin(&self, slice: id::Slice, key: &Key) -> Option<&Pin> {
         let state = self.slices.get(&slice)?;
         let record = state.records.get(key)?;
-        state.pins.get(&(key.flow.clone(), record.part.body))
+        state.pins.get(&(key.flow.clone(), record.block.body_id))
     }
 
     fn set_pin(
@@ -181,7 +181,9 @@
             attempt,
             used: now,
         };
-        state.pins.insert((key.flow.clone(), record.part.body), pin);
+        state
+            .pins
+            .insert((key.flow.clone(), record.block.body_id), pin);
     }
 
     /// Forgets the servers of transfers that were abandoned.
@@ -205,10 +207,10 @@
         };
         record.phase = Phase::Sent;
         record.attempts.push(attempt);
-        record.tried.push(server.id.clone());
-        let deadline = record.born + service.profile.deadline();
-        let runs_once = record.kind.runs_once();
-        let later = record.part.later;
+        record.tried_servers.push(server.id.clone());
+        let deadline = record.received_at + service.profile.deadline();
+        let runs_once = record.kind.is_non_idempotent();
+        let later = record.block.is_continuation;
         let datagram = record.datagram.clone();
         if later {
             self.set_pin(now, slice, key, &server, attempt);
@@ -219,7 +221,7 @@
         }
         self.sent_attempts.insert(
             attempt,
-            Sending {
+            SentAttempt {
                 slice,
                 purpose: Purpose::Request(key.clone()),
                 server: Arc::clone(&server),
@@ -243,11 +245,11 @@
         let mut attempt = self.new_attempt();
         let later = self
             .record(slice, key)
-            .is_some_and(|record| record.part.later);
+            .is_some_and(|record| record.block.is_continuation);
         let pin = self.pin(slice, key);
         let pin = pin.filter(|pin| later && pin.server == server.id);
-        if let Some(path) = pin.map(|pin| pin.attempt.0 % PATHS) {
-            while attempt.0 % PATHS != path {
+        if let Some(path) = pin.map(|pin| pin.attempt.0 % SERVER_SOCKETS) {
+            while attempt.0 % SERVER_SOCKETS != path {
                 attempt = self.new_attempt();
             }
         }
@@ -275,7 +277,7 @@
         if !record.is_open() || !record.attempts.contains(&attempt) {
             return;
         }
-        let tries = record.tried.len() as u32;
+        let tries = record.tried_servers.len() as u32;
         if let Some(sent) = self.sent_attempts.get(&attempt) {
             let server = Arc::clone(&sent.server);
             self.record_server_failure(now, &server);
@@ -307,7 +309,7 @@
         // request.
         let Some(sent) = sent.filter(|sent| sent.server.address == from) else {
             self.emit(Reason::ForeignAnswer);
-            if answer.feed {
+            if answer.keeps_feed_open {
                 self.actions.push(Action::Reject {
                     to: from,
                     attempt,
@@ -318,8 +320,8 @@
         };
         let slice = sent.slice;
         match answer.verdict {
-            Verdict::Handled => sent.server.prove(sent.since),
-            Verdict::NotFound => sent.server.doubt(now),
+            Verdict::Handled => sent.server.confirm_by_answer(sent.since),
+            Verdict::NotFound => sent.server.record_not_found(now),
             Verdict::Refused => {}
         }
         match sent.purpose.clone() {
@@ -363,8 +365,8 @@
         };
         record.attempts.retain(|other| *other != attempt);
         let has_open_attempts = !record.attempts.is_empty();
-        let tries = record.tried.len() as u32;
-        let later = record.part.later;
+        let tries = record.tried_servers.len() as u32;
+        let later = record.block.is_continuation;
         let Some(service) = self.service(&key.flow.service) else {
             return;
         };
@@ -383,7 +385,7 @@
 
     fn pause_server(&mut self, now: Instant, server: &Server, retry_after: Option<u32>) {
         let asked = Duration::from_secs(retry_after.unwrap_or(0).into());
-        server.refuse(now, asked);
+        server.record_refusal(now, asked);
         self.emit(Reason::ServerPaused);
     }
 
@@ -398,7 +400,7 @@
         let Some(sent) = self.remove_attempt(attempt) else {
             return;
         };
-        sent.server.succeed();
+        sent.server.record_success();
         let Some(record) = self.record(slice, key) else {
             return;
         };
@@ -406,9 +408,9 @@
             return;
         }
         record.attempts.retain(|other| *other != attempt);
-        let opens_feed = record.kind == Kind::Open && answer.feed;
+        let opens_feed = record.kind == Kind::OpenFeed && answer.keeps_feed_open;
         let (token, datagram) = (record.token, record.datagram.clone());
-        if answer.more {
+        if answer.has_more_blocks {
             self.set_pin(now, slice, key, &sent.server, attempt);
         }
         if opens_feed {
@@ -426,7 +428,7 @@
     }
 
     /// Removes an attempt and frees its slot at the server.
-    pub(super) fn remove_attempt(&mut self, attempt: id::Attempt) -> Option<Sending> {
+    pub(super) fn remove_attempt(&mut self, attempt: id::Attempt) -> Option<SentAttempt> {
         let sent = self.sent_attempts.remove(&attempt)?;
         let mut state = sent.server.state();
         match sent.purpose {
@@ -439,7 +441,7 @@
 
     /// Counts a failure of a server and ejects it after too many in a row.
     pub(super) fn record_server_failure(&mut self, now: Instant, server: &Server) {
-        let failures = server.fail();
+        let failures = server.record_failure();
         let Some(service) = self.service(&server.service) else {
             return;
         };
@@ -449,7 +451,7 @@
         // When most servers fail, the cause is more likely on this side or common
         // to all: sending everything to the few that are left would overload them
         // too.
-        let in_cooldown = |server: &&Arc<Server>| server.state().is_resting(now);
+        let in_cooldown = |server: &&Arc<Server>| server.state().is_in_cooldown(now);
         let cooling = service.servers.iter().filter(in_cooldown).count();
         let floor = service.servers.len() * service.profile.eject_floor_percent as usize;
         let remaining = (service.servers.len() - cooling).saturating_sub(1) * 100;
@@ -466,12 +468,12 @@
     }
 
     fn emit_forwarded(&mut self, slice: id::Slice, key: &Key, server: &Server) {
-        let event = Note {
+        let event = TraceEvent {
             request: Some(key.id),
             server: Some(server.id.clone()),
             ..self.flow_event(Reason::Forwarded, slice, &key.flow)
         };
-        self.actions.push(Action::Note(event));
+        self.actions.push(Action::TraceEvent(event));
     }
 
     /// Reports a final outcome with the time since the first datagram arrived.
@@ -483,12 +485,12 @@
         server: Option<id::Server>,
         elapsed: Duration,
     ) {
-        let event = Note {
+        let event = TraceEvent {
             request: Some(key.id),
             server,
             elapsed: Some(elapsed),
             ..self.flow_event(reason, slice, &key.flow)
         };
-        self.actions.push(Action::Note(event));
+        self.actions.push(Action::TraceEvent(event));
     }
 }
--- a/src/engine/ownership.rs
+++ b/src/engine/ownership.rs
@@ -11,9 +11,9 @@
 use crate::action::Action;
 use crate::id;
 use crate::peer;
-use crate::peer::member::View;
+use crate::peer::member::MembershipView;
 use crate::reason::Reason;
-use crate::record::Arrival;
+use crate::record::IncomingRequest;
 use crate::record::Pending;
 use crate::record::Phase;
 use crate::record::Record;
@@ -25,7 +25,7 @@
 use crate::table::Table;
 
 impl Engine {
-    pub(super) fn update_membership(&mut self, now: Instant, members: Arc<View>) {
+    pub(super) fn update_membership(&mut self, now: Instant, members: Arc<MembershipView>) {
         let before = std::mem::replace(&mut self.membership, members);
         if before.live == self.membership.live {
             return;
@@ -76,8 +76,11 @@
         // Every instance counts the window from when it first sees the takeover, so
         // that a planned move does not restart it: each restart would cost the
         // callers another copy lifetime of unknown outcomes.
-        let since = state.blank_since.filter(|_| is_continuation).unwrap_or(now);
-        state.blank_since = row.blank.then_some(since);
+        let since = state
+            .records_lost_since
+            .filter(|_| is_continuation)
+            .unwrap_or(now);
+        state.records_lost_since = row.records_lost.then_some(since);
         if row.is_home(&self.settings.me) {
             state.role = Role::Home;
             if before != Role::Home {
@@ -133,11 +136,11 @@
             return;
         };
         let feed = |pending: &Pending| match &pending.item {
-            peer::Item::Feed(feed) => Some(feed.clone()),
+            peer::ReplicationItem::Feed(feed) => Some(feed.clone()),
             _ => None,
         };
         for feed in replica.pending.values().filter_map(feed) {
-            let body = peer::Body::Adopt(peer::Adopt {
+            let body = peer::PeerMessage::FeedTransfer(peer::FeedTransfer {
                 slice: slice.0,
                 feed: Some(feed),
             });
@@ -153,25 +156,25 @@
         let Some(record) = self.record(slice, key) else {
             return;
         };
-        if now >= record.born + deadline {
+        if now >= record.received_at + deadline {
             self.settle(now, slice, key, Outcome::Unknown, Reason::UnknownDeadline);
             return;
         }
-        let since = record.born;
+        let since = record.received_at;
         let request = Request {
             flow: key.flow.clone(),
             id: key.id,
             token: record.token,
             kind: record.kind,
             confirmable: record.confirmable,
-            part: record.part,
+            block: record.block,
             datagram: record.datagram.clone(),
         };
         self.remove_open_record(slice, key);
         let row = self.table.row(slice);
         let home = row.home.clone().filter(|home| *home != self.settings.me);
         let Some(to) = home else {
-            let arrival = Arrival {
+            let arrival = IncomingRequest {
                 request,
                 hops: 0,
                 since,
@@ -179,7 +182,7 @@
             self.route_request(now, arrival);
             return;
         };
-        let body = peer::Body::Relay(peer::Relay {
+        let body = peer::PeerMessage::Relay(peer::Relay {
             flow: Some(peer::pack_flow(&request.flow)),
             datagram: request.datagram,
             hops: 1,
@@ -200,10 +203,10 @@
         };
         let known = state.replica.as_mut();
         match (backup, known) {
-            (None, Some(replica)) if replica.installed => self.drop_replica(now, slice),
+            (None, Some(replica)) if replica.is_in_table => self.drop_replica(now, slice),
             (None, _) => {}
             (Some(backup), Some(replica)) if replica.holder == backup => {
-                replica.installed = true;
+                replica.is_in_table = true;
                 self.emit(Reason::BackupJoined);
             }
             (Some(backup), _) => self.copy_slice(now, slice, &backup, true),
--- a/src/engine/replica.rs
+++ b/src/engine/replica.rs
@@ -61,8 +61,10 @@
         }
         self.emit_request(Reason::Claimed, slice, key);
         let record = self.record(slice, key);
-        let age = record.map(|record| now - record.born).unwrap_or_default();
-        let item = peer::Item::Claim(pack_claim(key, None, age));
+        let age = record
+            .map(|record| now - record.received_at)
+            .unwrap_or_default();
+        let item = peer::ReplicationItem::Claim(pack_claim(key, None, age));
         self.replicate(now, slice, item, Some(key.clone()));
     }
 
@@ -71,7 +73,7 @@
         &mut self,
         now: Instant,
         slice: id::Slice,
-        item: peer::Item,
+        item: peer::ReplicationItem,
         waiter: Option<Key>,
     ) {
         let number = self.next_step_number + 1;
@@ -100,11 +102,11 @@
         slice: id::Slice,
         epoch: id::Epoch,
         number: u64,
-        item: peer::Item,
+        item: peer::ReplicationItem,
     ) {
         self.actions.push(Action::Peer {
             to: to.clone(),
-            body: peer::Body::Replicate(peer::Replicate {
+            body: peer::PeerMessage::ReplicationStep(peer::ReplicationStep {
                 slice: slice.0,
                 epoch: epoch.0,
                 number,
@@ -170,7 +172,7 @@
         if state
             .replica
             .as_ref()
-            .is_some_and(|replica| replica.installed)
+            .is_some_and(|replica| replica.is_in_table)
         {
             return;
         }
@@ -193,22 +195,24 @@
             .take()
             .map(waiting_requests)
             .unwrap_or_default();
-        let mut items = vec![peer::Item::Begin(peer::Begin {})];
+        let mut items = vec![peer::ReplicationItem::CopyStart(peer::CopyStart {})];
         let waiting: HashSet<&Key> = waiters.iter().collect();
-        let runs_once = |(key, record): (&Key, &Record)| {
-            let is_claim = record.kind.runs_once() && !waiting.contains(key);
+        let is_non_idempotent = |(key, record): (&Key, &Record)| {
+            let is_claim = record.kind.is_non_idempotent() && !waiting.contains(key);
             is_claim.then(|| key.clone())
         };
-        let claims = sorted(state.records.iter().filter_map(runs_once));
+        let claims = sorted(state.records.iter().filter_map(is_non_idempotent));
         let claim = |key: &Key| {
             let record = state.records.get(key);
-            let claimer = record.and_then(|record| record.claimer.as_ref());
-            let age = record.map(|record| now - record.born).unwrap_or_default();
-            peer::Item::Claim(pack_claim(key, claimer, age))
+            let claimer = record.and_then(|record| record.claimed_by.as_ref());
+            let age = record
+                .map(|record| now - record.received_at)
+                .unwrap_or_default();
+            peer::ReplicationItem::Claim(pack_claim(key, claimer, age))
         };
         items.extend(claims.iter().map(claim));
         let feeds = state.feeds.iter();
-        items.extend(feeds.map(|(key, feed)| peer::Item::Feed(pack_feed(key, feed))));
+        items.extend(feeds.map(|(key, feed)| peer::ReplicationItem::Feed(pack_feed(key, feed))));
         let mut pending = BTreeMap::new();
         for item in items {
             self.next_step_number += 1;
@@ -221,9 +225,9 @@
         }
         state.replica = Some(Replica {
             holder: backup.clone(),
-            installed,
+            is_in_table: installed,
             complete: false,
-            copied: self.next_step_number,
+            initial_copy_end: self.next_step_number,
             pending,
         });
         self.unacknowledged.insert(slice);
@@ -239,7 +243,7 @@
             let Some(state) = self.slices.get_mut(slice) else {
                 continue;
             };
-            if state.replica.as_ref().is_some_and(|r| !r.installed) {
+            if state.replica.as_ref().is_some_and(|r| !r.is_in_table) {
                 self.drop_replica(now, *slice);
             }
         }
@@ -259,15 +263,20 @@
         }
     }
 
-    pub(super) fn handle_peer_message(&mut self, now: Instant, from: id::Holder, body: peer::Body) {
+    pub(super) fn handle_peer_message(
+        &mut self,
+        now: Instant,
+        from: id::Holder,
+        body: peer::PeerMessage,
+    ) {
         let result = match body {
-            peer::Body::Replicate(message) => self.store_step(now, &from, message),
-            peer::Body::Replicated(message) => {
+            peer::PeerMessage::ReplicationStep(message) => self.store_step(now, &from, message),
+            peer::PeerMessage::ReplicationAck(message) => {
                 self.handle_step_ack(now, &from, &message);
                 Ok(())
             }
-            peer::Body::Settle(message) => self.store_outcome(message),
-            peer::Body::Adopt(message) => self.handle_feed_transfer(now, message),
+            peer::PeerMessage::FinalOutcome(message) => self.store_outcome(message),
+            peer::PeerMessage::FeedTransfer(message) => self.handle_feed_transfer(now, message),
             // The other messages are handled by the edge or the control task.
             _ => Ok(()),
         };
@@ -281,7 +290,7 @@
         &mut self,
         now: Instant,
         from: &id::Holder,
-        message: peer::Replicate,
+        message: peer::ReplicationStep,
     ) -> Result<()> {
         let slice = id::Slice(message.slice);
         let epoch = id::Epoch(message.epoch);
@@ -289,9 +298,9 @@
             return Ok(());
         }
         let state = self.slices.entry(slice).or_default();
-        state.seen = state.seen.max(epoch);
+        state.replicated_epoch = state.replicated_epoch.max(epoch);
         match message.item {
-            Some(peer::Item::Claim(claim)) => {
+            Some(peer::ReplicationItem::Claim(claim)) => {
                 let mut key = peer::unpack_key(claim.flow.as_ref(), &claim.id)?;
                 self.intern_service_name(&mut key.flow);
                 let claimer = match claim.claimer.as_str() {
@@ -304,24 +313,26 @@
                 let born = now.checked_sub(age).unwrap_or(now);
                 self.store_claim(now, slice, key, Record::claimed(born, claimer));
             }
-            Some(peer::Item::Feed(feed)) => {
+            Some(peer::ReplicationItem::Feed(feed)) => {
                 let (mut key, mut feed) = unpack_feed(now, message.number, feed)?;
                 self.intern_service_name(&mut key.flow);
                 self.intern_server_name(&key.flow, &mut feed.server);
                 self.remove_feed(slice, &key);
                 self.insert_feed(slice, key, feed);
             }
-            Some(peer::Item::FeedEnd(end)) => {
+            Some(peer::ReplicationItem::FeedEnd(end)) => {
                 let flow = peer::unpack_flow(end.flow.as_ref())?;
                 let token = Token(peer::unpack_number(&end.token)?);
                 self.remove_feed(slice, &FeedKey { flow, token });
             }
-            Some(peer::Item::Begin(_)) => self.drop_outdated_feeds(slice, message.number),
+            Some(peer::ReplicationItem::CopyStart(_)) => {
+                self.drop_outdated_feeds(slice, message.number)
+            }
             None => {}
         }
         self.actions.push(Action::Peer {
             to: from.clone(),
-            body: peer::Body::Replicated(peer::Replicated {
+            body: peer::PeerMessage::ReplicationAck(peer::ReplicationAck {
                 slice: message.slice,
                 epoch: message.epoch,
                 number: message.number,
@@ -358,7 +369,7 @@
             return false;
         }
         let state = self.slices.get(&slice);
-        state.is_none_or(|state| epoch >= state.seen)
+        state.is_none_or(|state| epoch >= state.replicated_epoch)
     }
 
     fn store_claim(&mut self, now: Instant, slice: id::Slice, key: Key, claimed: Record) {
@@ -366,7 +377,7 @@
         if let Some(record) = state.records.get_mut(&key) {
             // A released request is claimed again by its next home.
             if record.phase == Phase::Claimed {
-                record.claimer = claimed.claimer;
+                record.claimed_by = claimed.claimed_by;
             }
             return;
         }
@@ -381,7 +392,7 @@
             return;
         };
         let outdated = |(key, feed): (&FeedKey, &Feed)| {
-            let is_outdated = feed.stamp < number && feed.attempt.is_none();
+            let is_outdated = feed.replication_step < number && feed.attempt.is_none();
             is_outdated.then(|| key.clone())
         };
         let keys: Vec<FeedKey> = state.feeds.iter().filter_map(outdated).collect();
@@ -391,7 +402,7 @@
     }
 
     /// As home: the backup has stored a step.
-    fn handle_step_ack(&mut self, now: Instant, from: &id::Holder, message: &peer::Replicated) {
+    fn handle_step_ack(&mut self, now: Instant, from: &id::Holder, message: &peer::ReplicationAck) {
         let slice = id::Slice(message.slice);
         let Some(state) = self.slices.get_mut(&slice) else {
             return;
@@ -403,11 +414,11 @@
             return;
         };
         let first = replica.pending.keys().next();
-        let copy_acknowledged = first.is_none_or(|first| *first > replica.copied);
+        let copy_acknowledged = first.is_none_or(|first| *first > replica.initial_copy_end);
         if copy_acknowledged && !replica.complete {
             replica.complete = true;
             let backup = replica.holder.clone();
-            self.actions.push(Action::Joined { slice, backup });
+            self.actions.push(Action::BackupSynced { slice, backup });
         } else if !copy_acknowledged {
             self.send_due_steps_of(now, slice);
         }
@@ -416,7 +427,7 @@
         }
     }
 
-    fn store_outcome(&mut self, message: peer::Settle) -> Result<()> {
+    fn store_outcome(&mut self, message: peer::FinalOutcome) -> Result<()> {
         let slice = id::Slice(message.slice);
         let key = peer::unpack_key(message.flow.as_ref(), &message.id)?;
         let token = Token(peer::unpack_number(&message.token)?);
@@ -431,7 +442,7 @@
         Ok(())
     }
 
-    fn handle_feed_transfer(&mut self, now: Instant, message: peer::Adopt) -> Result<()> {
+    fn handle_feed_transfer(&mut self, now: Instant, message: peer::FeedTransfer) -> Result<()> {
         if message.slice >= self.table.len() {
             return Ok(());
         }
@@ -477,11 +488,11 @@
         renewal: None,
         failed: Vec::new(),
         sequence: feed.sequence,
-        heard: now,
+        last_notification: now,
         confirmed: now,
         unconfirmed: 0,
-        due: now,
-        stamp,
+        next_check: now,
+        replication_step: stamp,
     };
     Ok((key, feed))
 }
--- a/src/engine/settlement.rs
+++ b/src/engine/settlement.rs
@@ -52,11 +52,11 @@
         record.datagram = bytes::Bytes::new();
         let attempts = std::mem::take(&mut record.attempts);
         let (token, confirmable, is_kept) = (record.token, record.confirmable, record.is_kept());
-        let runs_once = record.kind.runs_once();
+        let runs_once = record.kind.is_non_idempotent();
         let (separate, sequence) = (record.separate, record.sequence);
-        let born = record.born;
+        let born = record.received_at;
         let server = match outcome {
-            Outcome::Answered(_) => record.tried.last().cloned(),
+            Outcome::Answered(_) => record.tried_servers.last().cloned(),
             _ => None,
         };
         for attempt in attempts {
@@ -96,10 +96,10 @@
         let Some(state) = self.slices.get_mut(&slice) else {
             return;
         };
-        if let Some(busy) = state.busy.get_mut(&key.flow) {
+        if let Some(busy) = state.open_requests.get_mut(&key.flow) {
             *busy = busy.saturating_sub(1);
             if *busy == 0 {
-                state.busy.remove(&key.flow);
+                state.open_requests.remove(&key.flow);
             }
         }
     }
@@ -122,7 +122,7 @@
         };
         self.actions.push(Action::Peer {
             to: home,
-            body: peer::Body::Settle(peer::Settle {
+            body: peer::PeerMessage::FinalOutcome(peer::FinalOutcome {
                 slice: slice.0,
                 flow: Some(peer::pack_flow(&key.flow)),
                 id: peer::pack_number(key.id.0),
@@ -134,7 +134,7 @@
 
     pub(super) fn schedule_record_expiry(&mut self, now: Instant, slice: id::Slice, key: &Key) {
         let lifetime = self.record_lifetime(&key.flow.service);
-        self.schedule(now + lifetime, Timer::Forget(slice, key.clone()));
+        self.schedule(now + lifetime, Timer::Expire(slice, key.clone()));
     }
 
     /// How long a record is kept after its request arrived.
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 use crate::entry::Adapter;
-use crate::entry::Evacuated;
+use crate::entry::EvacuatedZone;
 use crate::entry::Server;
 use crate::entry::Settings;
 use crate::entry::Status;
@@ -28,9 +28,9 @@
 use crate::entry::journal::Context;
 use crate::entry::journal::Journal;
 use crate::entry::metric::Metrics;
+use crate::entry::outcome::outcomes_from_message;
+use crate::entry::outcome::outcomes_to_message;
 use crate::entry::refusals::Refusals;
-use crate::entry::remarks::remark;
-use crate::entry::remarks::testimony;
 use crate::entry::signals::Asked;
 use crate::entry::signals::Signals;
 use crate::entry::socket::Socket;
@@ -41,13 +41,13 @@
 use crate::entry::withdrawal::Withdrawal;
 use crate::error::Result;
 use crate::flow::Backlog;
-use crate::flow::Belief;
-use crate::flow::Drop;
-use crate::flow::Early;
+use crate::flow::DataPlane;
+use crate::flow::DropReason;
 use crate::flow::Egress;
-use crate::flow::Plane;
-use crate::flow::Presence;
+use crate::flow::PendingPacket;
 use crate::flow::Segment;
+use crate::flow::ServerState;
+use crate::flow::StateUpdate;
 use crate::flow::Target;
 use crate::flow::Timing;
 use crate::flow::Verdict;
@@ -55,9 +55,9 @@
 use crate::id;
 use crate::poll::Reader;
 use crate::replica;
+use crate::replica::FleetLiveness;
 use crate::replica::Handover;
-use crate::replica::TELL_EVERY;
-use crate::replica::Tally;
+use crate::replica::OUTCOME_REPORT_INTERVAL;
 use crate::replica::Update;
 
 /// Packets taken before anything else gets its turn.
@@ -72,7 +72,7 @@
 struct Instance {
     settings: Settings,
     adapter: Adapter,
-    plane: Plane,
+    plane: DataPlane,
     socket: Socket,
     journal: Journal,
     beliefs: Beliefs,
@@ -82,7 +82,7 @@
     /// Where changes come from; `None` for the store itself.
     upstream: Option<id::Instance>,
     /// The copy of the store, and what instances tell each other.
-    replica: Arc<replica::Shared>,
+    replica: Arc<replica::SharedCopy>,
     /// When servers were last told of.
     told: Instant,
     stop: Option<Stop>,
@@ -108,7 +108,7 @@
     let (kept, mut is_kept) = mpsc::channel(1);
     let (sender, mut tallies) = mpsc::channel(1);
     let me = start::member(&settings);
-    tokio::spawn(replica::take_census(me, Arc::clone(&replica), sender));
+    tokio::spawn(replica::monitor_liveness(me, Arc::clone(&replica), sender));
     let (questions, mut asked) = mpsc::channel(QUESTIONS);
     let metrics = Metrics::new(transport, Arc::clone(&replica));
     metrics.prepare();
@@ -125,7 +125,7 @@
         "packets" => %settings.packets, "version" => env!("CARGO_PKG_VERSION"));
     let now = Instant::now();
     let mut instance = Instance {
-        plane: Plane::new(start::options(&settings)),
+        plane: DataPlane::new(start::options(&settings)),
         journal: Journal::new(log.clone(), settings.log_lines_per_second, now),
         beliefs: Beliefs::new(log.clone(), now),
         refusals: Refusals::new(now),
@@ -231,7 +231,7 @@
         };
         if !self.plane.is_ready() && self.stop.is_none() {
             self.shared.metrics.count_packet("kept");
-            self.backlog.keep(Early {
+            self.backlog.push(PendingPacket {
                 at: now,
                 segment,
                 packet: packet.to_vec(),
@@ -264,9 +264,9 @@
         }
         let now = Instant::now();
         let waited = self.backlog.len();
-        let early: Vec<Early> = self.backlog.take(now).collect();
+        let early: Vec<PendingPacket> = self.backlog.drain(now).collect();
         info!(self.log, "early packets"; "kept" => waited, "handled" => early.len());
-        for Early {
+        for PendingPacket {
             segment, packet, ..
         } in early
         {
@@ -285,7 +285,7 @@
         match self.socket.forward(now, segment, length, target) {
             Ok(true) => ("forwarded", Ok(())),
             Ok(false) => {
-                self.shared.metrics.count_drop(Drop::FullLink.code());
+                self.shared.metrics.count_drop(DropReason::FullLink.code());
                 ("dropped", Ok(()))
             }
             Err(error) => ("forwarded", Err(error)),
@@ -327,15 +327,17 @@
     /// Tells the zone what speaks against servers here, and hears what it counted.
     fn share(&mut self) {
         let now = Instant::now();
-        if now < self.told + TELL_EVERY {
+        if now < self.told + OUTCOME_REPORT_INTERVAL {
             return;
         }
         self.told = now;
-        let own = self.plane.testimony(now);
-        self.replica.board.set_own(own.iter().map(remark).collect());
-        let zone = self.replica.board.confirmed(now);
-        let zone = zone.iter().map(testimony).collect();
-        self.plane.learn(now, Belief::Testimony(zone));
+        let own = self.plane.server_outcomes(now);
+        self.replica
+            .outcomes
+            .set_local(own.iter().map(outcomes_to_message).collect());
+        let zone = self.replica.outcomes.confirmed_outcomes(now);
+        let zone = zone.iter().map(outcomes_from_message).collect();
+        self.plane.apply(now, StateUpdate::ZoneOutcomes(zone));
     }
 
     fn report(&mut self) {
@@ -351,7 +353,7 @@
             }
         }
         self.beliefs.flush(now);
-        let (notes, omitted) = self.plane.take_notes();
+        let (notes, omitted) = self.plane.take_events();
         self.journal.omit(omitted);
         metrics.omitted_lines.inc_by(omitted);
         for note in &notes {
@@ -370,7 +372,7 @@
         let now = Instant::now();
         self.tell_contact(now, &update);
         self.refusals.renew(&update);
-        let reading = Reading::new(&self.adapter.vocabulary, update);
+        let reading = Reading::new(&self.adapter.schema, update);
         for refusal in &reading.refused {
             self.shared.metrics.refused_entries.inc();
             self.refusals.note(now, refusal, &self.log);
@@ -385,7 +387,7 @@
     /// Logs lost and regained contact.
     fn tell_contact(&mut self, now: Instant, update: &Update) {
         match update {
-            Update::Silent { reason } => {
+            Update::StoreUnreachable { reason } => {
                 warn!(self.log, "store lost"; "reason" => reason,
                     "view_age_ms" => self.contact_age_ms(now));
             }
@@ -393,7 +395,7 @@
                 entries, revision, ..
             } => info!(self.log, "store read"; "entries" => entries.len(),
                 "revision" => revision, "view_age_ms" => self.contact_age_ms(now)),
-            Update::Source { upstream } => {
+            Update::UpstreamChanged { upstream } => {
                 self.upstream.clone_from(upstream);
                 let upstream = upstream.as_ref().map(ToString::to_string);
                 info!(self.log, "source of changes"; "upstream" => upstream);
@@ -402,9 +404,9 @@
         }
     }
 
-    fn believe(&mut self, now: Instant, belief: Belief) {
+    fn believe(&mut self, now: Instant, belief: StateUpdate) {
         let told = Told::of(&belief);
-        let is_new = self.plane.learn(now, belief);
+        let is_new = self.plane.apply(now, belief);
         if let Some(told) = told {
             self.beliefs.tell(now, told, is_new);
         }
@@ -418,7 +420,9 @@
             info!(self.log, "readiness"; "is_ready" => is_ready);
         }
         metrics.ready.set(i64::from(is_ready));
-        metrics.servers.set(self.plane.directory().listed() as i64);
+        metrics
+            .servers
+            .set(self.plane.directory().listed_count() as i64);
         metrics.flows.set(self.plane.flows() as i64);
         let evacuated = self.plane.directory().evacuation().zones().count();
         metrics.evacuated.set(evacuated as i64);
@@ -432,7 +436,7 @@
                 self.backlog.clear();
                 self.stop = Some(Stop::new(Instant::now(), self.settings.grace()));
                 self.set_gauges();
-                self.replica.begin_leaving();
+                self.replica.set_stopping();
                 self.hand_over();
             }
             Asked::Stop => {}
@@ -441,7 +445,7 @@
     }
 
     /// Takes in who of the fleet answers.
-    fn note_tally(&mut self, tally: &Tally) {
+    fn note_tally(&mut self, tally: &FleetLiveness) {
         let before = self.withdrawal.is_withdrawn();
         self.withdrawal.note(tally);
         let is_withdrawn = self.withdrawal.is_withdrawn();
@@ -449,8 +453,8 @@
             return;
         }
         info!(self.log, "withdrawal"; "is_withdrawn" => is_withdrawn,
-            "answering" => tally.here.answering, "all" => tally.here.all,
-            "zones_asked" => tally.elsewhere.len());
+            "answering" => tally.local_zone.answering, "all" => tally.local_zone.probed,
+            "zones_asked" => tally.other_zones.len());
         self.replica.set_withdrawn(is_withdrawn);
         self.set_gauges();
     }
@@ -508,9 +512,9 @@
         }
     }
 
-    fn evacuated(&self, now: Instant) -> Vec<Evacuated> {
+    fn evacuated(&self, now: Instant) -> Vec<EvacuatedZone> {
         let zones = self.plane.directory().evacuation().zones();
-        let evacuated = zones.map(|(zone, since)| Evacuated {
+        let evacuated = zones.map(|(zone, since)| EvacuatedZone {
             zone: zone.clone(),
             known_ms: (now - since).as_millis() as u64,
         });
@@ -526,13 +530,13 @@
         zone: record.server.zone.clone(),
         incarnation: record.server.incarnation.map(|life| life.0),
         is_unreadable: record.is_unreadable,
-        is_draining: record.server.presence == Presence::Draining,
+        is_draining: record.server.state == ServerState::Draining,
         is_evacuated: record.is_evacuated,
         missing_ms: record.missing_since.map(age),
-        is_suspected: record.evidence.is_suspected(now),
-        misses: record.evidence.misses(),
-        bad_percent: (record.experience.bad_share(now) * 100.0).round() as u32,
-        heard_ms: record.evidence.last_alive().map(age),
+        is_suspected: record.liveness.is_suspected(now),
+        misses: record.liveness.misses(),
+        bad_percent: (record.outcomes.bad_share(now) * 100.0).round() as u32,
+        heard_ms: record.liveness.last_answer().map(age),
         outstanding: record.outstanding,
         flows: record.flows,
     }
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -9,8 +9,8 @@
 use crate::entry::checks;
 use crate::error::Result;
 use crate::id;
-use crate::platform::Base;
-use crate::platform::allowance::Rate;
+use crate::platform::BaseUrl;
+use crate::platform::rate_limit::Rate;
 use crate::replica::Bandwidth;
 use crate::settings;
 use crate::settings::Log;
@@ -21,7 +21,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Store {
     /// Its addresses, which are one store.
-    pub addresses: Vec<Base>,
+    pub addresses: Vec<BaseUrl>,
     /// Reads that this instance may make.
     #[serde(default = "default_reads")]
     pub reads_per_second: Rate,
@@ -127,7 +127,7 @@
 }
 
 fn default_link() -> Bandwidth {
-    Bandwidth::USUAL
+    Bandwidth::DEFAULT
 }
 
 fn default_max_flows() -> u32 {
--- a/src/event.rs
+++ b/src/event.rs
@@ -4,7 +4,7 @@
 
 use crate::id;
 use crate::peer;
-use crate::peer::member::View;
+use crate::peer::member::MembershipView;
 use crate::request::Answer;
 use crate::request::Flow;
 use crate::request::Receipt;
@@ -23,7 +23,7 @@
         hops: u32,
     },
     /// A request that the previous home claimed, never forwarded and handed over.
-    Released {
+    ReleasedRequest {
         /// The previous home.
         from: id::Holder,
         /// The request.
@@ -58,16 +58,16 @@
         /// The sender.
         from: id::Holder,
         /// The message.
-        body: peer::Body,
+        body: peer::PeerMessage,
     },
     /// A new configuration is in effect.
     Snapshot(Arc<Snapshot>),
     /// Rows of the slice table changed.
     Table(Arc<Table>),
     /// The view of the other instances has changed.
-    Members(Arc<View>),
+    Membership(Arc<MembershipView>),
     /// Copy all records of these slices to a new backup.
-    Join {
+    AddBackup {
         /// The slices.
         slices: Vec<id::Slice>,
         /// The new backup.
@@ -75,10 +75,10 @@
     },
     /// Cancel the copy to a new backup; no table write that names it is in
     /// progress.
-    Abandon(Vec<id::Slice>),
+    CancelBackup(Vec<id::Slice>),
     /// This instance stops soon and cannot hand its slices over: new requests are
     /// refused.
-    Closing,
+    Stopping,
     /// Time has passed.
     Tick,
 }
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -1,6 +1,6 @@
 //! What was lately done for each flow, and why.
 //!
-//! A [`Ring`] keeps the newest notes and lets the oldest go, by count and by
+//! A [`TraceBuffer`] keeps the newest notes and lets the oldest go, by count and by
 //! bytes, so that a burst of traffic costs history and never memory. Its one lock
 //! is a leaf: nothing else is locked while it is held. It is held to push one
 //! entry or to copy the matching ones; text is made after it is released.
@@ -14,7 +14,7 @@
 use tokio::time::Duration;
 use tokio::time::Instant;
 
-use crate::action::Note;
+use crate::action::TraceEvent;
 use crate::id;
 use crate::request::Flow;
 use crate::status::Trace;
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug)]
 struct Entry {
     at: Instant,
-    note: Note,
+    note: TraceEvent,
     context: Context,
 }
 
@@ -90,19 +90,19 @@
 
 /// The newest notes of one instance.
 #[derive(Debug)]
-pub struct Ring {
+pub struct TraceBuffer {
     max_entries: usize,
     max_bytes: usize,
     store: Mutex<Store>,
 }
 
-impl Default for Ring {
+impl Default for TraceBuffer {
     fn default() -> Self {
         Self::new(DEFAULT_ENTRIES, DEFAULT_BYTES)
     }
 }
 
-impl Ring {
+impl TraceBuffer {
     /// An empty ring with these bounds.
     pub fn new(max_entries: usize, max_bytes: usize) -> Self {
         Self {
@@ -113,7 +113,7 @@
     }
 
     /// Keeps a note; one without a flow is left out, since nobody can ask for it.
-    pub fn record(&self, now: Instant, note: Note, context: Context) {
+    pub fn record(&self, now: Instant, note: TraceEvent, context: Context) {
         if note.flow.is_none() {
             return;
         }
--- a/src/request.rs
+++ b/src/request.rs
@@ -60,30 +60,30 @@
     /// Idempotent: may be repeated at another server.
     Idempotent,
     /// Non-idempotent: must run at most once.
-    Once,
+    NonIdempotent,
     /// Opens a feed; idempotent.
-    Open,
+    OpenFeed,
     /// Ends a feed; idempotent.
-    Close,
+    CloseFeed,
 }
 
 impl Kind {
     /// Whether forwarding the request twice could run it twice.
-    pub fn runs_once(self) -> bool {
-        matches!(self, Self::Once)
+    pub fn is_non_idempotent(self) -> bool {
+        matches!(self, Self::NonIdempotent)
     }
 }
 
 /// Position of a datagram in a block-wise transfer (RFC 7959).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Part {
+pub struct BodyBlock {
     /// Identifies the body among those of its caller, by resource and method.
-    pub body: u64,
+    pub body_id: u64,
     /// Whether a server already holds earlier blocks, so that this one must go to
     /// that server.
-    pub later: bool,
+    pub is_continuation: bool,
     /// Whether the body is sent to the server.
-    pub upload: bool,
+    pub is_upload: bool,
 }
 
 /// A request from a caller.
@@ -100,7 +100,7 @@
     /// Whether the caller expects an acknowledgement of receipt.
     pub confirmable: bool,
     /// Position in a block-wise transfer.
-    pub part: Part,
+    pub block: BodyBlock,
     /// The whole datagram, opaque here.
     pub datagram: Bytes,
 }
@@ -142,9 +142,9 @@
     /// Whether the server handled the request.
     pub verdict: Verdict,
     /// Whether the answer belongs to a feed that stays open.
-    pub feed: bool,
+    pub keeps_feed_open: bool,
     /// Whether more blocks of the same body follow.
-    pub more: bool,
+    pub has_more_blocks: bool,
     /// Seconds after which a server that refused may be tried again.
     pub retry_after: Option<u32>,
     /// The whole datagram, opaque here.
--- a/tests/claim.rs
+++ b/tests/claim.rs
@@ -2,7 +2,6 @@
 
 mod lab;
 
-use crate::lab::bodies;
 use crate::lab::deliver;
 use crate::lab::forwards;
 use crate::lab::has_reason;
@@ -12,6 +11,7 @@
 use crate::lab::pair::Pair;
 use crate::lab::pair::is_claim;
 use crate::lab::pair::steps;
+use crate::lab::peer_messages;
 use crate::lab::row;
 use crate::lab::secs;
 use crate::lab::table;
@@ -21,8 +21,8 @@
 use godwitreel::event::Event;
 use godwitreel::id;
 use godwitreel::peer;
-use godwitreel::peer::Body;
-use godwitreel::peer::Item;
+use godwitreel::peer::PeerMessage;
+use godwitreel::peer::ReplicationItem;
 use godwitreel::reason::Reason;
 use godwitreel::request::Outcome;
 
@@ -31,12 +31,12 @@
 /// nothing is forwarded before the backup has acknowledged the claim.
 #[test]
 fn nothing_is_forwarded_before_the_claim_is_acknowledged() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let claims = pair.book(1);
     assert!(forwards(&claims).is_empty());
     assert!(steps(&claims).iter().any(is_claim));
-    let acks = pair.tell_backup(&claims);
-    let proceeded = pair.tell_home(&acks);
+    let acks = pair.deliver_to_backup(&claims);
+    let proceeded = pair.deliver_to_home(&acks);
     assert_eq!(forwards(&proceeded).len(), 1);
 }
 
@@ -45,26 +45,26 @@
 /// request, and the backup answers the duplicate with "unknown".
 #[test]
 fn a_refusal_is_known_to_the_backup_before_the_caller() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     pair.configure(&Profile {
         max_per_caller: 1,
         ..Profile::default()
     });
     let first = pair.book(1);
-    let acks = pair.tell_backup(&first);
-    pair.tell_home(&acks);
+    let acks = pair.deliver_to_backup(&first);
+    pair.deliver_to_home(&acks);
     let refused = pair.book(2);
     assert!(
         outcomes(&refused).is_empty(),
         "answered before the claim was acknowledged"
     );
-    let acks = pair.tell_backup(&refused);
-    let answered = pair.tell_home(&acks);
+    let acks = pair.deliver_to_backup(&refused);
+    let answered = pair.deliver_to_home(&acks);
     assert_eq!(outcomes(&answered), [Outcome::NotRun { retry_after: 2 }]);
     pair.lose_home();
     let b = pair.b.clone();
     pair.backup.handle(pair.now, table(row(2, Some(&b), None)));
-    let copy = pair.ask_for_claimed(2);
+    let copy = pair.duplicate_of_claimed(2);
     assert!(forwards(&copy).is_empty());
     assert_eq!(outcomes(&copy), [Outcome::Unknown]);
 }
@@ -75,11 +75,11 @@
 /// given up.
 #[test]
 fn an_acknowledgement_after_the_deadline_forwards_nothing() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let claims = pair.book(1);
-    let acks = pair.tell_backup(&claims);
+    let acks = pair.deliver_to_backup(&claims);
     pair.now += Profile::default().deadline();
-    let resumed = pair.tell_home(&acks);
+    let resumed = pair.deliver_to_home(&acks);
     assert!(forwards(&resumed).is_empty());
     assert_eq!(outcomes(&resumed), [Outcome::Unknown]);
 }
@@ -90,14 +90,14 @@
 /// accepted either.
 #[test]
 fn without_authority_nothing_is_forwarded() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let until = pair.now + secs(1);
     let seen = view(&[&pair.a.clone(), &pair.b.clone()], until);
     pair.home.handle(pair.now, seen);
     let claims = pair.book(1);
-    let acks = pair.tell_backup(&claims);
+    let acks = pair.deliver_to_backup(&claims);
     pair.now = until;
-    let late = pair.tell_home(&acks);
+    let late = pair.deliver_to_home(&acks);
     assert!(forwards(&late).is_empty());
     assert!(has_reason(&late, Reason::UnknownAuthority));
     let new = pair.book(2);
@@ -110,11 +110,11 @@
 /// is sent.
 #[test]
 fn a_backup_that_became_home_acknowledges_nothing() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let b = pair.b.clone();
     pair.backup.handle(pair.now, table(row(2, Some(&b), None)));
     let claims = pair.book(1);
-    assert!(bodies(&pair.tell_backup(&claims)).is_empty());
+    assert!(peer_messages(&pair.deliver_to_backup(&claims)).is_empty());
 }
 
 /// A newer home sends a claim to an instance that has not yet read that it was
@@ -124,11 +124,11 @@
 fn an_outdated_home_acknowledges_nothing() {
     let mut pair = Pair::new(row(1, Some(&holder("a", 1)), None));
     assert_eq!(forwards(&pair.book(1)).len(), 1);
-    let claim = Body::Replicate(peer::Replicate {
+    let claim = PeerMessage::ReplicationStep(peer::ReplicationStep {
         slice: 0,
         epoch: 2,
         number: 1,
-        item: Some(Item::Claim(peer::Claim {
+        item: Some(ReplicationItem::Claim(peer::Claim {
             flow: Some(peer::pack_flow(&lab::flow("dispatch", 1))),
             id: peer::pack_number(1),
             claimer: String::new(),
@@ -139,7 +139,7 @@
         from: pair.b.clone(),
         body: claim,
     };
-    assert!(bodies(&pair.home.handle(pair.now, event)).is_empty());
+    assert!(peer_messages(&pair.home.handle(pair.now, event)).is_empty());
 }
 
 /// Two homes of different epochs send claims to one backup. The home whose epoch is
@@ -147,13 +147,13 @@
 /// does not know what its successor ran.
 #[test]
 fn claims_of_an_outdated_epoch_are_not_acknowledged() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let claims = pair.book(1);
     let c = holder("c", 1);
     let b = pair.b.clone();
     pair.backup
         .handle(pair.now, table(row(3, Some(&c), Some(&b))));
-    assert!(bodies(&pair.tell_backup(&claims)).is_empty());
+    assert!(peer_messages(&pair.deliver_to_backup(&claims)).is_empty());
 }
 
 /// A newer home's claim reaches the backup before the newer table does. From then
@@ -161,21 +161,21 @@
 /// that home.
 #[test]
 fn claims_of_older_epochs_are_not_acknowledged_after_a_newer_one() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let claims = pair.book(1);
     let c = holder("c", 1);
-    let mut newer = bodies(&claims);
+    let mut newer = peer_messages(&claims);
     for (_, body) in &mut newer {
-        if let Body::Replicate(step) = body {
+        if let PeerMessage::ReplicationStep(step) = body {
             step.epoch = 5;
         }
         let event = Event::Peer {
             from: c.clone(),
             body: body.clone(),
         };
-        assert_eq!(bodies(&pair.backup.handle(pair.now, event)).len(), 1);
+        assert_eq!(peer_messages(&pair.backup.handle(pair.now, event)).len(), 1);
     }
-    assert!(bodies(&pair.tell_backup(&claims)).is_empty());
+    assert!(peer_messages(&pair.deliver_to_backup(&claims)).is_empty());
 }
 
 /// An instance that is not home under the table's epoch sends a claim to the
@@ -183,11 +183,11 @@
 /// claim.
 #[test]
 fn only_the_home_is_acknowledged_under_its_epoch() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let claims = pair.book(1);
     let c = holder("c", 1);
     let acknowledged = deliver(pair.now, &c, &claims, &pair.b, &mut pair.backup);
-    assert!(bodies(&acknowledged).is_empty());
+    assert!(peer_messages(&acknowledged).is_empty());
 }
 
 /// Duplicates of a booking reach the home while the booking is in progress and
@@ -195,11 +195,11 @@
 /// again.
 #[test]
 fn copies_cause_no_work() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let claims = pair.book(1);
     assert!(steps(&pair.book(1)).is_empty());
-    let acks = pair.tell_backup(&claims);
-    let sent = pair.tell_home(&acks);
+    let acks = pair.deliver_to_backup(&claims);
+    let sent = pair.deliver_to_home(&acks);
     let (server, attempt) = forwards(&sent)[0].clone();
     assert!(forwards(&pair.book(1)).is_empty());
     let answer = Event::Answer {
@@ -222,11 +222,11 @@
     let (a, b) = (holder("a", 1), holder("b", 1));
     let mut pair = Pair::new(row(1, Some(&a), None));
     assert_eq!(forwards(&pair.book(1)).len(), 1);
-    let copied = pair.join();
-    pair.tell_backup(&copied);
+    let copied = pair.add_backup();
+    pair.deliver_to_backup(&copied);
     pair.lose_home();
     pair.backup.handle(pair.now, table(row(2, Some(&b), None)));
-    let copy = pair.ask_for_claimed(1);
+    let copy = pair.duplicate_of_claimed(1);
     assert!(forwards(&copy).is_empty());
     assert_eq!(outcomes(&copy), [Outcome::Unknown]);
 }
@@ -237,13 +237,13 @@
 #[test]
 fn claims_wait_for_a_backup_from_the_start_of_its_copy() {
     let mut pair = Pair::new(row(1, Some(&holder("a", 1)), None));
-    let copied = pair.join();
+    let copied = pair.add_backup();
     let claims = pair.book(1);
     assert!(forwards(&claims).is_empty());
-    let acks = pair.tell_backup(&copied);
-    pair.tell_home(&acks);
-    let acks = pair.tell_backup(&claims);
-    assert_eq!(forwards(&pair.tell_home(&acks)).len(), 1);
+    let acks = pair.deliver_to_backup(&copied);
+    pair.deliver_to_home(&acks);
+    let acks = pair.deliver_to_backup(&claims);
+    assert_eq!(forwards(&pair.deliver_to_home(&acks)).len(), 1);
 }
 
 /// The control task is notified that the copy is complete only when every step is
@@ -253,15 +253,15 @@
 fn a_backup_has_joined_only_when_it_has_everything() {
     let mut pair = Pair::new(row(1, Some(&holder("a", 1)), None));
     pair.book(1);
-    let copied = pair.join();
-    let acks = pair.tell_backup(&copied);
+    let copied = pair.add_backup();
+    let acks = pair.deliver_to_backup(&copied);
     let joined = |actions: &[Action]| {
-        let joined = |action: &Action| matches!(action, Action::Joined { .. });
+        let joined = |action: &Action| matches!(action, Action::BackupSynced { .. });
         actions.iter().any(joined)
     };
     assert_eq!(acks.len(), 2);
-    assert!(!joined(&pair.tell_home(&acks[..1])));
-    assert!(joined(&pair.tell_home(&acks[1..])));
+    assert!(!joined(&pair.deliver_to_home(&acks[..1])));
+    assert!(joined(&pair.deliver_to_home(&acks[1..])));
 }
 
 /// The table names a backup to which this home has not copied anything. The home
@@ -282,15 +282,15 @@
 #[test]
 fn waiting_claims_follow_the_change_of_backup() {
     let mut pair = Pair::new(row(1, Some(&holder("a", 1)), None));
-    pair.join();
+    pair.add_backup();
     pair.book(1);
-    let again = pair.join();
+    let again = pair.add_backup();
     assert!(forwards(&again).is_empty());
     assert_eq!(
         steps(&again).iter().filter(|step| is_claim(step)).count(),
         1
     );
-    let cancel = Event::Abandon(vec![id::Slice(0)]);
+    let cancel = Event::CancelBackup(vec![id::Slice(0)]);
     let actions = pair.home.handle(pair.now, cancel);
     assert_eq!(forwards(&actions).len(), 1);
 }
@@ -299,9 +299,9 @@
 /// home proceed without it.
 #[test]
 fn an_installed_backup_is_not_given_up() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     pair.book(1);
-    let cancel = Event::Abandon(vec![id::Slice(0)]);
+    let cancel = Event::CancelBackup(vec![id::Slice(0)]);
     let actions = pair.home.handle(pair.now, cancel);
     assert!(forwards(&actions).is_empty());
     assert!(forwards(&pair.book(2)).is_empty());
@@ -311,7 +311,7 @@
 /// caller sees only a short delay.
 #[test]
 fn a_lost_claim_is_sent_again() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     pair.book(1);
     pair.now += ms(100);
     let again = pair.home.handle(pair.now, Event::Tick);
@@ -322,9 +322,9 @@
 /// incarnation of the backup, which does not hold the claim, forwards nothing.
 #[test]
 fn only_the_backups_own_acknowledgement_counts() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let claims = pair.book(1);
-    let acks = pair.tell_backup(&claims);
+    let acks = pair.deliver_to_backup(&claims);
     for other in [holder("b", 2), holder("c", 1)] {
         let actions = deliver(pair.now, &other, &acks, &pair.a, &mut pair.home);
         assert!(forwards(&actions).is_empty());
@@ -335,13 +335,13 @@
 /// and counted; it neither ends the process nor is it acknowledged.
 #[test]
 fn malformed_steps_are_not_acknowledged() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let claim = |slice| {
-        Body::Replicate(peer::Replicate {
+        PeerMessage::ReplicationStep(peer::ReplicationStep {
             slice,
             epoch: 1,
             number: 1,
-            item: Some(Item::Claim(peer::Claim {
+            item: Some(ReplicationItem::Claim(peer::Claim {
                 flow: None,
                 id: Vec::new(),
                 claimer: String::new(),
@@ -354,6 +354,6 @@
             from: pair.a.clone(),
             body: claim(slice),
         };
-        assert!(bodies(&pair.backup.handle(pair.now, event)).is_empty());
+        assert!(peer_messages(&pair.backup.handle(pair.now, event)).is_empty());
     }
 }
--- a/tests/feed.rs
+++ b/tests/feed.rs
@@ -11,8 +11,8 @@
 use godwitreel::engine::Engine;
 use godwitreel::event::Event;
 use godwitreel::id;
-use godwitreel::peer::Body;
-use godwitreel::peer::Item;
+use godwitreel::peer::PeerMessage;
+use godwitreel::peer::ReplicationItem;
 use godwitreel::reason::Reason;
 use godwitreel::request::Answer;
 use godwitreel::request::Kind;
@@ -21,7 +21,6 @@
 use godwitreel::server::Server;
 use tokio::time::Instant;
 
-use crate::lab::bodies;
 use crate::lab::deliver;
 use crate::lab::forwards;
 use crate::lab::has_reason;
@@ -30,6 +29,7 @@
 use crate::lab::notification;
 use crate::lab::pair::Pair;
 use crate::lab::pair::steps;
+use crate::lab::peer_messages;
 use crate::lab::row;
 use crate::lab::secs;
 use crate::lab::sequences;
@@ -44,9 +44,9 @@
 
 /// Opens feed 1 at the home and replicates it to the backup.
 fn open(pair: &mut Pair) -> Sent {
-    let sent = forwards(&pair.ask(1, Kind::Open)).remove(0);
+    let sent = forwards(&pair.ask(1, Kind::OpenFeed)).remove(0);
     let opened = pair.answer(&sent, notification("first"));
-    pair.tell_backup(&opened);
+    pair.deliver_to_backup(&opened);
     sent
 }
 
@@ -64,8 +64,12 @@
 }
 
 fn transfer_count(actions: &[Action]) -> usize {
-    let offer = |(_, body): &(id::Holder, Body)| matches!(body, Body::Adopt(_));
-    bodies(actions).iter().filter(|sent| offer(sent)).count()
+    let offer =
+        |(_, body): &(id::Holder, PeerMessage)| matches!(body, PeerMessage::FeedTransfer(_));
+    peer_messages(actions)
+        .iter()
+        .filter(|sent| offer(sent))
+        .count()
 }
 
 fn view_of(pair: &Pair, live: &[&id::Holder]) -> Event {
@@ -96,7 +100,7 @@
 /// older numbers, and would get no more notifications.
 #[test]
 fn the_sequence_leaps_when_another_goes_on() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let sent = open(&mut pair);
     let mut seen = 0;
     for _ in 0..300 {
@@ -113,7 +117,7 @@
 /// again.
 #[test]
 fn message_numbers_do_not_come_again_after_a_takeover() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let sent = open(&mut pair);
     let mut seen = BTreeSet::new();
     for _ in 0..300 {
@@ -131,13 +135,13 @@
 /// copy of the sequence number is refreshed before it lags by that much.
 #[test]
 fn the_copy_of_the_sequence_never_lags_by_a_leap() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let sent = open(&mut pair);
     let mut refreshed = 0;
     for _ in 0..40_000 {
         let actions = pair.answer(&sent, notification("n"));
         refreshed += steps(&actions).len();
-        pair.tell_backup(&actions);
+        pair.deliver_to_backup(&actions);
     }
     assert!(refreshed >= 2);
     let seen = sequences(&pair.answer(&sent, notification("n")))[0];
@@ -151,7 +155,7 @@
 /// used until the new one is answered, and only then rejected.
 #[test]
 fn a_move_registers_before_it_drops() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let sent = open(&mut pair);
     pair.run(REGISTRATION_BOUND);
     sent.0.state().draining = true;
@@ -176,7 +180,7 @@
 /// address, must not reach the caller.
 #[test]
 fn a_notification_counts_only_from_its_own_server() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let sent = open(&mut pair);
     let other = pair.servers.iter().find(|s| s.id != sent.0.id).cloned();
     let foreign = (other.expect("three servers"), sent.1);
@@ -190,7 +194,7 @@
 /// arrive. The feed is registered again, first with its own server.
 #[test]
 fn a_silent_feed_is_registered_again() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let sent = open(&mut pair);
     let renewed = forwards(&pair.run(Profile::default().feed_silence() + ms(200)).0);
     assert_eq!(renewed.len(), 1);
@@ -203,10 +207,10 @@
 /// gets no notice of the move.
 #[test]
 fn a_feed_that_a_server_refuses_moves() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let sent = open(&mut pair);
     let refused = Answer {
-        feed: false,
+        keeps_feed_open: false,
         verdict: Verdict::Refused,
         ..notification("refused")
     };
@@ -219,7 +223,7 @@
 /// instead of waiting forever.
 #[test]
 fn a_feed_without_a_server_is_ended() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     open(&mut pair);
     for server in &pair.servers {
         server.state().listed = State::Leaving;
@@ -235,7 +239,7 @@
 /// backup must not keep its copy.
 #[test]
 fn a_rejected_feed_ends_everywhere() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let sent = open(&mut pair);
     let notified = pair.answer(&sent, notification("n"));
     let event = Event::Receipt {
@@ -246,7 +250,7 @@
         datagram: bytes::Bytes::new(),
     };
     let ended = pair.home.handle(pair.now, event);
-    pair.tell_backup(&ended);
+    pair.deliver_to_backup(&ended);
     assert_eq!((pair.home.feeds(), pair.backup.feeds()), (0, 0));
 }
 
@@ -255,7 +259,7 @@
 /// the limit.
 #[test]
 fn a_feed_of_a_vanished_caller_ends() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let sent = open(&mut pair);
     pair.now += secs(31);
     for _ in 0..4 {
@@ -270,13 +274,13 @@
 /// The caller closes a feed that has moved to another home.
 #[test]
 fn a_feed_is_closed_after_a_move() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     open(&mut pair);
     promote(&mut pair);
     let moved = forwards(&pair.run(REGISTRATION_BOUND).1);
     pair.answer_backup(&moved[0], notification("n"));
-    pair.ask_backup(2, Kind::Open);
-    let mut close = lab::request(&lab::flow("dispatch", 1), 3, Kind::Close);
+    pair.ask_backup(2, Kind::OpenFeed);
+    let mut close = lab::request(&lab::flow("dispatch", 1), 3, Kind::CloseFeed);
     close.token = godwitreel::request::Token(1);
     let event = Event::Request {
         request: close,
@@ -294,26 +298,26 @@
     let (a, b) = (holder("a", 1), holder("b", 1));
     let mut pair = Pair::new(row(1, Some(&a), None));
     for number in 1..=3 {
-        let sent = forwards(&pair.ask(number, Kind::Open)).remove(0);
+        let sent = forwards(&pair.ask(number, Kind::OpenFeed)).remove(0);
         pair.answer(&sent, notification("first"));
     }
-    let copy = pair.join();
+    let copy = pair.add_backup();
     // The first step, which clears older feeds, arrives last.
     let mut reordered = copy.clone();
     reordered.rotate_left(1);
-    pair.tell_backup(&reordered);
+    pair.deliver_to_backup(&reordered);
     assert_eq!(pair.backup.feeds(), 3);
     pair.home
-        .handle(pair.now, Event::Abandon(vec![id::Slice(0)]));
+        .handle(pair.now, Event::CancelBackup(vec![id::Slice(0)]));
     pair.ask(9, Kind::Idempotent);
-    let mut close = lab::request(&lab::flow("dispatch", 1), 10, Kind::Close);
+    let mut close = lab::request(&lab::flow("dispatch", 1), 10, Kind::CloseFeed);
     close.token = godwitreel::request::Token(1);
     let event = Event::Request {
         request: close,
         hops: 0,
     };
     pair.home.handle(pair.now, event);
-    let copy = pair.join();
+    let copy = pair.add_backup();
     deliver(pair.now, &a, &copy, &b, &mut pair.backup);
     assert_eq!(pair.backup.feeds(), 2, "the backup keeps a closed feed");
 }
@@ -324,17 +328,17 @@
 /// notifications.
 #[test]
 fn a_home_that_was_cut_off_goes_beyond_its_backups_sequence() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let sent = open(&mut pair);
     cut_off_home(&mut pair);
     let registered = forwards(&pair.run(REGISTRATION_BOUND).1);
     let seen = sequences(&pair.answer_backup(&registered[0], notification("n")))[0];
     let transfers = reconnect_home(&mut pair);
     assert_eq!(transfer_count(&transfers), 1);
-    pair.tell_home(&transfers);
+    pair.deliver_to_home(&transfers);
     let next = sequences(&pair.answer(&sent, notification("n")))[0];
     assert!(next > seen);
-    pair.tell_home(&transfers);
+    pair.deliver_to_home(&transfers);
     let after = sequences(&pair.answer(&sent, notification("n")))[0];
     assert_eq!(after, next + 1, "a duplicate transfer has no effect");
 }
@@ -343,7 +347,7 @@
 /// feed is released here, and until then notifications are still sent from here.
 #[test]
 fn a_feed_is_offered_until_it_is_released() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     open(&mut pair);
     cut_off_home(&mut pair);
     let registered = forwards(&pair.run(REGISTRATION_BOUND).1);
@@ -367,7 +371,7 @@
 /// at the backup, which still notices when they fall silent.
 #[test]
 fn a_feed_stays_when_its_home_is_gone_again() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     open(&mut pair);
     cut_off_home(&mut pair);
     let registered = forwards(&pair.run(REGISTRATION_BOUND).1);
@@ -385,13 +389,13 @@
 /// receipts, and the old home no longer serves feeds of the slice.
 #[test]
 fn a_feed_opened_during_a_move_goes_to_the_new_home() {
-    let mut pair = Pair::joined();
-    let sent = forwards(&pair.ask(1, Kind::Open)).remove(0);
+    let mut pair = Pair::with_backup();
+    let sent = forwards(&pair.ask(1, Kind::OpenFeed)).remove(0);
     let b = pair.b.clone();
     pair.install(row(2, Some(&b), None));
     let opened = pair.answer(&sent, notification("first"));
     assert_eq!(transfer_count(&opened), 1);
-    pair.tell_backup(&opened);
+    pair.deliver_to_backup(&opened);
     assert_eq!(forwards(&pair.run(REGISTRATION_BOUND).1).len(), 1);
 }
 
@@ -399,13 +403,13 @@
 /// that became home: the old home transfers it.
 #[test]
 fn a_feed_without_a_copy_is_offered_to_the_new_home() {
-    let mut pair = Pair::joined();
-    let sent = forwards(&pair.ask(1, Kind::Open)).remove(0);
+    let mut pair = Pair::with_backup();
+    let sent = forwards(&pair.ask(1, Kind::OpenFeed)).remove(0);
     pair.answer(&sent, notification("first"));
     let b = pair.b.clone();
     let moved = pair.install(row(2, Some(&b), None));
     assert_eq!(transfer_count(&moved), 1);
-    pair.tell_backup(&moved);
+    pair.deliver_to_backup(&moved);
     assert_eq!(pair.backup.feeds(), 1);
 }
 
@@ -413,7 +417,7 @@
 /// time to register, and then drops it.
 #[test]
 fn the_old_home_releases_feeds_after_a_while() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     let sent = open(&mut pair);
     let b = pair.b.clone();
     pair.install(row(2, Some(&b), None));
@@ -439,9 +443,9 @@
         ..Profile::default()
     });
     for number in 0..FEEDS {
-        let sent = forwards(&pair.ask(number, Kind::Open)).remove(0);
+        let sent = forwards(&pair.ask(number, Kind::OpenFeed)).remove(0);
         let opened = pair.answer(&sent, notification("first"));
-        pair.tell_backup(&opened);
+        pair.deliver_to_backup(&opened);
     }
     promote(&mut pair);
     let mut most = 0;
@@ -458,7 +462,7 @@
 /// home is live.
 #[test]
 fn a_copy_alone_registers_nothing() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     open(&mut pair);
     let (_, actions) = pair.run(Profile::default().feed_silence() * 2);
     assert!(forwards(&actions).is_empty());
@@ -468,7 +472,7 @@
 /// start: the feed is served again once the service is known again.
 #[test]
 fn a_feed_survives_a_gap_in_the_configuration() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     open(&mut pair);
     let empty = Event::Snapshot(lab::snapshot(Vec::new()));
     pair.home.handle(pair.now, empty);
@@ -489,7 +493,7 @@
         !has_reason(&actions, Reason::HomeGained),
         "the slice belongs to another worker"
     );
-    let is_feed = |item: &Item| matches!(item, Item::Feed(_));
+    let is_feed = |item: &ReplicationItem| matches!(item, ReplicationItem::Feed(_));
     assert!(!steps(&actions).iter().any(is_feed));
 }
 
@@ -497,7 +501,7 @@
 /// answer arrives, the backup must not keep the registration beside the home's.
 #[test]
 fn a_registration_under_way_is_released_too() {
-    let mut pair = Pair::joined();
+    let mut pair = Pair::with_backup();
     open(&mut pair);
     cut_off_home(&mut pair);
     let registered = forwards(&pair.run(REGISTRATION_BOUND).1);
--- a/tests/lab/mod.rs
+++ b/tests/lab/mod.rs
@@ -19,7 +19,7 @@
 use godwitreel::engine::Engine;
 use godwitreel::event::Event;
 use godwitreel::id;
-use godwitreel::member::View;
+use godwitreel::member::MembershipView;
 use godwitreel::peer;
 use godwitreel::reason::Reason;
 use godwitreel::request::Answer;
@@ -120,22 +120,22 @@
         epoch: id::Epoch(epoch),
         home: home.cloned(),
         backup: backup.cloned(),
-        blank: false,
+        records_lost: false,
     }
 }
 
 /// A table of one slice.
 pub(crate) fn table(row: Row) -> Event {
     let mut table = Table::new(1);
-    table.advance(id::Slice(0), row);
+    table.update_if_newer(id::Slice(0), row);
     Event::Table(Arc::new(table))
 }
 
 pub(crate) fn view(live: &[&id::Holder], authority_until: Instant) -> Event {
-    Event::Members(Arc::new(View {
+    Event::Membership(Arc::new(MembershipView {
         live: live.iter().copied().cloned().collect(),
         authority_until: Some(authority_until),
-        ..View::default()
+        ..MembershipView::default()
     }))
 }
 
@@ -146,7 +146,7 @@
         token: Token(number.into()),
         kind,
         confirmable: true,
-        part: godwitreel::request::Part::default(),
+        block: godwitreel::request::BodyBlock::default(),
         datagram: Bytes::copy_from_slice(&number.to_be_bytes()),
     }
 }
@@ -154,8 +154,8 @@
 pub(crate) fn answer(text: &str) -> Answer {
     Answer {
         verdict: Verdict::Handled,
-        feed: false,
-        more: false,
+        keeps_feed_open: false,
+        has_more_blocks: false,
         retry_after: None,
         datagram: Bytes::copy_from_slice(text.as_bytes()),
     }
@@ -171,7 +171,7 @@
 
 pub(crate) fn notification(text: &str) -> Answer {
     Answer {
-        feed: true,
+        keeps_feed_open: true,
         ..answer(text)
     }
 }
@@ -197,7 +197,7 @@
 }
 
 /// Messages sent to peers: each with its receiver.
-pub(crate) fn bodies(actions: &[Action]) -> Vec<(id::Holder, peer::Body)> {
+pub(crate) fn peer_messages(actions: &[Action]) -> Vec<(id::Holder, peer::PeerMessage)> {
     let body = |action: &Action| match action {
         Action::Peer { to, body } => Some((to.clone(), body.clone())),
         _ => None,
@@ -215,14 +215,15 @@
 }
 
 pub(crate) fn has_reason(actions: &[Action], reason: Reason) -> bool {
-    let matches = |action: &Action| matches!(action, Action::Note(note) if note.reason == reason);
+    let matches =
+        |action: &Action| matches!(action, Action::TraceEvent(note) if note.reason == reason);
     actions.iter().any(matches)
 }
 
 /// The event that the edge makes of a peer message.
-fn peer_event(from: id::Holder, body: peer::Body) -> Event {
+fn peer_event(from: id::Holder, body: peer::PeerMessage) -> Event {
     match body {
-        peer::Body::Relay(relay) => {
+        peer::PeerMessage::Relay(relay) => {
             let flow = peer::unpack_flow(relay.flow.as_ref()).expect("a flow packed by an engine");
             let number = relay
                 .datagram
@@ -230,10 +231,10 @@
                 .try_into()
                 .expect("a datagram of 8 bytes");
             let number = u64::from_be_bytes(number);
-            let request = request(&flow, number, Kind::Once);
+            let request = request(&flow, number, Kind::NonIdempotent);
             let hops = relay.hops;
             if relay.released {
-                Event::Released {
+                Event::ReleasedRequest {
                     from,
                     request,
                     hops,
@@ -256,7 +257,7 @@
     engine: &mut Engine,
 ) -> Vec<Action> {
     let mut out = Vec::new();
-    for (receiver, body) in bodies(actions) {
+    for (receiver, body) in peer_messages(actions) {
         if receiver == *to {
             out.extend(engine.handle(now, peer_event(from.clone(), body)));
         }
--- a/tests/lab/pair.rs
+++ b/tests/lab/pair.rs
@@ -7,17 +7,17 @@
 use godwitreel::engine::Engine;
 use godwitreel::event::Event;
 use godwitreel::id;
-use godwitreel::peer::Body;
-use godwitreel::peer::Item;
+use godwitreel::peer::PeerMessage;
+use godwitreel::peer::ReplicationItem;
 use godwitreel::request::Answer;
 use godwitreel::request::Kind;
 use godwitreel::server::Server;
 use godwitreel::table::Row;
 use tokio::time::Instant;
 
-use super::bodies;
 use super::deliver;
 use super::holder;
+use super::peer_messages;
 use super::request;
 use super::row;
 use super::table;
@@ -54,7 +54,7 @@
     }
 
     /// A home whose backup is named in the table.
-    pub(crate) fn joined() -> Self {
+    pub(crate) fn with_backup() -> Self {
         let (a, b) = (holder("a", 1), holder("b", 1));
         Self::new(row(1, Some(&a), Some(&b)))
     }
@@ -84,24 +84,24 @@
 
     /// Sends a non-idempotent request to the home.
     pub(crate) fn book(&mut self, number: u64) -> Vec<Action> {
-        let request = request(&super::flow("dispatch", 1), number, Kind::Once);
+        let request = request(&super::flow("dispatch", 1), number, Kind::NonIdempotent);
         self.home
             .handle(self.now, Event::Request { request, hops: 0 })
     }
 
     /// Passes messages of the home to the backup.
-    pub(crate) fn tell_backup(&mut self, actions: &[Action]) -> Vec<Action> {
+    pub(crate) fn deliver_to_backup(&mut self, actions: &[Action]) -> Vec<Action> {
         deliver(self.now, &self.a, actions, &self.b, &mut self.backup)
     }
 
     /// Passes messages of the backup to the home.
-    pub(crate) fn tell_home(&mut self, actions: &[Action]) -> Vec<Action> {
+    pub(crate) fn deliver_to_home(&mut self, actions: &[Action]) -> Vec<Action> {
         deliver(self.now, &self.b, actions, &self.a, &mut self.home)
     }
 
     /// Starts the copy to the backup.
-    pub(crate) fn join(&mut self) -> Vec<Action> {
-        let event = Event::Join {
+    pub(crate) fn add_backup(&mut self) -> Vec<Action> {
+        let event = Event::AddBackup {
             slices: vec![id::Slice(0)],
             backup: self.b.clone(),
         };
@@ -125,19 +125,19 @@
     /// The new home's answer to a duplicate of a request that the previous home has
     /// claimed, after the request's deadline. Asserts that the new home neither
     /// answers nor forwards a duplicate before the deadline.
-    pub(crate) fn ask_for_claimed(&mut self, number: u64) -> Vec<Action> {
-        let before_deadline = self.ask_backup(number, Kind::Once);
+    pub(crate) fn duplicate_of_claimed(&mut self, number: u64) -> Vec<Action> {
+        let before_deadline = self.ask_backup(number, Kind::NonIdempotent);
         assert!(super::forwards(&before_deadline).is_empty());
         assert_eq!(super::outcomes(&before_deadline), []);
         self.run(Profile::default().deadline());
-        self.ask_backup(number, Kind::Once)
+        self.ask_backup(number, Kind::NonIdempotent)
     }
 
     /// Sends a booking to the home and passes the claim and its acknowledgement on.
-    pub(crate) fn book_through(&mut self, number: u64) -> Vec<Action> {
+    pub(crate) fn book_acknowledged(&mut self, number: u64) -> Vec<Action> {
         let claims = self.book(number);
-        let acks = self.tell_backup(&claims);
-        self.tell_home(&acks)
+        let acks = self.deliver_to_backup(&claims);
+        self.deliver_to_home(&acks)
     }
 
     /// Passes a server's answer to an attempt of the home.
@@ -184,14 +184,17 @@
 }
 
 /// Replication steps among the actions.
-pub(crate) fn steps(actions: &[Action]) -> Vec<Item> {
-    let step = |(_, body): (id::Holder, Body)| match body {
-        Body::Replicate(step) => step.item,
+pub(crate) fn steps(actions: &[Action]) -> Vec<ReplicationItem> {
+    let step = |(_, body): (id::Holder, PeerMessage)| match body {
+        PeerMessage::ReplicationStep(step) => step.item,
         _ => None,
     };
-    bodies(actions).into_iter().filter_map(step).collect()
+    peer_messages(actions)
+        .into_iter()
+        .filter_map(step)
+        .collect()
 }
 
-pub(crate) fn is_claim(item: &Item) -> bool {
-    matches!(item, Item::Claim(_))
+pub(crate) fn is_claim(item: &ReplicationItem) -> bool {
+    matches!(item, ReplicationItem::Claim(_))
 }
--- a/tests/outcome.rs
+++ b/tests/outcome.rs
@@ -13,9 +13,9 @@
 use godwitreel::id;
 use godwitreel::reason::Reason;
 use godwitreel::request::Answer;
+use godwitreel::request::BodyBlock;
 use godwitreel::request::Kind;
 use godwitreel::request::Outcome;
-use godwitreel::request::Part;
 use godwitreel::request::Receipt;
 use godwitreel::server::Server;
 
@@ -34,10 +34,10 @@
 type Sent = (Arc<Server>, id::Attempt);
 
 /// A later block of an upload.
-const LATER_BLOCK: Part = Part {
-    body: 1,
-    later: true,
-    upload: true,
+const LATER_BLOCK: BodyBlock = BodyBlock {
+    body_id: 1,
+    is_continuation: true,
+    is_upload: true,
 };
 
 /// A home without a backup, which forwards at once.
@@ -193,7 +193,7 @@
     for number in 0..30 {
         pair.book(number);
         pair.run(ms(1_000));
-        let in_cooldown = |server: &&Arc<Server>| server.state().is_resting(pair.now);
+        let in_cooldown = |server: &&Arc<Server>| server.state().is_in_cooldown(pair.now);
         assert!(pair.servers.iter().filter(in_cooldown).count() <= 1);
     }
 }
@@ -202,7 +202,7 @@
 /// retry after.
 #[test]
 fn without_a_server_a_request_is_not_run() {
-    for kind in [Kind::Once, Kind::Idempotent] {
+    for kind in [Kind::NonIdempotent, Kind::Idempotent] {
         let mut pair = alone();
         for server in &pair.servers {
             server.state().draining = true;
@@ -221,7 +221,7 @@
     let forwarded = sent(&send_block(&mut pair, 1));
     pair.answer(&forwarded, answer("next"));
     for server in &pair.servers {
-        server.disown();
+        server.revoke_confirmation();
     }
     assert!(forwards(&send_block(&mut pair, 2)).is_empty());
     assert!(forwards(&pair.book(3)).is_empty());
@@ -229,8 +229,8 @@
 
 fn send_block(pair: &mut Pair, number: u64) -> Vec<Action> {
     let mut request = lab::request(&lab::flow("dispatch", 1), number, Kind::Idempotent);
-    request.part = Part {
-        later: number > 0,
+    request.block = BodyBlock {
+        is_continuation: number > 0,
         ..LATER_BLOCK
     };
     let event = Event::Request { request, hops: 0 };
@@ -246,7 +246,7 @@
     for number in 0..20 {
         let forwarded = sent(&send_block(&mut pair, number));
         let next = Answer {
-            more: true,
+            has_more_blocks: true,
             ..answer("next")
         };
         pair.answer(&forwarded, next);
