--- a/src/engine.rs
+++ b/src/engine.rs
@@ -98,7 +98,7 @@
     parked_requests: ParkedRequests,
     timers: BinaryHeap<Reverse<(Instant, Timer)>>,
     /// Slices with replication steps that are not acknowledged yet.
-    unacknowledged: BTreeSet<id::Slice>,
+    slices_with_pending_steps: BTreeSet<id::Slice>,
     /// Feeds that wait to be registered again, in order.
     queued_renewals: VecDeque<(id::Slice, FeedKey)>,
     /// Slices whose feed registrations are dropped at a given time, after another
@@ -141,7 +141,7 @@
             unacknowledged_answers: UnacknowledgedAnswers::new(),
             parked_requests: ParkedRequests::new(),
             timers: BinaryHeap::new(),
-            unacknowledged: BTreeSet::new(),
+            slices_with_pending_steps: BTreeSet::new(),
             queued_renewals: VecDeque::new(),
             scheduled_releases: VecDeque::new(),
             leaving_servers: HashSet::new(),
--- a/src/engine/clock.rs
+++ b/src/engine/clock.rs
@@ -163,8 +163,8 @@
             return;
         };
         let is_finished = record.is_settled() || record.phase == Phase::Claimed;
-        let born = record.received_at;
-        if is_finished && now >= born + self.record_lifetime(&key.flow.service) {
+        let received_at = record.received_at;
+        if is_finished && now >= received_at + self.record_lifetime(&key.flow.service) {
             self.remove_record(slice, key);
         } else {
             self.schedule_record_expiry(now, slice, key);
--- a/src/engine/inbound.rs
+++ b/src/engine/inbound.rs
@@ -55,22 +55,22 @@
             self.answer_unrecorded(&request, Outcome::Unknown, Reason::UnknownDeadline);
             return;
         }
-        let arrival = IncomingRequest {
+        let incoming = IncomingRequest {
             request,
             hops,
             since: now,
         };
-        self.route_request(now, arrival);
+        self.route_request(now, incoming);
     }
 
     /// Passes a request to the instance that decides for it now.
-    pub(super) fn route_request(&mut self, now: Instant, mut arrival: IncomingRequest) {
+    pub(super) fn route_request(&mut self, now: Instant, mut incoming: IncomingRequest) {
         if self.table.is_empty() {
             // This instance has just started; the caller repeats the request.
             self.emit(Reason::ParkFull);
             return;
         }
-        let flow = &mut arrival.request.flow;
+        let flow = &mut incoming.request.flow;
         let listed = self.snapshot.services.get(&flow.service);
         let Some(service) = listed.map(Arc::clone) else {
             self.emit(Reason::UnknownService);
@@ -79,21 +79,21 @@
         // A relayed datagram contains its own copy of the service's name, which
         // would be kept in memory as long as the flow.
         flow.service = service.id.clone();
-        let slice = self.slice_of(&arrival.request.flow);
-        match self.route(slice, arrival.request.kind) {
-            Route::Local => self.admit_or_replay(now, slice, &service, arrival),
+        let slice = self.slice_of(&incoming.request.flow);
+        match self.route(slice, incoming.request.kind) {
+            Route::Local => self.admit_or_replay(now, slice, &service, incoming),
             // Two instances with outdated tables relay to each other for a moment.
             // A non-idempotent request waits here for the next table.
             Route::Remote(_)
-                if arrival.hops >= MAX_HOPS && arrival.request.kind.is_non_idempotent() =>
+                if incoming.hops >= MAX_HOPS && incoming.request.kind.is_non_idempotent() =>
             {
-                self.park_request(arrival);
+                self.park_request(incoming);
             }
             Route::Remote(holder) => {
-                let IncomingRequest { request, hops, .. } = arrival;
+                let IncomingRequest { request, hops, .. } = incoming;
                 self.relay(&holder, &request.flow, request.datagram, hops);
             }
-            Route::Park => self.park_request(arrival),
+            Route::Park => self.park_request(incoming),
         }
     }
 
@@ -182,8 +182,8 @@
         }
     }
 
-    fn park_request(&mut self, arrival: IncomingRequest) {
-        let request = &arrival.request;
+    fn park_request(&mut self, incoming: IncomingRequest) {
+        let request = &incoming.request;
         let is_duplicate = |parked: &IncomingRequest| {
             parked.request.id == request.id && parked.request.flow == request.flow
         };
@@ -195,7 +195,7 @@
             return;
         }
         self.emit(Reason::Parked);
-        self.parked_requests.push_back(arrival);
+        self.parked_requests.push_back(incoming);
     }
 
     /// Routes the parked requests again after the table or the view has changed.
@@ -265,16 +265,16 @@
         now: Instant,
         slice: id::Slice,
         service: &Service,
-        arrival: IncomingRequest,
+        incoming: IncomingRequest,
     ) {
-        let key = arrival.request.key();
+        let key = incoming.request.key();
         let state = self.slices.entry(slice).or_default();
         if state.records.contains_key(&key) {
-            self.handle_duplicate(now, slice, &key, &arrival.request);
-        } else if arrival.request.kind.is_non_idempotent() {
-            self.admit_non_idempotent(now, slice, service, arrival);
+            self.handle_duplicate(now, slice, &key, &incoming.request);
+        } else if incoming.request.kind.is_non_idempotent() {
+            self.admit_non_idempotent(now, slice, service, incoming);
         } else {
-            self.admit_idempotent(now, slice, service, arrival.request);
+            self.admit_idempotent(now, slice, service, incoming.request);
         }
     }
 
@@ -360,10 +360,10 @@
         now: Instant,
         slice: id::Slice,
         service: &Service,
-        arrival: IncomingRequest,
+        incoming: IncomingRequest,
     ) {
-        let IncomingRequest { request, since, .. } = arrival;
-        let blank = self
+        let IncomingRequest { request, since, .. } = incoming;
+        let records_lost_since = self
             .slices
             .get(&slice)
             .and_then(|state| state.records_lost_since);
@@ -374,7 +374,7 @@
         // The records of the previous home are lost. A request that arrives within
         // one copy lifetime of the takeover may be a duplicate of one that the
         // previous home let run.
-        if blank.is_some_and(|since| now < since + service.profile.copy_lifetime()) {
+        if records_lost_since.is_some_and(|since| now < since + service.profile.copy_lifetime()) {
             self.answer_unrecorded(&request, Outcome::Unknown, Reason::UnknownBlank);
             return;
         }
@@ -384,7 +384,7 @@
             self.answer_unrecorded(&request, Outcome::Unknown, Reason::UnknownLimit);
             return;
         }
-        let intent = match self.exceeded_limit(slice, service, &request.flow) {
+        let follow_up = match self.exceeded_limit(slice, service, &request.flow) {
             None => ClaimFollowUp::Forward,
             Some(reason) => ClaimFollowUp::Refuse {
                 retry_after: service.profile.retry_after_s,
@@ -392,7 +392,8 @@
             },
         };
         // The time that the request waited for a home counts toward its deadline.
-        let key = self.insert_open_record(since, slice, service, request, Phase::Claiming(intent));
+        let key =
+            self.insert_open_record(since, slice, service, request, Phase::Claiming(follow_up));
         self.usage(&service.id)
             .budget
             .deposit(service.profile.retry_budget_percent);
@@ -443,11 +444,11 @@
         if self.is_stopping {
             return Some(Reason::RefusedStopping);
         }
-        let busy = self
+        let open_requests = self
             .slices
             .get(&slice)
             .and_then(|state| state.open_requests.get(flow));
-        if busy.is_some_and(|busy| *busy >= service.profile.max_per_caller) {
+        if open_requests.is_some_and(|count| *count >= service.profile.max_per_caller) {
             return Some(Reason::RefusedCaller);
         }
         let used = self.usage(&service.id).in_progress;
--- a/src/engine/outbound.rs
+++ b/src/engine/outbound.rs
@@ -56,7 +56,7 @@
         let Some(record) = self.record(slice, key) else {
             return;
         };
-        let Phase::Claiming(intent) = record.phase else {
+        let Phase::Claiming(follow_up) = record.phase else {
             return;
         };
         // After a pause of this process the acknowledgement can be read before the
@@ -72,7 +72,7 @@
             self.settle(now, slice, key, Outcome::Unknown, Reason::UnknownAuthority);
             return;
         }
-        match intent {
+        match follow_up {
             ClaimFollowUp::Forward => self.dispatch(now, slice, key),
             ClaimFollowUp::Refuse {
                 retry_after,
@@ -97,7 +97,7 @@
             return;
         }
         let (part, kind) = (record.block, record.kind);
-        let tried = record.tried_servers.clone();
+        let tried_servers = record.tried_servers.clone();
         let has_open_attempts = !record.attempts.is_empty();
         let pinned = if part.is_continuation {
             self.pinned_server(now, slice, &service, key)
@@ -110,7 +110,15 @@
         };
         let choice = pinned.or_else(|| {
             let zone = &self.settings.zone;
-            balance::choose(&service, &key.flow, work, zone, &tried, now, &mut self.rng)
+            balance::choose(
+                &service,
+                &key.flow,
+                work,
+                zone,
+                &tried_servers,
+                now,
+                &mut self.rng,
+            )
         });
         match choice {
             Some(server) if part.is_continuation => {
@@ -128,7 +136,7 @@
             }
             None if has_open_attempts => {}
             None => {
-                let reason = if tried.is_empty() {
+                let reason = if tried_servers.is_empty() {
                     Reason::RefusedNoServer
                 } else {
                     Reason::RefusedByServer
@@ -209,13 +217,13 @@
         record.attempts.push(attempt);
         record.tried_servers.push(server.id.clone());
         let deadline = record.received_at + service.profile.deadline();
-        let runs_once = record.kind.is_non_idempotent();
-        let later = record.block.is_continuation;
+        let is_non_idempotent = record.kind.is_non_idempotent();
+        let is_continuation = record.block.is_continuation;
         let datagram = record.datagram.clone();
-        if later {
+        if is_continuation {
             self.set_pin(now, slice, key, &server, attempt);
         }
-        if !runs_once {
+        if !is_non_idempotent {
             let timer = Timer::Attempt(slice, key.clone(), attempt);
             self.schedule(now + service.profile.attempt_timeout(), timer);
         }
@@ -243,11 +251,11 @@
     /// socket as incomplete.
     fn new_attempt_for(&mut self, slice: id::Slice, key: &Key, server: &Server) -> id::Attempt {
         let mut attempt = self.new_attempt();
-        let later = self
+        let is_continuation = self
             .record(slice, key)
             .is_some_and(|record| record.block.is_continuation);
         let pin = self.pin(slice, key);
-        let pin = pin.filter(|pin| later && pin.server == server.id);
+        let pin = pin.filter(|pin| is_continuation && pin.server == server.id);
         if let Some(path) = pin.map(|pin| pin.attempt.0 % SERVER_SOCKETS) {
             while attempt.0 % SERVER_SOCKETS != path {
                 attempt = self.new_attempt();
@@ -366,13 +374,13 @@
         record.attempts.retain(|other| *other != attempt);
         let has_open_attempts = !record.attempts.is_empty();
         let tries = record.tried_servers.len() as u32;
-        let later = record.block.is_continuation;
+        let is_continuation = record.block.is_continuation;
         let Some(service) = self.service(&key.flow.service) else {
             return;
         };
         // Another server has none of the earlier blocks: the caller, told to retry
         // later, can continue with this server.
-        let may_retry = tries < service.profile.max_attempts && !later;
+        let may_retry = tries < service.profile.max_attempts && !is_continuation;
         if may_retry && self.usage(&service.id).budget.withdraw() {
             self.emit_request(Reason::Retried, slice, key);
             self.dispatch(now, slice, key);
--- a/src/engine/ownership.rs
+++ b/src/engine/ownership.rs
@@ -174,12 +174,12 @@
         let row = self.table.row(slice);
         let home = row.home.clone().filter(|home| *home != self.settings.me);
         let Some(to) = home else {
-            let arrival = IncomingRequest {
+            let incoming = IncomingRequest {
                 request,
                 hops: 0,
                 since,
             };
-            self.route_request(now, arrival);
+            self.route_request(now, incoming);
             return;
         };
         let body = peer::PeerMessage::Relay(peer::Relay {
--- a/src/engine/replica.rs
+++ b/src/engine/replica.rs
@@ -84,7 +84,7 @@
             return;
         };
         self.next_step_number = number;
-        self.unacknowledged.insert(slice);
+        self.slices_with_pending_steps.insert(slice);
         let pending = Pending {
             item: item.clone(),
             sent: Some(now),
@@ -118,7 +118,7 @@
     /// Sends steps that wait for room in the window, and resends those without an
     /// acknowledgement in time.
     pub(super) fn send_due_steps(&mut self, now: Instant) {
-        let slices: Vec<id::Slice> = self.unacknowledged.iter().copied().collect();
+        let slices: Vec<id::Slice> = self.slices_with_pending_steps.iter().copied().collect();
         for slice in slices {
             self.send_due_steps_of(now, slice);
         }
@@ -126,12 +126,12 @@
 
     fn send_due_steps_of(&mut self, now: Instant, slice: id::Slice) {
         let Some(state) = self.slices.get_mut(&slice) else {
-            self.unacknowledged.remove(&slice);
+            self.slices_with_pending_steps.remove(&slice);
             return;
         };
         let epoch = state.epoch;
         let Some(replica) = state.replica.as_mut().filter(|r| !r.pending.is_empty()) else {
-            self.unacknowledged.remove(&slice);
+            self.slices_with_pending_steps.remove(&slice);
             return;
         };
         let to = replica.holder.clone();
@@ -187,7 +187,7 @@
         now: Instant,
         slice: id::Slice,
         backup: &id::Holder,
-        installed: bool,
+        is_in_table: bool,
     ) {
         let state = self.slices.entry(slice).or_default();
         let waiters = state
@@ -197,18 +197,18 @@
             .unwrap_or_default();
         let mut items = vec![peer::ReplicationItem::CopyStart(peer::CopyStart {})];
         let waiting: HashSet<&Key> = waiters.iter().collect();
-        let is_non_idempotent = |(key, record): (&Key, &Record)| {
+        let to_copy = |(key, record): (&Key, &Record)| {
             let is_claim = record.kind.is_non_idempotent() && !waiting.contains(key);
             is_claim.then(|| key.clone())
         };
-        let claims = sorted(state.records.iter().filter_map(is_non_idempotent));
+        let claims = sorted(state.records.iter().filter_map(to_copy));
         let claim = |key: &Key| {
             let record = state.records.get(key);
-            let claimer = record.and_then(|record| record.claimed_by.as_ref());
+            let claimed_by = record.and_then(|record| record.claimed_by.as_ref());
             let age = record
                 .map(|record| now - record.received_at)
                 .unwrap_or_default();
-            peer::ReplicationItem::Claim(pack_claim(key, claimer, age))
+            peer::ReplicationItem::Claim(pack_claim(key, claimed_by, age))
         };
         items.extend(claims.iter().map(claim));
         let feeds = state.feeds.iter();
@@ -225,12 +225,12 @@
         }
         state.replica = Some(Replica {
             holder: backup.clone(),
-            is_in_table: installed,
+            is_in_table,
             complete: false,
             initial_copy_end: self.next_step_number,
             pending,
         });
-        self.unacknowledged.insert(slice);
+        self.slices_with_pending_steps.insert(slice);
         for key in waiters {
             self.claim(now, slice, &key);
         }
@@ -303,15 +303,15 @@
             Some(peer::ReplicationItem::Claim(claim)) => {
                 let mut key = peer::unpack_key(claim.flow.as_ref(), &claim.id)?;
                 self.intern_service_name(&mut key.flow);
-                let claimer = match claim.claimer.as_str() {
+                let claimed_by = match claim.claimer.as_str() {
                     "" => from.clone(),
                     claimer => claimer.parse()?,
                 };
                 // If the sender's clock stood still, the stated age is too small,
                 // and the record is only kept for longer.
                 let age = Duration::from_millis(claim.age_ms);
-                let born = now.checked_sub(age).unwrap_or(now);
-                self.store_claim(now, slice, key, Record::claimed(born, claimer));
+                let received_at = now.checked_sub(age).unwrap_or(now);
+                self.store_claim(now, slice, key, Record::claimed(received_at, claimed_by));
             }
             Some(peer::ReplicationItem::Feed(feed)) => {
                 let (mut key, mut feed) = unpack_feed(now, message.number, feed)?;
@@ -467,16 +467,16 @@
     pending.filter_map(|pending| pending.waiter).collect()
 }
 
-fn pack_claim(key: &Key, claimer: Option<&id::Holder>, age: Duration) -> peer::Claim {
+fn pack_claim(key: &Key, claimed_by: Option<&id::Holder>, age: Duration) -> peer::Claim {
     peer::Claim {
         flow: Some(peer::pack_flow(&key.flow)),
         id: peer::pack_number(key.id.0),
-        claimer: claimer.map(ToString::to_string).unwrap_or_default(),
+        claimer: claimed_by.map(ToString::to_string).unwrap_or_default(),
         age_ms: age.as_millis() as u64,
     }
 }
 
-fn unpack_feed(now: Instant, stamp: u64, feed: peer::Feed) -> Result<(FeedKey, Feed)> {
+fn unpack_feed(now: Instant, replication_step: u64, feed: peer::Feed) -> Result<(FeedKey, Feed)> {
     let key = FeedKey {
         flow: peer::unpack_flow(feed.flow.as_ref())?,
         token: Token(peer::unpack_number(&feed.token)?),
@@ -492,7 +492,7 @@
         confirmed: now,
         unconfirmed: 0,
         next_check: now,
-        replication_step: stamp,
+        replication_step,
     };
     Ok((key, feed))
 }
--- a/src/engine/settlement.rs
+++ b/src/engine/settlement.rs
@@ -52,9 +52,9 @@
         record.datagram = bytes::Bytes::new();
         let attempts = std::mem::take(&mut record.attempts);
         let (token, confirmable, is_kept) = (record.token, record.confirmable, record.is_kept());
-        let runs_once = record.kind.is_non_idempotent();
+        let is_non_idempotent = record.kind.is_non_idempotent();
         let (separate, sequence) = (record.separate, record.sequence);
-        let born = record.received_at;
+        let received_at = record.received_at;
         let server = match outcome {
             Outcome::Answered(_) => record.tried_servers.last().cloned(),
             _ => None,
@@ -63,9 +63,9 @@
             self.remove_attempt(attempt);
         }
         self.decrement_in_progress(slice, key);
-        let elapsed = now.duration_since(born);
+        let elapsed = now.duration_since(received_at);
         self.emit_settled(reason, slice, key, server, elapsed);
-        if runs_once {
+        if is_non_idempotent {
             self.send_outcome_to_new_home(slice, key, token, &outcome);
         }
         let delivery = separate.map_or(Delivery::Direct, |message| Delivery::Separate { message });
@@ -96,9 +96,9 @@
         let Some(state) = self.slices.get_mut(&slice) else {
             return;
         };
-        if let Some(busy) = state.open_requests.get_mut(&key.flow) {
-            *busy = busy.saturating_sub(1);
-            if *busy == 0 {
+        if let Some(count) = state.open_requests.get_mut(&key.flow) {
+            *count = count.saturating_sub(1);
+            if *count == 0 {
                 state.open_requests.remove(&key.flow);
             }
         }
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -50,9 +50,9 @@
 pub(crate) enum Input {
     /// An event.
     Event(Event),
-    /// A backend server's answer; `acknowledge` is the message number to
-    /// acknowledge to the server, and `path` the index of the socket that received
-    /// the answer.
+    /// A backend server's answer. `server_socket` is the index of the socket that
+    /// received it, and `acknowledge` the message number to acknowledge to the
+    /// server.
     Answer {
         event: Event,
         from: id::Endpoint,
