--- a/tests/claim.rs
+++ b/tests/claim.rs
@@ -64,9 +64,9 @@
     pair.lose_home();
     let b = pair.b.clone();
     pair.backup.handle(pair.now, table(row(2, Some(&b), None)));
-    let copy = pair.duplicate_of_claimed(2);
-    assert!(forwards(&copy).is_empty());
-    assert_eq!(outcomes(&copy), [Outcome::Unknown]);
+    let duplicate = pair.duplicate_of_claimed(2);
+    assert!(forwards(&duplicate).is_empty());
+    assert_eq!(outcomes(&duplicate), [Outcome::Unknown]);
 }
 
 /// The home is frozen while a claim is outstanding and resumes after the caller's
@@ -226,9 +226,9 @@
     pair.deliver_to_backup(&copied);
     pair.lose_home();
     pair.backup.handle(pair.now, table(row(2, Some(&b), None)));
-    let copy = pair.duplicate_of_claimed(1);
-    assert!(forwards(&copy).is_empty());
-    assert_eq!(outcomes(&copy), [Outcome::Unknown]);
+    let duplicate = pair.duplicate_of_claimed(1);
+    assert!(forwards(&duplicate).is_empty());
+    assert_eq!(outcomes(&duplicate), [Outcome::Unknown]);
 }
 
 /// The copy to a new backup has started, but the table does not name the backup
@@ -255,13 +255,13 @@
     pair.book(1);
     let copied = pair.add_backup();
     let acks = pair.deliver_to_backup(&copied);
-    let joined = |actions: &[Action]| {
-        let joined = |action: &Action| matches!(action, Action::BackupSynced { .. });
-        actions.iter().any(joined)
+    let has_synced = |actions: &[Action]| {
+        let is_synced = |action: &Action| matches!(action, Action::BackupSynced { .. });
+        actions.iter().any(is_synced)
     };
     assert_eq!(acks.len(), 2);
-    assert!(!joined(&pair.deliver_to_home(&acks[..1])));
-    assert!(joined(&pair.deliver_to_home(&acks[1..])));
+    assert!(!has_synced(&pair.deliver_to_home(&acks[..1])));
+    assert!(has_synced(&pair.deliver_to_home(&acks[1..])));
 }
 
 /// The table names a backup to which this home has not copied anything. The home
--- a/tests/feed.rs
+++ b/tests/feed.rs
@@ -64,11 +64,11 @@
 }
 
 fn transfer_count(actions: &[Action]) -> usize {
-    let offer =
+    let is_transfer =
         |(_, body): &(id::Holder, PeerMessage)| matches!(body, PeerMessage::FeedTransfer(_));
     peer_messages(actions)
         .iter()
-        .filter(|sent| offer(sent))
+        .filter(|sent| is_transfer(sent))
         .count()
 }
 
--- a/tests/outcome.rs
+++ b/tests/outcome.rs
@@ -97,9 +97,9 @@
     let answered = pair.answer(&next, refusal());
     assert_eq!(outcomes(&answered), [Outcome::NotRun { retry_after: 1 }]);
     pair.run(secs(5));
-    let copy = pair.book(1);
-    assert!(forwards(&copy).is_empty());
-    assert_eq!(outcomes(&copy), [Outcome::NotRun { retry_after: 1 }]);
+    let duplicate = pair.book(1);
+    assert!(forwards(&duplicate).is_empty());
+    assert_eq!(outcomes(&duplicate), [Outcome::NotRun { retry_after: 1 }]);
 }
 
 /// A server answers an attempt that was sent to another server: the caller must not
