--- a/src/engine/inbound.rs
+++ b/src/engine/inbound.rs
@@ -1,4 +1,4 @@
-//! What comes from callers: routing to the slice's home, copies, admission.
+//! Datagrams from callers: routing to the slice's home, duplicates, and admission.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,102 +27,105 @@
 use crate::request::Token;
 use crate::snapshot::Service;
 
-/// Relays after which a datagram is dropped: tables that disagree could send it
-/// in a circle for ever.
+/// Relays after which a datagram is dropped: instances whose tables disagree could
+/// relay it in a loop forever.
 const MAX_HOPS: u32 = 3;
 
-/// How long a non-idempotent request may wait for its slice to get a home.
-/// It covers noticing a dead home and promoting its backup.
+/// How long a non-idempotent request may wait for its slice to get a home. The time
+/// covers the detection of a failed home and the promotion of its backup.
 pub(crate) const PARK_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long an answer may take before receipt is acknowledged by itself; under
-/// the two seconds after which a caller repeats its request.
+/// How long an answer may take before the request is acknowledged separately; less
+/// than the two seconds after which a caller repeats its request.
 pub(super) const ACKNOWLEDGE_AFTER: Duration = Duration::from_secs(1);
 
-/// Where a datagram is to be handled.
+/// Destination of a datagram.
 enum Route {
-    Here,
-    To(id::Holder),
-    Wait,
+    Local,
+    Remote(id::Holder),
+    Park,
 }
 
 impl Engine {
-    pub(super) fn request(&mut self, now: Instant, request: Request, hops: u32) {
-        // It may have waited in a buffer for longer than records are kept, so
-        // that its home would take it for a new one and run it again.
+    pub(super) fn handle_request(&mut self, now: Instant, request: Request, hops: u32) {
+        // The request may have waited in a socket buffer for longer than records
+        // are kept, so that its home would take it for a new request and run it
+        // again.
         if request.kind.is_non_idempotent() && self.is_catching_up(now) {
-            self.turn_away(&request, Outcome::Unknown, Reason::UnknownDeadline);
+            self.answer_unrecorded(&request, Outcome::Unknown, Reason::UnknownDeadline);
             return;
         }
-        let arrival = IncomingRequest {
+        let incoming = IncomingRequest {
             request,
             hops,
             since: now,
         };
-        self.settle_route(now, arrival);
+        self.route_request(now, incoming);
     }
 
-    /// Brings a request to whoever decides for it now.
-    pub(super) fn settle_route(&mut self, now: Instant, mut arrival: IncomingRequest) {
+    /// Passes a request to the instance that decides for it now.
+    pub(super) fn route_request(&mut self, now: Instant, mut incoming: IncomingRequest) {
         if self.table.is_empty() {
-            // Just started; the caller repeats it.
-            self.note(Reason::ParkFull);
+            // This instance has just started; the caller repeats the request.
+            self.emit(Reason::ParkFull);
             return;
         }
-        let flow = &mut arrival.request.flow;
-        let known = self.snapshot.services.get(&flow.service);
-        let Some(service) = known.map(Arc::clone) else {
-            self.note(Reason::UnknownService);
+        let flow = &mut incoming.request.flow;
+        let listed = self.snapshot.services.get(&flow.service);
+        let Some(service) = listed.map(Arc::clone) else {
+            self.emit(Reason::UnknownService);
             return;
         };
-        // A relayed datagram brings a copy of the name, which would be kept as
-        // long as the flow.
+        // A relayed datagram contains its own copy of the service's name, which
+        // would be kept in memory as long as the flow.
         flow.service = service.id.clone();
-        let slice = self.slice_of(&arrival.request.flow);
-        match self.route(slice, arrival.request.kind) {
-            Route::Here => self.serve(now, slice, &service, arrival),
-            // Two tables that are late name each other for a moment. A request
-            // that nothing repeats waits here for the next table.
-            Route::To(_)
-                if arrival.hops >= MAX_HOPS && arrival.request.kind.is_non_idempotent() =>
+        let slice = self.slice_of(&incoming.request.flow);
+        match self.route(slice, incoming.request.kind) {
+            Route::Local => self.admit_or_replay(now, slice, &service, incoming),
+            // Two instances with outdated tables relay to each other for a moment.
+            // A non-idempotent request waits here for the next table.
+            Route::Remote(_)
+                if incoming.hops >= MAX_HOPS && incoming.request.kind.is_non_idempotent() =>
             {
-                self.wait(arrival);
+                self.park_request(incoming);
             }
-            Route::To(holder) => {
-                let IncomingRequest { request, hops, .. } = arrival;
+            Route::Remote(holder) => {
+                let IncomingRequest { request, hops, .. } = incoming;
                 self.relay(&holder, &request.flow, request.datagram, hops);
             }
-            Route::Wait => self.wait(arrival),
+            Route::Park => self.park_request(incoming),
         }
     }
 
-    /// Idempotent work needs no authority: when the home cannot be heard, its
-    /// backup does it, and failing that the instance that has the datagram.
+    /// Determines where a request is handled.
+    ///
+    /// Idempotent requests need no authority: when the home is unreachable, its
+    /// backup handles them, or else the instance that has the datagram.
     fn route(&self, slice: id::Slice, kind: Kind) -> Route {
         let me = &self.settings.me;
         let row = self.table.row(slice);
         if row.is_home(me) {
-            return Route::Here;
+            return Route::Local;
         }
-        let live = |holder: &&id::Holder| self.members.is_live(holder);
-        if let Some(home) = row.home.as_ref().filter(live) {
-            return Route::To(home.clone());
+        let is_live = |holder: &&id::Holder| self.membership.is_live(holder);
+        if let Some(home) = row.home.as_ref().filter(is_live) {
+            return Route::Remote(home.clone());
         }
         if !row.is_backup(me)
-            && let Some(backup) = row.backup.as_ref().filter(live)
+            && let Some(backup) = row.backup.as_ref().filter(is_live)
         {
-            return Route::To(backup.clone());
+            return Route::Remote(backup.clone());
         }
         if kind.is_non_idempotent() {
-            Route::Wait
+            Route::Park
         } else {
-            Route::Here
+            Route::Local
         }
     }
 
     fn relay(&mut self, to: &id::Holder, flow: &Flow, datagram: Bytes, hops: u32) {
         if hops >= MAX_HOPS {
-            self.note(Reason::TooManyHops);
+            self.emit(Reason::TooManyHops);
             return;
         }
         let body = peer::PeerMessage::Relay(peer::Relay {
@@ -131,20 +134,21 @@
             hops: hops + 1,
             released: false,
         });
-        self.out.push(Action::Peer {
+        self.actions.push(Action::Peer {
             to: to.clone(),
             body,
         });
-        self.note(Reason::Relayed);
+        self.emit(Reason::Relayed);
     }
 
-    /// Takes over a request that an earlier home claimed and did not forward.
+    /// Takes over a request that the previous home claimed and did not forward.
     ///
-    /// The claim may be kept here without its acknowledgement having come there.
-    /// Without the release the caller would get "unknown" for a request that nobody
-    /// forwarded. Release and request travel in one message: apart, the request
-    /// could come first and be taken for a copy of what the other still works on.
-    pub(super) fn released(
+    /// This instance may hold the claim although its acknowledgement never reached
+    /// the previous home. Without the release the caller would get "unknown" for a
+    /// request that was never forwarded. Release and request travel in one message:
+    /// in separate messages, the request could arrive first and be taken for a
+    /// duplicate of a request that the other home is still working on.
+    pub(super) fn handle_released_request(
         &mut self,
         now: Instant,
         from: &id::Holder,
@@ -153,83 +157,88 @@
     ) {
         let slice = self.slice_of(&request.flow);
         let key = request.key();
-        // Only the claimer knows that it did not forward the request. Another one
-        // may have: this message could be a late one about an earlier claim.
-        let own = |record: &Record| {
+        // Only the home that made the claim knows that it did not forward the
+        // request. Another home may have forwarded it: this message could be a
+        // delayed one about an earlier claim.
+        let is_claimed_by_sender = |record: &Record| {
             record.phase == Phase::Claimed && record.claimed_by.as_ref() == Some(from)
         };
-        if self.record(slice, &key).is_some_and(|record| own(record)) {
-            self.forget(slice, &key);
+        if self
+            .record(slice, &key)
+            .is_some_and(|record| is_claimed_by_sender(record))
+        {
+            self.remove_record(slice, &key);
         }
         if self.table.row(slice).is_home(from) {
-            // The table here is late and would send it back.
-            self.wait(IncomingRequest {
+            // The table here is outdated, and routing by it would send the request
+            // back.
+            self.park_request(IncomingRequest {
                 request,
                 hops,
                 since: now,
             });
         } else {
-            self.request(now, request, hops);
+            self.handle_request(now, request, hops);
         }
     }
 
-    fn wait(&mut self, arrival: IncomingRequest) {
-        let request = &arrival.request;
-        let same = |parked: &IncomingRequest| {
+    fn park_request(&mut self, incoming: IncomingRequest) {
+        let request = &incoming.request;
+        let is_duplicate = |parked: &IncomingRequest| {
             parked.request.id == request.id && parked.request.flow == request.flow
         };
-        if self.park.iter().any(same) {
+        if self.parked_requests.iter().any(is_duplicate) {
             return;
         }
-        if self.park.len() >= self.settings.max_parked {
-            self.note(Reason::ParkFull);
+        if self.parked_requests.len() >= self.settings.max_parked {
+            self.emit(Reason::ParkFull);
             return;
         }
-        self.note(Reason::Parked);
-        self.park.push_back(arrival);
+        self.emit(Reason::Parked);
+        self.parked_requests.push_back(incoming);
     }
 
-    /// Tries the waiting requests again after the table or the view has changed.
-    pub(super) fn unpark(&mut self, now: Instant) {
-        // After a pause of this process their time may be over already: the
-        // caller would have its booking run long after it gave up.
+    /// Routes the parked requests again after the table or the view has changed.
+    pub(super) fn retry_parked(&mut self, now: Instant) {
+        // After a pause of this process their time may be over already: a booking
+        // would run long after its caller has given up.
         self.expire_parked(now);
-        for parked in std::mem::take(&mut self.park) {
+        for parked in std::mem::take(&mut self.parked_requests) {
             let slice = self.slice_of(&parked.request.flow);
             match self.route(slice, parked.request.kind) {
-                Route::Wait => self.park.push_back(parked),
+                Route::Park => self.parked_requests.push_back(parked),
                 _ => {
                     let hops = parked.hops.min(MAX_HOPS - 1);
-                    self.settle_route(now, IncomingRequest { hops, ..parked });
+                    self.route_request(now, IncomingRequest { hops, ..parked });
                 }
             }
         }
     }
 
-    /// Gives up on requests that have waited long enough.
+    /// Answers requests that have waited for a home for too long.
     pub(super) fn expire_parked(&mut self, now: Instant) {
-        let over = |parked: &IncomingRequest| now >= parked.since + PARK_TIMEOUT;
-        if !self.park.iter().any(over) {
+        let has_expired = |parked: &IncomingRequest| now >= parked.since + PARK_TIMEOUT;
+        if !self.parked_requests.iter().any(has_expired) {
             return;
         }
-        let parked = std::mem::take(&mut self.park);
-        let (late, waiting) = parked.into_iter().partition(over);
-        self.park = waiting;
-        let late: ParkedRequests = late;
-        for parked in late {
-            // Another copy may have reached the home before it fell silent, so
-            // "not run" would be a guess.
-            self.turn_away(&parked.request, Outcome::Unknown, Reason::UnknownNoHome);
+        let parked = std::mem::take(&mut self.parked_requests);
+        let (expired, waiting) = parked.into_iter().partition(has_expired);
+        self.parked_requests = waiting;
+        let expired: ParkedRequests = expired;
+        for parked in expired {
+            // A duplicate may have reached the home before it failed, so "not run"
+            // could be wrong.
+            self.answer_unrecorded(&parked.request, Outcome::Unknown, Reason::UnknownNoHome);
         }
     }
 
-    /// Answers without keeping a record.
-    fn turn_away(&mut self, request: &Request, outcome: Outcome, reason: Reason) {
+    /// Answers a request without keeping a record of it.
+    fn answer_unrecorded(&mut self, request: &Request, outcome: Outcome, reason: Reason) {
         let (token, confirmable) = (request.token, request.confirmable);
         self.answer_directly(request.key(), token, confirmable, outcome, reason);
     }
 
-    /// Answers a datagram of the caller with no record of the answer.
+    /// Answers a caller's datagram without recording the answer.
     pub(super) fn answer_directly(
         &mut self,
         key: Key,
@@ -239,8 +248,8 @@
         reason: Reason,
     ) {
         let slice = self.slice_of(&key.flow);
-        self.note_request(reason, slice, &key);
-        self.out.push(Action::Answer {
+        self.emit_request(reason, slice, &key);
+        self.actions.push(Action::Answer {
             flow: key.flow,
             id: key.id,
             token,
@@ -251,26 +260,27 @@
         });
     }
 
-    fn serve(
+    fn admit_or_replay(
         &mut self,
         now: Instant,
         slice: id::Slice,
         service: &Service,
-        arrival: IncomingRequest,
+        incoming: IncomingRequest,
     ) {
-        let key = arrival.request.key();
+        let key = incoming.request.key();
         let state = self.slices.entry(slice).or_default();
         if state.records.contains_key(&key) {
-            self.copy(now, slice, &key, &arrival.request);
-        } else if arrival.request.kind.is_non_idempotent() {
-            self.admit_once(now, slice, service, arrival);
+            self.handle_duplicate(now, slice, &key, &incoming.request);
+        } else if incoming.request.kind.is_non_idempotent() {
+            self.admit_non_idempotent(now, slice, service, incoming);
         } else {
-            self.admit(now, slice, service, arrival.request);
+            self.admit_idempotent(now, slice, service, incoming.request);
         }
     }
 
-    /// A copy of a request that is known here never causes work.
-    fn copy(&mut self, now: Instant, slice: id::Slice, key: &Key, request: &Request) {
+    /// Handles a duplicate of a request that has a record here. A duplicate is
+    /// never forwarded.
+    fn handle_duplicate(&mut self, now: Instant, slice: id::Slice, key: &Key, request: &Request) {
         let Some(record) = self.slices.get(&slice).and_then(|s| s.records.get(key)) else {
             return;
         };
@@ -278,8 +288,8 @@
         match record.phase.clone() {
             Phase::Settled(outcome) => {
                 let sequence = record.sequence;
-                self.note_request(Reason::Replayed, slice, key);
-                self.out.push(Action::Answer {
+                self.emit_request(Reason::Replayed, slice, key);
+                self.actions.push(Action::Answer {
                     flow: key.flow.clone(),
                     id: key.id,
                     token: request.token,
@@ -291,16 +301,16 @@
                 });
             }
             Phase::Claimed if self.may_be_answered_elsewhere(now, slice, key) => {
-                self.note_request(Reason::CopyIgnored, slice, key);
-                self.tell_at_deadline(slice, key, request);
+                self.emit_request(Reason::CopyIgnored, slice, key);
+                self.schedule_answer_at_deadline(slice, key, request);
             }
             Phase::Claimed => {
-                self.turn_away(request, Outcome::Unknown, Reason::UnknownClaimed);
+                self.answer_unrecorded(request, Outcome::Unknown, Reason::UnknownClaimed);
             }
             Phase::Claiming(_) | Phase::Sent => {
-                self.note_request(Reason::CopyIgnored, slice, key);
+                self.emit_request(Reason::CopyIgnored, slice, key);
                 if separate.is_some() {
-                    self.out.push(Action::Acknowledge {
+                    self.actions.push(Action::Acknowledge {
                         flow: key.flow.clone(),
                         id: key.id,
                     });
@@ -311,25 +321,27 @@
 
     /// Whether the home that claimed a request may still answer it.
     ///
-    /// It may for as long as the request has time: a home in a planned move finishes
-    /// what it has, and one that is cut off from its peers is silent here and answers
-    /// its callers all the same. Told "unknown" meanwhile, a caller gives up before its
-    /// answer comes. At the deadline that home says "unknown" itself.
+    /// It may until the request's deadline: a home in a planned move finishes the
+    /// requests that it has, and one that is cut off from its peers seems to have
+    /// failed but still answers its callers. A caller that got "unknown" in the
+    /// meantime would give up before the answer arrives. At the deadline that home
+    /// answers "unknown" itself.
     fn may_be_answered_elsewhere(&self, now: Instant, slice: id::Slice, key: &Key) -> bool {
         let state = self.slices.get(&slice);
         let Some(record) = state.and_then(|state| state.records.get(key)) else {
             return false;
         };
         let claimer = record.claimed_by.as_ref();
-        let has_ended = claimer.is_some_and(|claimer| self.members.has_ended(claimer));
+        let has_ended = claimer.is_some_and(|claimer| self.membership.has_ended(claimer));
         !has_ended && now < record.received_at + self.deadline(&key.flow.service)
     }
 
-    /// Keeps in mind that the sender of this copy waits for a word.
+    /// Records that the sender of this duplicate waits for an answer.
     ///
-    /// Copies are doubling pauses apart: if the home that claimed the request is dead,
-    /// the next one would come, and get its "unknown", long after the deadline.
-    fn tell_at_deadline(&mut self, slice: id::Slice, key: &Key, request: &Request) {
+    /// The intervals between duplicates double: if the home that claimed the
+    /// request has failed, the next duplicate, and with it the answer "unknown",
+    /// would come long after the deadline.
+    fn schedule_answer_at_deadline(&mut self, slice: id::Slice, key: &Key, request: &Request) {
         let deadline = self.deadline(&key.flow.service);
         let Some(record) = self.record(slice, key) else {
             return;
@@ -343,87 +355,100 @@
         self.schedule(due, Timer::Deadline(slice, key.clone()));
     }
 
-    fn admit_once(
+    fn admit_non_idempotent(
         &mut self,
         now: Instant,
         slice: id::Slice,
         service: &Service,
-        arrival: IncomingRequest,
+        incoming: IncomingRequest,
     ) {
-        let IncomingRequest { request, since, .. } = arrival;
-        let blank = self
+        let IncomingRequest { request, since, .. } = incoming;
+        let records_lost_since = self
             .slices
             .get(&slice)
             .and_then(|state| state.records_lost_since);
-        if !self.members.has_authority(now) {
-            self.turn_away(&request, Outcome::Unknown, Reason::UnknownAuthority);
+        if !self.membership.has_authority(now) {
+            self.answer_unrecorded(&request, Outcome::Unknown, Reason::UnknownAuthority);
             return;
         }
-        // The records of an earlier home are lost. A request seen within one copy
-        // lifetime of the takeover may be a copy of one that it let run.
-        if blank.is_some_and(|since| now < since + service.profile.copy_lifetime()) {
-            self.turn_away(&request, Outcome::Unknown, Reason::UnknownBlank);
+        // The records of the previous home are lost. A request that arrives within
+        // one copy lifetime of the takeover may be a duplicate of one that the
+        // previous home let run.
+        if records_lost_since.is_some_and(|since| now < since + service.profile.copy_lifetime()) {
+            self.answer_unrecorded(&request, Outcome::Unknown, Reason::UnknownBlank);
             return;
         }
         if self.records >= self.settings.max_flows {
-            // Nothing can be kept of it, and "not run" would need a record that
-            // stops later copies.
-            self.turn_away(&request, Outcome::Unknown, Reason::UnknownLimit);
+            // No record can be kept, and "not run" would need a record that stops
+            // later duplicates.
+            self.answer_unrecorded(&request, Outcome::Unknown, Reason::UnknownLimit);
             return;
         }
-        let intent = match self.limit(slice, service, &request.flow) {
+        let follow_up = match self.exceeded_limit(slice, service, &request.flow) {
             None => ClaimFollowUp::Forward,
             Some(reason) => ClaimFollowUp::Refuse {
                 retry_after: service.profile.retry_after_s,
                 reason,
             },
         };
-        // The time it waited for a home counts.
-        let key = self.open(since, slice, service, request, Phase::Claiming(intent));
+        // The time that the request waited for a home counts toward its deadline.
+        let key =
+            self.insert_open_record(since, slice, service, request, Phase::Claiming(follow_up));
         self.usage(&service.id)
             .budget
             .deposit(service.profile.retry_budget_percent);
         self.claim(now, slice, &key);
     }
 
-    fn admit(&mut self, now: Instant, slice: id::Slice, service: &Service, request: Request) {
+    fn admit_idempotent(
+        &mut self,
+        now: Instant,
+        slice: id::Slice,
+        service: &Service,
+        request: Request,
+    ) {
         let refusal = Outcome::NotRun {
             retry_after: service.profile.retry_after_s,
         };
-        if let Some(reason) = self.limit(slice, service, &request.flow) {
-            self.turn_away(&request, refusal, reason);
+        if let Some(reason) = self.exceeded_limit(slice, service, &request.flow) {
+            self.answer_unrecorded(&request, refusal, reason);
             return;
         }
         if request.block.is_upload && self.records >= self.settings.max_flows {
-            self.turn_away(&request, refusal, Reason::RefusedLimit);
+            self.answer_unrecorded(&request, refusal, Reason::RefusedLimit);
             return;
         }
         let feeds = self.usage(&service.id).feeds;
         if request.kind == Kind::OpenFeed
             && (feeds >= service.profile.max_feeds || self.feeds >= self.settings.max_flows)
         {
-            self.turn_away(&request, refusal, Reason::RefusedLimit);
+            self.answer_unrecorded(&request, refusal, Reason::RefusedLimit);
             return;
         }
         if request.kind == Kind::CloseFeed {
             self.close_feed(now, slice, &request);
         }
-        let key = self.open(now, slice, service, request, Phase::Sent);
+        let key = self.insert_open_record(now, slice, service, request, Phase::Sent);
         self.usage(&service.id)
             .budget
             .deposit(service.profile.retry_budget_percent);
         self.dispatch(now, slice, &key);
     }
 
-    fn limit(&mut self, slice: id::Slice, service: &Service, flow: &Flow) -> Option<Reason> {
-        if self.closing {
+    fn exceeded_limit(
+        &mut self,
+        slice: id::Slice,
+        service: &Service,
+        flow: &Flow,
+    ) -> Option<Reason> {
+        if self.is_stopping {
             return Some(Reason::RefusedStopping);
         }
-        let busy = self
+        let open_requests = self
             .slices
             .get(&slice)
             .and_then(|state| state.open_requests.get(flow));
-        if busy.is_some_and(|busy| *busy >= service.profile.max_per_caller) {
+        if open_requests.is_some_and(|count| *count >= service.profile.max_per_caller) {
             return Some(Reason::RefusedCaller);
         }
         let used = self.usage(&service.id).in_progress;
@@ -431,7 +456,7 @@
         (used >= share.max(1)).then_some(Reason::RefusedLimit)
     }
 
-    fn open(
+    fn insert_open_record(
         &mut self,
         since: Instant,
         slice: id::Slice,
@@ -470,7 +495,7 @@
         key
     }
 
-    pub(super) fn receipt(
+    pub(super) fn handle_receipt(
         &mut self,
         now: Instant,
         flow: Flow,
@@ -480,19 +505,19 @@
         datagram: Bytes,
     ) {
         let slice = self.slice_of(&flow);
-        // The instance that sent the message is the one that waits for its
-        // receipt, even if the slice has just moved.
-        if let Some(id) = self.receipts.remove(&(flow.clone(), message)) {
+        // The instance that sent the message is the one that waits for the receipt,
+        // even if the slice has just moved.
+        if let Some(id) = self.unacknowledged_answers.remove(&(flow.clone(), message)) {
             self.confirm_answer(slice, &Key { flow, id });
             return;
         }
-        if self.feed_receipt(now, slice, &flow, message, receipt) {
+        if self.apply_feed_receipt(now, slice, &flow, message, receipt) {
             return;
         }
         if self.table.is_empty() {
             return;
         }
-        if let Route::To(holder) = self.route(slice, Kind::CloseFeed) {
+        if let Route::Remote(holder) = self.route(slice, Kind::CloseFeed) {
             self.relay(&holder, &flow, datagram, hops);
         }
     }
--- a/src/engine/outbound.rs
+++ b/src/engine/outbound.rs
@@ -1,4 +1,4 @@
-//! Forwarding to backend servers, their answers, and final outcomes.
+//! Forwarding of requests to backend servers, and the servers' answers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,8 +29,9 @@
 use crate::server::Server;
 use crate::snapshot::Service;
 
-/// How long the server of a larger body's parts is remembered after the last one.
-const PIN_TIME: Duration = Duration::from_secs(60);
+/// How long the server that receives a block-wise transfer is remembered after the
+/// last block.
+const PIN_LIFETIME: Duration = Duration::from_secs(60);
 
 impl Engine {
     pub(super) fn record(&mut self, slice: id::Slice, key: &Key) -> Option<&mut Record> {
@@ -46,30 +47,32 @@
             .map_or(Duration::ZERO, |service| service.profile.deadline())
     }
 
-    /// The claim is safe: forward the request, or tell the caller that it is not run.
-    pub(super) fn proceed(&mut self, now: Instant, slice: id::Slice, key: &Key) {
+    /// Continues a request whose claim is replicated: forwards it, or answers that
+    /// it is not run.
+    pub(super) fn proceed_with_claim(&mut self, now: Instant, slice: id::Slice, key: &Key) {
         use crate::record::ClaimFollowUp;
-        let authority = self.members.has_authority(now);
+        let has_authority = self.membership.has_authority(now);
         let deadline = self.deadline(&key.flow.service);
         let Some(record) = self.record(slice, key) else {
             return;
         };
-        let Phase::Claiming(intent) = record.phase else {
+        let Phase::Claiming(follow_up) = record.phase else {
             return;
         };
         // After a pause of this process the acknowledgement can be read before the
-        // timer fires: the caller would have its booking run after it gave up.
+        // timer fires: a booking would run after its caller has given up.
         if now >= record.received_at + deadline {
             self.settle(now, slice, key, Outcome::Unknown, Reason::UnknownDeadline);
             return;
         }
-        // The limit may have passed while the acknowledgement was under way or
-        // this process was paused; another instance may decide by now.
-        if !authority {
+        // The authority may have expired while the acknowledgement was outstanding
+        // or this process was paused; another instance may decide for the slice by
+        // now.
+        if !has_authority {
             self.settle(now, slice, key, Outcome::Unknown, Reason::UnknownAuthority);
             return;
         }
-        match intent {
+        match follow_up {
             ClaimFollowUp::Forward => self.dispatch(now, slice, key),
             ClaimFollowUp::Refuse {
                 retry_after,
@@ -81,7 +84,7 @@
         }
     }
 
-    /// Sends an open request to a server, or settles it if there is none.
+    /// Forwards an open request to a server, or settles it if there is none.
     pub(super) fn dispatch(&mut self, now: Instant, slice: id::Slice, key: &Key) {
         let Some(service) = self.service(&key.flow.service) else {
             self.settle(now, slice, key, Outcome::Unknown, Reason::UnknownService);
@@ -94,10 +97,10 @@
             return;
         }
         let (part, kind) = (record.block, record.kind);
-        let tried = record.tried_servers.clone();
-        let waiting = !record.attempts.is_empty();
+        let tried_servers = record.tried_servers.clone();
+        let has_open_attempts = !record.attempts.is_empty();
         let pinned = if part.is_continuation {
-            self.pinned(now, slice, &service, key)
+            self.pinned_server(now, slice, &service, key)
         } else {
             None
         };
@@ -107,7 +110,15 @@
         };
         let choice = pinned.or_else(|| {
             let zone = &self.settings.zone;
-            balance::choose(&service, &key.flow, work, zone, &tried, now, &mut self.rng)
+            balance::choose(
+                &service,
+                &key.flow,
+                work,
+                zone,
+                &tried_servers,
+                now,
+                &mut self.rng,
+            )
         });
         match choice {
             Some(server) if part.is_continuation => {
@@ -123,9 +134,9 @@
                 }
                 self.dispatch(now, slice, key);
             }
-            None if waiting => {}
+            None if has_open_attempts => {}
             None => {
-                let reason = if tried.is_empty() {
+                let reason = if tried_servers.is_empty() {
                     Reason::RefusedNoServer
                 } else {
                     Reason::RefusedByServer
@@ -136,10 +147,10 @@
         }
     }
 
-    /// The server that has the earlier parts of the body, even if it is leaving: the
-    /// body is work in progress there. It is asked again if it is late, since no
-    /// other server can do anything with the part.
-    fn pinned(
+    /// The server that has the earlier blocks of the body, even if it is leaving:
+    /// the transfer is work in progress there. The server is used again even after
+    /// a timeout, since no other server can use the block.
+    fn pinned_server(
         &self,
         now: Instant,
         slice: id::Slice,
@@ -148,9 +159,9 @@
     ) -> Option<Arc<Server>> {
         let pin = self.pin(slice, key)?;
         let server = service.server(&pin.server)?;
-        let fresh = now < pin.used + PIN_TIME;
-        let usable = fresh && balance::accepts_pinned_work(service, server, now);
-        usable.then(|| Arc::clone(server))
+        let is_recent = now < pin.used + PIN_LIFETIME;
+        let is_usable = is_recent && balance::accepts_pinned_work(service, server, now);
+        is_usable.then(|| Arc::clone(server))
     }
 
     fn pin(&self, slice: id::Slice, key: &Key) -> Option<&Pin> {
@@ -183,10 +194,10 @@
             .insert((key.flow.clone(), record.block.body_id), pin);
     }
 
-    /// Forgets the servers of bodies that were given up.
+    /// Forgets the servers of transfers that were abandoned.
     pub(super) fn expire_pins(&mut self, now: Instant) {
         for state in self.slices.values_mut() {
-            state.pins.retain(|_, pin| now < pin.used + PIN_TIME);
+            state.pins.retain(|_, pin| now < pin.used + PIN_LIFETIME);
         }
     }
 
@@ -198,7 +209,7 @@
         service: &Service,
         server: Arc<Server>,
     ) {
-        let attempt = self.attempt_for(slice, key, &server);
+        let attempt = self.new_attempt_for(slice, key, &server);
         let Some(record) = self.record(slice, key) else {
             return;
         };
@@ -206,17 +217,17 @@
         record.attempts.push(attempt);
         record.tried_servers.push(server.id.clone());
         let deadline = record.received_at + service.profile.deadline();
-        let once = record.kind.is_non_idempotent();
-        let later = record.block.is_continuation;
+        let is_non_idempotent = record.kind.is_non_idempotent();
+        let is_continuation = record.block.is_continuation;
         let datagram = record.datagram.clone();
-        if later {
+        if is_continuation {
             self.set_pin(now, slice, key, &server, attempt);
         }
-        if !once {
+        if !is_non_idempotent {
             let timer = Timer::Attempt(slice, key.clone(), attempt);
             self.schedule(now + service.profile.attempt_timeout(), timer);
         }
-        self.sendings.insert(
+        self.sent_attempts.insert(
             attempt,
             SentAttempt {
                 slice,
@@ -225,8 +236,8 @@
                 since: now,
             },
         );
-        self.note_forwarded(slice, key, &server);
-        self.out.push(Action::Forward {
+        self.emit_forwarded(slice, key, &server);
+        self.actions.push(Action::Forward {
             server,
             attempt,
             service: service.id.clone(),
@@ -235,16 +246,16 @@
         });
     }
 
-    /// A number for a sending to this server. A server puts a body together by the
-    /// endpoint that its parts come from: a part from another socket of ours would
-    /// be refused as incomplete.
-    fn attempt_for(&mut self, slice: id::Slice, key: &Key, server: &Server) -> id::Attempt {
+    /// A number for an attempt at this server. A server assembles a body by the
+    /// endpoint that its blocks come from: it would refuse a block from another
+    /// socket as incomplete.
+    fn new_attempt_for(&mut self, slice: id::Slice, key: &Key, server: &Server) -> id::Attempt {
         let mut attempt = self.new_attempt();
-        let later = self
+        let is_continuation = self
             .record(slice, key)
             .is_some_and(|record| record.block.is_continuation);
         let pin = self.pin(slice, key);
-        let pin = pin.filter(|pin| later && pin.server == server.id);
+        let pin = pin.filter(|pin| is_continuation && pin.server == server.id);
         if let Some(path) = pin.map(|pin| pin.attempt.0 % SERVER_SOCKETS) {
             while attempt.0 % SERVER_SOCKETS != path {
                 attempt = self.new_attempt();
@@ -259,7 +270,8 @@
         id::Attempt(u64::from(self.settings.worker) << ATTEMPT_BITS | self.next_attempt)
     }
 
-    /// An idempotent request's server is late: ask one more, within the budget.
+    /// Handles an attempt without an answer in time: tries one more server, within
+    /// the retry budget. Only idempotent requests are retried.
     pub(super) fn retry(
         &mut self,
         now: Instant,
@@ -274,9 +286,9 @@
             return;
         }
         let tries = record.tried_servers.len() as u32;
-        if let Some(sending) = self.sendings.get(&attempt) {
-            let server = Arc::clone(&sending.server);
-            self.blame(now, &server);
+        if let Some(sent) = self.sent_attempts.get(&attempt) {
+            let server = Arc::clone(&sent.server);
+            self.record_server_failure(now, &server);
         }
         let Some(service) = self.service(&key.flow.service) else {
             return;
@@ -285,27 +297,28 @@
             return;
         }
         if !self.usage(&service.id).budget.withdraw() {
-            self.note_request(Reason::RetryDenied, slice, key);
+            self.emit_request(Reason::RetryDenied, slice, key);
             return;
         }
-        self.note_request(Reason::Retried, slice, key);
+        self.emit_request(Reason::Retried, slice, key);
         self.dispatch(now, slice, key);
     }
 
-    pub(super) fn answer(
+    pub(super) fn handle_answer(
         &mut self,
         now: Instant,
         from: id::Endpoint,
         attempt: id::Attempt,
         answer: Answer,
     ) {
-        let sending = self.sendings.get(&attempt);
-        // An answer counts only if it comes from the server that was asked and
-        // the sending is still of use: anything else could be another request's.
-        let Some(sending) = sending.filter(|sending| sending.server.address == from) else {
-            self.note(Reason::ForeignAnswer);
+        let sent = self.sent_attempts.get(&attempt);
+        // An answer is used only if it comes from the server that got the attempt
+        // and the attempt is still open: any other answer could belong to another
+        // request.
+        let Some(sent) = sent.filter(|sent| sent.server.address == from) else {
+            self.emit(Reason::ForeignAnswer);
             if answer.keeps_feed_open {
-                self.out.push(Action::Reject {
+                self.actions.push(Action::Reject {
                     to: from,
                     attempt,
                     datagram: answer.datagram,
@@ -313,19 +326,19 @@
             }
             return;
         };
-        let slice = sending.slice;
+        let slice = sent.slice;
         match answer.verdict {
-            Verdict::Handled => sending.server.confirm_by_answer(sending.since),
-            Verdict::NotFound => sending.server.record_not_found(now),
+            Verdict::Handled => sent.server.confirm_by_answer(sent.since),
+            Verdict::NotFound => sent.server.record_not_found(now),
             Verdict::Refused => {}
         }
-        match sending.purpose.clone() {
-            Purpose::Request(key) => self.request_answer(now, slice, &key, attempt, answer),
-            Purpose::Feed(key) => self.feed_answer(now, slice, &key, attempt, answer),
+        match sent.purpose.clone() {
+            Purpose::Request(key) => self.handle_request_answer(now, slice, &key, attempt, answer),
+            Purpose::Feed(key) => self.handle_feed_answer(now, slice, &key, attempt, answer),
         }
     }
 
-    fn request_answer(
+    fn handle_request_answer(
         &mut self,
         now: Instant,
         slice: id::Slice,
@@ -334,13 +347,16 @@
         answer: Answer,
     ) {
         match answer.verdict {
-            Verdict::Refused => self.refused(now, slice, key, attempt, &answer),
-            Verdict::Handled | Verdict::NotFound => self.handled(now, slice, key, attempt, answer),
+            Verdict::Refused => self.handle_refusal(now, slice, key, attempt, &answer),
+            Verdict::Handled | Verdict::NotFound => {
+                self.handle_final_answer(now, slice, key, attempt, answer)
+            }
         }
     }
 
-    /// The server states that it did not start the request, so that another may.
-    fn refused(
+    /// The server states that it did not start the request, so that another server
+    /// may run it.
+    fn handle_refusal(
         &mut self,
         now: Instant,
         slice: id::Slice,
@@ -348,40 +364,40 @@
         attempt: id::Attempt,
         answer: &Answer,
     ) {
-        let Some(sending) = self.drop_sending(attempt) else {
+        let Some(sent) = self.remove_attempt(attempt) else {
             return;
         };
-        self.pause(now, &sending.server, answer.retry_after);
+        self.pause_server(now, &sent.server, answer.retry_after);
         let Some(record) = self.record(slice, key) else {
             return;
         };
-        record.attempts.retain(|open| *open != attempt);
-        let waiting = !record.attempts.is_empty();
+        record.attempts.retain(|other| *other != attempt);
+        let has_open_attempts = !record.attempts.is_empty();
         let tries = record.tried_servers.len() as u32;
-        let later = record.block.is_continuation;
+        let is_continuation = record.block.is_continuation;
         let Some(service) = self.service(&key.flow.service) else {
             return;
         };
-        // Another server has none of the earlier parts: the caller, told to come
-        // back, can go on where it is.
-        let more = tries < service.profile.max_attempts && !later;
-        if more && self.usage(&service.id).budget.withdraw() {
-            self.note_request(Reason::Retried, slice, key);
+        // Another server has none of the earlier blocks: the caller, told to retry
+        // later, can continue with this server.
+        let may_retry = tries < service.profile.max_attempts && !is_continuation;
+        if may_retry && self.usage(&service.id).budget.withdraw() {
+            self.emit_request(Reason::Retried, slice, key);
             self.dispatch(now, slice, key);
-        } else if !waiting {
+        } else if !has_open_attempts {
             let retry_after = answer.retry_after.unwrap_or(service.profile.retry_after_s);
             let outcome = Outcome::NotRun { retry_after };
             self.settle(now, slice, key, outcome, Reason::RefusedByServer);
         }
     }
 
-    fn pause(&mut self, now: Instant, server: &Server, retry_after: Option<u32>) {
+    fn pause_server(&mut self, now: Instant, server: &Server, retry_after: Option<u32>) {
         let asked = Duration::from_secs(retry_after.unwrap_or(0).into());
         server.record_refusal(now, asked);
-        self.note(Reason::ServerPaused);
+        self.emit(Reason::ServerPaused);
     }
 
-    fn handled(
+    fn handle_final_answer(
         &mut self,
         now: Instant,
         slice: id::Slice,
@@ -389,28 +405,28 @@
         attempt: id::Attempt,
         answer: Answer,
     ) {
-        let Some(sending) = self.drop_sending(attempt) else {
+        let Some(sent) = self.remove_attempt(attempt) else {
             return;
         };
-        sending.server.record_success();
+        sent.server.record_success();
         let Some(record) = self.record(slice, key) else {
             return;
         };
         if !record.is_open() {
             return;
         }
-        record.attempts.retain(|open| *open != attempt);
-        let open = record.kind == Kind::OpenFeed && answer.keeps_feed_open;
+        record.attempts.retain(|other| *other != attempt);
+        let opens_feed = record.kind == Kind::OpenFeed && answer.keeps_feed_open;
         let (token, datagram) = (record.token, record.datagram.clone());
         if answer.has_more_blocks {
-            self.set_pin(now, slice, key, &sending.server, attempt);
+            self.set_pin(now, slice, key, &sent.server, attempt);
         }
-        if open {
+        if opens_feed {
             let feed = FeedKey {
                 flow: key.flow.clone(),
                 token,
             };
-            let sequence = self.establish(now, slice, feed, datagram, attempt, &sending);
+            let sequence = self.insert_opened_feed(now, slice, feed, datagram, attempt, &sent);
             if let Some(record) = self.record(slice, key) {
                 record.sequence = Some(sequence);
             }
@@ -419,20 +435,20 @@
         self.settle(now, slice, key, outcome, Reason::Answered);
     }
 
-    /// Ends a sending and gives its place at the server back.
-    pub(super) fn drop_sending(&mut self, attempt: id::Attempt) -> Option<SentAttempt> {
-        let sending = self.sendings.remove(&attempt)?;
-        let mut state = sending.server.state();
-        match sending.purpose {
+    /// Removes an attempt and frees its slot at the server.
+    pub(super) fn remove_attempt(&mut self, attempt: id::Attempt) -> Option<SentAttempt> {
+        let sent = self.sent_attempts.remove(&attempt)?;
+        let mut state = sent.server.state();
+        match sent.purpose {
             Purpose::Request(_) => state.outstanding = state.outstanding.saturating_sub(1),
             Purpose::Feed(_) => state.feeds = state.feeds.saturating_sub(1),
         }
         drop(state);
-        Some(sending)
+        Some(sent)
     }
 
-    /// Counts a failure of a server and lets it rest after too many in a row.
-    pub(super) fn blame(&mut self, now: Instant, server: &Server) {
+    /// Counts a failure of a server and ejects it after too many in a row.
+    pub(super) fn record_server_failure(&mut self, now: Instant, server: &Server) {
         let failures = server.record_failure();
         let Some(service) = self.service(&server.service) else {
             return;
@@ -440,35 +456,36 @@
         if failures < service.profile.eject_after {
             return;
         }
-        // When most servers look bad, the cause is more likely on our side or
-        // shared by all: sending everything to the few left would break them too.
-        let away = |server: &&Arc<Server>| server.state().is_in_cooldown(now);
-        let resting = service.servers.iter().filter(away).count();
+        // When most servers fail, the cause is more likely on this side or common
+        // to all: sending everything to the few that are left would overload them
+        // too.
+        let in_cooldown = |server: &&Arc<Server>| server.state().is_in_cooldown(now);
+        let cooling = service.servers.iter().filter(in_cooldown).count();
         let floor = service.servers.len() * service.profile.eject_floor_percent as usize;
-        let stay = (service.servers.len() - resting).saturating_sub(1) * 100;
-        if stay < floor {
-            self.note(Reason::EjectionDenied);
+        let remaining = (service.servers.len() - cooling).saturating_sub(1) * 100;
+        if remaining < floor {
+            self.emit(Reason::EjectionDenied);
             return;
         }
-        let rest = Duration::from_secs(service.profile.eject_rest_s);
+        let cooldown = Duration::from_secs(service.profile.eject_rest_s);
         let mut state = server.state();
         state.failures = 0;
-        state.ejected_until = Some(now + rest);
+        state.ejected_until = Some(now + cooldown);
         drop(state);
-        self.note(Reason::Ejected);
+        self.emit(Reason::Ejected);
     }
 
-    fn note_forwarded(&mut self, slice: id::Slice, key: &Key, server: &Server) {
-        let note = TraceEvent {
+    fn emit_forwarded(&mut self, slice: id::Slice, key: &Key, server: &Server) {
+        let event = TraceEvent {
             request: Some(key.id),
             server: Some(server.id.clone()),
-            ..self.flow_note(Reason::Forwarded, slice, &key.flow)
+            ..self.flow_event(Reason::Forwarded, slice, &key.flow)
         };
-        self.out.push(Action::TraceEvent(note));
+        self.actions.push(Action::TraceEvent(event));
     }
 
-    /// Notes a final outcome with the time since the first copy arrived.
-    pub(super) fn note_settled(
+    /// Reports a final outcome with the time since the first datagram arrived.
+    pub(super) fn emit_settled(
         &mut self,
         reason: Reason,
         slice: id::Slice,
@@ -476,12 +493,12 @@
         server: Option<id::Server>,
         elapsed: Duration,
     ) {
-        let note = TraceEvent {
+        let event = TraceEvent {
             request: Some(key.id),
             server,
             elapsed: Some(elapsed),
-            ..self.flow_note(reason, slice, &key.flow)
+            ..self.flow_event(reason, slice, &key.flow)
         };
-        self.out.push(Action::TraceEvent(note));
+        self.actions.push(Action::TraceEvent(event));
     }
 }
--- a/src/engine/ownership.rs
+++ b/src/engine/ownership.rs
@@ -1,4 +1,5 @@
-//! Becoming home or backup of a slice, and ceasing to be.
+//! Transitions of this instance's roles: becoming home or backup of a slice, and
+//! losing the role.
 
 use std::sync::Arc;
 
@@ -24,34 +25,35 @@
 use crate::table::Table;
 
 impl Engine {
-    pub(super) fn take_members(&mut self, now: Instant, members: Arc<MembershipView>) {
-        let before = std::mem::replace(&mut self.members, members);
-        if before.live == self.members.live {
+    pub(super) fn update_membership(&mut self, now: Instant, members: Arc<MembershipView>) {
+        let before = std::mem::replace(&mut self.membership, members);
+        if before.live == self.membership.live {
             return;
         }
-        let mine = |(slice, _): &(id::Slice, &Row)| self.owns(*slice);
-        let slices: Vec<id::Slice> = self.table.rows().filter(mine).map(|(s, _)| s).collect();
+        let is_owned = |(slice, _): &(id::Slice, &Row)| self.owns(*slice);
+        let slices: Vec<id::Slice> = self.table.rows().filter(is_owned).map(|(s, _)| s).collect();
         for slice in slices {
-            self.review(now, slice);
+            self.review_feeds(now, slice);
         }
-        self.unpark(now);
+        self.retry_parked(now);
     }
 
-    /// Takes up or hands back the feeds of a slice after the view has changed.
-    fn review(&mut self, now: Instant, slice: id::Slice) {
+    /// Takes over or hands back the feeds of a slice after the view or the row has
+    /// changed.
+    fn review_feeds(&mut self, now: Instant, slice: id::Slice) {
         let row = self.table.row(slice);
         if row.is_home(&self.settings.me) || !self.slices.contains_key(&slice) {
             return;
         }
-        let backup = row.is_backup(&self.settings.me);
-        match (self.tends(slice), backup) {
-            (true, true) => self.activate_feeds(slice),
+        let is_backup = row.is_backup(&self.settings.me);
+        match (self.serves_feeds(slice), is_backup) {
+            (true, true) => self.take_over_copied_feeds(slice),
             (true, false) => {}
-            (false, _) => self.return_feeds(now, slice),
+            (false, _) => self.hand_back_feeds(now, slice),
         }
     }
 
-    pub(super) fn take_table(&mut self, now: Instant, table: Arc<Table>) {
+    pub(super) fn update_table(&mut self, now: Instant, table: Arc<Table>) {
         let before = std::mem::replace(&mut self.table, table);
         let rows: Vec<(id::Slice, Row)> = self
             .table
@@ -61,22 +63,22 @@
             .collect();
         for (slice, row) in rows {
             let known = before.get(slice);
-            let continued = known.is_some_and(|known| row.continues(known));
-            self.take_row(now, slice, row, continued);
+            let is_continuation = known.is_some_and(|known| row.continues(known));
+            self.update_row(now, slice, row, is_continuation);
         }
-        self.unpark(now);
+        self.retry_parked(now);
     }
 
-    fn take_row(&mut self, now: Instant, slice: id::Slice, row: Row, continued: bool) {
+    fn update_row(&mut self, now: Instant, slice: id::Slice, row: Row, is_continuation: bool) {
         let state = self.slices.entry(slice).or_default();
         let before = std::mem::take(&mut state.role);
         state.epoch = row.epoch;
-        // Every instance counts the window from when it first sees the takeover,
-        // so that a planned move does not begin it anew: each one would cost the
+        // Every instance counts the window from when it first sees the takeover, so
+        // that a planned move does not restart it: each restart would cost the
         // callers another copy lifetime of unknown outcomes.
         let since = state
             .records_lost_since
-            .filter(|_| continued)
+            .filter(|_| is_continuation)
             .unwrap_or(now);
         state.records_lost_since = row.records_lost.then_some(since);
         if row.is_home(&self.settings.me) {
@@ -84,7 +86,7 @@
             if before != Role::Home {
                 self.become_home(slice);
             }
-            self.take_backup(now, slice, row.backup);
+            self.update_backup(now, slice, row.backup);
             return;
         }
         if row.is_backup(&self.settings.me) {
@@ -93,39 +95,41 @@
         if before == Role::Home {
             self.step_down(now, slice);
         } else {
-            self.review(now, slice);
+            self.review_feeds(now, slice);
         }
     }
 
     fn become_home(&mut self, slice: id::Slice) {
         let state = self.slices.entry(slice).or_default();
         state.replica = None;
-        self.activate_feeds(slice);
-        self.note(Reason::HomeGained);
+        self.take_over_copied_feeds(slice);
+        self.emit(Reason::HomeGained);
     }
 
-    /// Another instance is home: what was not forwarded yet goes there, what is at
-    /// a server is finished here.
+    /// Another instance is home now: requests that were not forwarded yet are
+    /// handed over to it, those at a server are finished here.
     fn step_down(&mut self, now: Instant, slice: id::Slice) {
-        self.note(Reason::HomeLost);
-        self.offer_unreplicated(slice);
+        self.emit(Reason::HomeLost);
+        self.transfer_unreplicated_feeds(slice);
         let Some(state) = self.slices.get_mut(&slice) else {
             return;
         };
         state.replica = None;
-        let waiting = |(key, record): (&Key, &Record)| {
+        let unforwarded = |(key, record): (&Key, &Record)| {
             matches!(record.phase, Phase::Claiming(_)).then(|| key.clone())
         };
-        let keys = sorted(state.records.iter().filter_map(waiting));
+        let keys = sorted(state.records.iter().filter_map(unforwarded));
         for key in keys {
-            self.pass_on(now, slice, &key);
+            self.hand_over_request(now, slice, &key);
         }
-        self.releases.push_back((now + RELEASE_AFTER, slice));
+        self.scheduled_releases
+            .push_back((now + RELEASE_AFTER, slice));
     }
 
-    /// A feed opened just now may be unknown to the new home, which was the backup:
-    /// it would be dropped here without anybody going on with it.
-    fn offer_unreplicated(&mut self, slice: id::Slice) {
+    /// Transfers feeds whose replication is not acknowledged: the new home, which
+    /// was the backup, may not know a feed opened just now, and the feed would be
+    /// dropped here without any instance continuing it.
+    fn transfer_unreplicated_feeds(&mut self, slice: id::Slice) {
         let home = self.table.row(slice).home.clone();
         let replica = self.slices.get(&slice).and_then(|s| s.replica.as_ref());
         let (Some(home), Some(replica)) = (home, replica) else {
@@ -140,14 +144,14 @@
                 slice: slice.0,
                 feed: Some(feed),
             });
-            self.out.push(Action::Peer {
+            self.actions.push(Action::Peer {
                 to: home.clone(),
                 body,
             });
         }
     }
 
-    fn pass_on(&mut self, now: Instant, slice: id::Slice, key: &Key) {
+    fn hand_over_request(&mut self, now: Instant, slice: id::Slice, key: &Key) {
         let deadline = self.deadline(&key.flow.service);
         let Some(record) = self.record(slice, key) else {
             return;
@@ -166,16 +170,16 @@
             block: record.block,
             datagram: record.datagram.clone(),
         };
-        self.close_record(slice, key);
+        self.remove_open_record(slice, key);
         let row = self.table.row(slice);
         let home = row.home.clone().filter(|home| *home != self.settings.me);
         let Some(to) = home else {
-            let arrival = IncomingRequest {
+            let incoming = IncomingRequest {
                 request,
                 hops: 0,
                 since,
             };
-            self.settle_route(now, arrival);
+            self.route_request(now, incoming);
             return;
         };
         let body = peer::PeerMessage::Relay(peer::Relay {
@@ -184,16 +188,16 @@
             hops: 1,
             released: true,
         });
-        self.out.push(Action::Peer { to, body });
+        self.actions.push(Action::Peer { to, body });
     }
 
-    fn close_record(&mut self, slice: id::Slice, key: &Key) {
-        self.close_account(slice, key);
-        self.forget(slice, key);
+    fn remove_open_record(&mut self, slice: id::Slice, key: &Key) {
+        self.decrement_in_progress(slice, key);
+        self.remove_record(slice, key);
     }
 
-    /// As home: follows what the row says about the backup.
-    fn take_backup(&mut self, now: Instant, slice: id::Slice, backup: Option<id::Holder>) {
+    /// As home: applies the row's backup.
+    fn update_backup(&mut self, now: Instant, slice: id::Slice, backup: Option<id::Holder>) {
         let Some(state) = self.slices.get_mut(&slice) else {
             return;
         };
@@ -203,9 +207,9 @@
             (None, _) => {}
             (Some(backup), Some(replica)) if replica.holder == backup => {
                 replica.is_in_table = true;
-                self.note(Reason::BackupJoined);
+                self.emit(Reason::BackupJoined);
             }
-            (Some(backup), _) => self.copy_all(now, slice, &backup, true),
+            (Some(backup), _) => self.copy_slice(now, slice, &backup, true),
         }
     }
 }
--- a/src/engine/replica.rs
+++ b/src/engine/replica.rs
@@ -1,16 +1,17 @@
-//! Replication between home and backup, and changes of the slice table.
+//! Replication between home and backup.
 //!
-//! Three rules carry the promise that a non-idempotent request runs at most once
-//! whatever is killed, cut or frozen:
+//! Three rules guarantee that a non-idempotent request runs at most once whichever
+//! processes or connections fail or are paused:
 //!
 //! 1. A home forwards a request only after its backup has acknowledged the claim.
-//! 2. A backup keeps every claim before it acknowledges it, and acknowledges none
-//!    once it knows itself to be home. One worker does both, so no claim falls
-//!    between the two.
-//! 3. A new home never runs what was claimed before.
+//! 2. A backup stores every claim before it acknowledges it, and acknowledges
+//!    none once it knows that it is home. One worker does both, so no claim is
+//!    missed between the two.
+//! 3. A new home never runs a request that was claimed before.
 //!
-//! A home that thaws after its backup took over can still forward what was
-//! acknowledged before, which the new home will not run, and nothing else.
+//! A home that resumes after its backup took over can still forward the requests
+//! whose claims were acknowledged before, which the new home will not run, and no
+//! others.
 
 use std::collections::BTreeMap;
 use std::collections::HashSet;
@@ -36,28 +37,29 @@
 use crate::request::Outcome;
 use crate::request::Token;
 
-/// Steps of a first copy that may be under way at once: more would overflow the
-/// receiver's socket and be sent again for nothing.
+/// Limit of the unacknowledged steps of a first copy: more would overflow the
+/// receiver's socket buffer and have to be sent again.
 const WINDOW: usize = 64;
 
-/// Wait before a step is sent again.
+/// Delay before a step is sent again.
 const RESEND_AFTER: Duration = Duration::from_millis(100);
 
-/// The same, to a backup that is not heard.
-const RESEND_SILENT: Duration = Duration::from_secs(1);
+/// Delay before a step is sent again to a backup that is not live.
+const RESEND_SUSPECTED_AFTER: Duration = Duration::from_secs(1);
 
 impl Engine {
-    /// Claims a request at the backup; it proceeds once that is acknowledged.
+    /// Claims a request at the backup; the request proceeds once the claim is
+    /// acknowledged.
     pub(super) fn claim(&mut self, now: Instant, slice: id::Slice, key: &Key) {
-        let alone = self
+        let has_no_backup = self
             .slices
             .get(&slice)
             .is_none_or(|state| state.replica.is_none());
-        if alone {
-            self.proceed(now, slice, key);
+        if has_no_backup {
+            self.proceed_with_claim(now, slice, key);
             return;
         }
-        self.note_request(Reason::Claimed, slice, key);
+        self.emit_request(Reason::Claimed, slice, key);
         let record = self.record(slice, key);
         let age = record
             .map(|record| now - record.received_at)
@@ -74,15 +76,15 @@
         item: peer::ReplicationItem,
         waiter: Option<Key>,
     ) {
-        let number = self.next_number + 1;
+        let number = self.next_step_number + 1;
         let Some(state) = self.slices.get_mut(&slice) else {
             return;
         };
         let Some(replica) = &mut state.replica else {
             return;
         };
-        self.next_number = number;
-        self.unacknowledged.insert(slice);
+        self.next_step_number = number;
+        self.slices_with_pending_steps.insert(slice);
         let pending = Pending {
             item: item.clone(),
             sent: Some(now),
@@ -102,7 +104,7 @@
         number: u64,
         item: peer::ReplicationItem,
     ) {
-        self.out.push(Action::Peer {
+        self.actions.push(Action::Peer {
             to: to.clone(),
             body: peer::PeerMessage::ReplicationStep(peer::ReplicationStep {
                 slice: slice.0,
@@ -113,33 +115,34 @@
         });
     }
 
-    /// Sends steps that wait for room, and again those that are late.
-    pub(super) fn pump(&mut self, now: Instant) {
-        let slices: Vec<id::Slice> = self.unacknowledged.iter().copied().collect();
+    /// Sends steps that wait for room in the window, and resends those without an
+    /// acknowledgement in time.
+    pub(super) fn send_due_steps(&mut self, now: Instant) {
+        let slices: Vec<id::Slice> = self.slices_with_pending_steps.iter().copied().collect();
         for slice in slices {
-            self.pump_slice(now, slice);
+            self.send_due_steps_of(now, slice);
         }
     }
 
-    fn pump_slice(&mut self, now: Instant, slice: id::Slice) {
+    fn send_due_steps_of(&mut self, now: Instant, slice: id::Slice) {
         let Some(state) = self.slices.get_mut(&slice) else {
-            self.unacknowledged.remove(&slice);
+            self.slices_with_pending_steps.remove(&slice);
             return;
         };
         let epoch = state.epoch;
         let Some(replica) = state.replica.as_mut().filter(|r| !r.pending.is_empty()) else {
-            self.unacknowledged.remove(&slice);
+            self.slices_with_pending_steps.remove(&slice);
             return;
         };
         let to = replica.holder.clone();
-        let wait = if self.members.is_live(&to) {
+        let resend_delay = if self.membership.is_live(&to) {
             RESEND_AFTER
         } else {
-            RESEND_SILENT
+            RESEND_SUSPECTED_AFTER
         };
         let mut due = Vec::new();
         for (number, pending) in replica.pending.iter_mut().take(WINDOW) {
-            if pending.sent.is_none_or(|sent| now >= sent + wait) {
+            if pending.sent.is_none_or(|sent| now >= sent + resend_delay) {
                 pending.sent = Some(now);
                 due.push((*number, pending.item.clone()));
             }
@@ -149,16 +152,22 @@
         }
     }
 
-    /// Copies everything to a new backup. From now on claims wait for it.
-    pub(super) fn join(&mut self, now: Instant, slices: &[id::Slice], backup: &id::Holder) {
+    /// Starts the copy of slices to a new backup. From now on claims wait for its
+    /// acknowledgements.
+    pub(super) fn start_backup_copies(
+        &mut self,
+        now: Instant,
+        slices: &[id::Slice],
+        backup: &id::Holder,
+    ) {
         for slice in slices {
             if self.table.row(*slice).is_home(&self.settings.me) {
-                self.join_slice(now, *slice, backup);
+                self.start_backup_copy(now, *slice, backup);
             }
         }
     }
 
-    fn join_slice(&mut self, now: Instant, slice: id::Slice, backup: &id::Holder) {
+    fn start_backup_copy(&mut self, now: Instant, slice: id::Slice, backup: &id::Holder) {
         let state = self.slices.entry(slice).or_default();
         if state
             .replica
@@ -167,64 +176,69 @@
         {
             return;
         }
-        self.copy_all(now, slice, backup, false);
+        self.copy_slice(now, slice, backup, false);
     }
 
-    /// Copies the whole slice to a backup; claims wait for it from the first step
-    /// on, so that none is known here alone when the backup is named in the table.
-    pub(super) fn copy_all(
+    /// Copies the whole slice to a backup. Claims wait for the backup from the
+    /// first step on, so that no claim is known only here when the table names the
+    /// backup.
+    pub(super) fn copy_slice(
         &mut self,
         now: Instant,
         slice: id::Slice,
         backup: &id::Holder,
-        installed: bool,
+        is_in_table: bool,
     ) {
         let state = self.slices.entry(slice).or_default();
-        let waiters = state.replica.take().map(waiters).unwrap_or_default();
+        let waiters = state
+            .replica
+            .take()
+            .map(waiting_requests)
+            .unwrap_or_default();
         let mut items = vec![peer::ReplicationItem::CopyStart(peer::CopyStart {})];
         let waiting: HashSet<&Key> = waiters.iter().collect();
-        let is_non_idempotent = |(key, record): (&Key, &Record)| {
-            let claim = record.kind.is_non_idempotent() && !waiting.contains(key);
-            claim.then(|| key.clone())
+        let to_copy = |(key, record): (&Key, &Record)| {
+            let is_claim = record.kind.is_non_idempotent() && !waiting.contains(key);
+            is_claim.then(|| key.clone())
         };
-        let claims = sorted(state.records.iter().filter_map(is_non_idempotent));
+        let claims = sorted(state.records.iter().filter_map(to_copy));
         let claim = |key: &Key| {
             let record = state.records.get(key);
-            let claimer = record.and_then(|record| record.claimed_by.as_ref());
+            let claimed_by = record.and_then(|record| record.claimed_by.as_ref());
             let age = record
                 .map(|record| now - record.received_at)
                 .unwrap_or_default();
-            peer::ReplicationItem::Claim(pack_claim(key, claimer, age))
+            peer::ReplicationItem::Claim(pack_claim(key, claimed_by, age))
         };
         items.extend(claims.iter().map(claim));
         let feeds = state.feeds.iter();
         items.extend(feeds.map(|(key, feed)| peer::ReplicationItem::Feed(pack_feed(key, feed))));
         let mut pending = BTreeMap::new();
         for item in items {
-            self.next_number += 1;
+            self.next_step_number += 1;
             let step = Pending {
                 item,
                 sent: None,
                 waiter: None,
             };
-            pending.insert(self.next_number, step);
+            pending.insert(self.next_step_number, step);
         }
         state.replica = Some(Replica {
             holder: backup.clone(),
-            is_in_table: installed,
+            is_in_table,
             complete: false,
-            initial_copy_end: self.next_number,
+            initial_copy_end: self.next_step_number,
             pending,
         });
-        self.unacknowledged.insert(slice);
+        self.slices_with_pending_steps.insert(slice);
         for key in waiters {
             self.claim(now, slice, &key);
         }
-        self.pump_slice(now, slice);
+        self.send_due_steps_of(now, slice);
     }
 
-    /// Goes on without a backup that was being joined.
-    pub(super) fn abandon(&mut self, now: Instant, slices: &[id::Slice]) {
+    /// Continues without a backup whose copy was in progress.
+    pub(super) fn cancel_backup_copies(&mut self, now: Instant, slices: &[id::Slice]) {
         for slice in slices {
             let Some(state) = self.slices.get_mut(slice) else {
                 continue;
@@ -239,31 +253,40 @@
         let Some(state) = self.slices.get_mut(&slice) else {
             return;
         };
-        let keys = state.replica.take().map(waiters).unwrap_or_default();
+        let keys = state
+            .replica
+            .take()
+            .map(waiting_requests)
+            .unwrap_or_default();
         for key in keys {
-            self.proceed(now, slice, &key);
+            self.proceed_with_claim(now, slice, &key);
         }
     }
 
-    pub(super) fn peer(&mut self, now: Instant, from: id::Holder, body: peer::PeerMessage) {
-        let handled = match body {
-            peer::PeerMessage::ReplicationStep(message) => self.keep(now, &from, message),
+    pub(super) fn handle_peer_message(
+        &mut self,
+        now: Instant,
+        from: id::Holder,
+        body: peer::PeerMessage,
+    ) {
+        let result = match body {
+            peer::PeerMessage::ReplicationStep(message) => self.store_step(now, &from, message),
             peer::PeerMessage::ReplicationAck(message) => {
-                self.acknowledged(now, &from, &message);
+                self.handle_step_ack(now, &from, &message);
                 Ok(())
             }
-            peer::PeerMessage::FinalOutcome(message) => self.settled_elsewhere(message),
-            peer::PeerMessage::FeedTransfer(message) => self.adopted(now, message),
-            // The rest belongs to the edge or to the control task.
+            peer::PeerMessage::FinalOutcome(message) => self.store_outcome(message),
+            peer::PeerMessage::FeedTransfer(message) => self.handle_feed_transfer(now, message),
+            // The other messages are handled by the edge or the control task.
             _ => Ok(()),
         };
-        if handled.is_err() {
-            self.note(Reason::BadPeerMessage);
+        if result.is_err() {
+            self.emit(Reason::BadPeerMessage);
         }
     }
 
-    /// As backup: keeps one step and acknowledges it.
-    fn keep(
+    /// As backup: stores one step and acknowledges it.
+    fn store_step(
         &mut self,
         now: Instant,
         from: &id::Holder,
@@ -271,7 +294,7 @@
     ) -> Result<()> {
         let slice = id::Slice(message.slice);
         let epoch = id::Epoch(message.epoch);
-        if message.slice >= self.table.len() || !self.accepts(slice, from, epoch) {
+        if message.slice >= self.table.len() || !self.accepts_steps_from(slice, from, epoch) {
             return Ok(());
         }
         let state = self.slices.entry(slice).or_default();
@@ -279,20 +302,21 @@
         match message.item {
             Some(peer::ReplicationItem::Claim(claim)) => {
                 let mut key = peer::unpack_key(claim.flow.as_ref(), &claim.id)?;
-                self.share_name(&mut key.flow);
-                let claimer = match claim.claimer.as_str() {
+                self.intern_service_name(&mut key.flow);
+                let claimed_by = match claim.claimer.as_str() {
                     "" => from.clone(),
                     claimer => claimer.parse()?,
                 };
-                // A sender whose clock stood still tells less than it was: kept longer.
+                // If the sender's clock stood still, the stated age is too small,
+                // and the record is only kept for longer.
                 let age = Duration::from_millis(claim.age_ms);
-                let born = now.checked_sub(age).unwrap_or(now);
-                self.keep_claim(now, slice, key, Record::claimed(born, claimer));
+                let received_at = now.checked_sub(age).unwrap_or(now);
+                self.store_claim(now, slice, key, Record::claimed(received_at, claimed_by));
             }
             Some(peer::ReplicationItem::Feed(feed)) => {
                 let (mut key, mut feed) = unpack_feed(now, message.number, feed)?;
-                self.share_name(&mut key.flow);
-                self.share_server(&key.flow, &mut feed.server);
+                self.intern_service_name(&mut key.flow);
+                self.intern_server_name(&key.flow, &mut feed.server);
                 self.remove_feed(slice, &key);
                 self.insert_feed(slice, key, feed);
             }
@@ -301,10 +325,12 @@
                 let token = Token(peer::unpack_number(&end.token)?);
                 self.remove_feed(slice, &FeedKey { flow, token });
             }
-            Some(peer::ReplicationItem::CopyStart(_)) => self.begin_copy(slice, message.number),
+            Some(peer::ReplicationItem::CopyStart(_)) => {
+                self.drop_outdated_feeds(slice, message.number)
+            }
             None => {}
         }
-        self.out.push(Action::Peer {
+        self.actions.push(Action::Peer {
             to: from.clone(),
             body: peer::PeerMessage::ReplicationAck(peer::ReplicationAck {
                 slice: message.slice,
@@ -315,16 +341,16 @@
         Ok(())
     }
 
-    /// Takes the configuration's own copy of a service's name: hundreds of
-    /// thousands of copies that came in messages would take memory for nothing.
-    fn share_name(&self, flow: &mut Flow) {
+    /// Replaces a service's name by the configuration's own copy: hundreds of
+    /// thousands of copies from messages would waste memory.
+    fn intern_service_name(&self, flow: &mut Flow) {
         if let Some(service) = self.snapshot.services.get(&flow.service) {
             flow.service = service.id.clone();
         }
     }
 
-    /// The same for a server's name.
-    fn share_server(&self, flow: &Flow, name: &mut id::Server) {
+    /// Replaces a server's name by the configuration's own copy, as for services.
+    fn intern_server_name(&self, flow: &Flow, name: &mut id::Server) {
         let service = self.snapshot.services.get(&flow.service);
         if let Some(server) = service.and_then(|service| service.server(name)) {
             *name = server.id.clone();
@@ -332,13 +358,13 @@
     }
 
     /// Whether a claim of this sender may still be acknowledged.
-    fn accepts(&self, slice: id::Slice, from: &id::Holder, epoch: id::Epoch) -> bool {
+    fn accepts_steps_from(&self, slice: id::Slice, from: &id::Holder, epoch: id::Epoch) -> bool {
         let row = self.table.row(slice);
         if row.is_home(&self.settings.me) || epoch < row.epoch {
             return false;
         }
-        // At the row's own epoch the table says who is home. At a greater one
-        // this instance's table is behind; the sender has read a newer one.
+        // At the row's own epoch the table names the home. At a greater epoch this
+        // instance's table is outdated; the sender has read a newer one.
         if epoch == row.epoch && !row.is_home(from) {
             return false;
         }
@@ -346,10 +372,10 @@
         state.is_none_or(|state| epoch >= state.replicated_epoch)
     }
 
-    fn keep_claim(&mut self, now: Instant, slice: id::Slice, key: Key, claimed: Record) {
+    fn store_claim(&mut self, now: Instant, slice: id::Slice, key: Key, claimed: Record) {
         let state = self.slices.entry(slice).or_default();
         if let Some(record) = state.records.get_mut(&key) {
-            // A request that was released is claimed anew, by its next home.
+            // A released request is claimed again by its next home.
             if record.phase == Phase::Claimed {
                 record.claimed_by = claimed.claimed_by;
             }
@@ -357,17 +383,17 @@
         }
         state.records.insert(key.clone(), claimed);
         self.records += 1;
-        self.schedule_forget(now, slice, &key);
+        self.schedule_record_expiry(now, slice, &key);
     }
 
-    /// Feeds from before the new copy are outdated; claims never are.
-    fn begin_copy(&mut self, slice: id::Slice, number: u64) {
+    /// Drops feeds from before the new copy, which are outdated; claims never are.
+    fn drop_outdated_feeds(&mut self, slice: id::Slice, number: u64) {
         let Some(state) = self.slices.get(&slice) else {
             return;
         };
         let outdated = |(key, feed): (&FeedKey, &Feed)| {
-            let old = feed.replication_step < number && feed.attempt.is_none();
-            old.then(|| key.clone())
+            let is_outdated = feed.replication_step < number && feed.attempt.is_none();
+            is_outdated.then(|| key.clone())
         };
         let keys: Vec<FeedKey> = state.feeds.iter().filter_map(outdated).collect();
         for key in keys {
@@ -375,8 +401,8 @@
         }
     }
 
-    /// As home: the backup has a step.
-    fn acknowledged(&mut self, now: Instant, from: &id::Holder, message: &peer::ReplicationAck) {
+    /// As home: the backup has stored a step.
+    fn handle_step_ack(&mut self, now: Instant, from: &id::Holder, message: &peer::ReplicationAck) {
         let slice = id::Slice(message.slice);
         let Some(state) = self.slices.get_mut(&slice) else {
             return;
@@ -388,20 +414,20 @@
             return;
         };
         let first = replica.pending.keys().next();
-        let copied = first.is_none_or(|first| *first > replica.initial_copy_end);
-        if copied && !replica.complete {
+        let copy_acknowledged = first.is_none_or(|first| *first > replica.initial_copy_end);
+        if copy_acknowledged && !replica.complete {
             replica.complete = true;
             let backup = replica.holder.clone();
-            self.out.push(Action::BackupSynced { slice, backup });
-        } else if !copied {
-            self.pump_slice(now, slice);
+            self.actions.push(Action::BackupSynced { slice, backup });
+        } else if !copy_acknowledged {
+            self.send_due_steps_of(now, slice);
         }
         if let Some(key) = pending.waiter {
-            self.proceed(now, slice, &key);
+            self.proceed_with_claim(now, slice, &key);
         }
     }
 
-    fn settled_elsewhere(&mut self, message: peer::FinalOutcome) -> Result<()> {
+    fn store_outcome(&mut self, message: peer::FinalOutcome) -> Result<()> {
         let slice = id::Slice(message.slice);
         let key = peer::unpack_key(message.flow.as_ref(), &message.id)?;
         let token = Token(peer::unpack_number(&message.token)?);
@@ -416,19 +442,19 @@
         Ok(())
     }
 
-    fn adopted(&mut self, now: Instant, message: peer::FeedTransfer) -> Result<()> {
+    fn handle_feed_transfer(&mut self, now: Instant, message: peer::FeedTransfer) -> Result<()> {
         if message.slice >= self.table.len() {
             return Ok(());
         }
         let feed = message.feed.unwrap_or_default();
         let (key, feed) = unpack_feed(now, 0, feed)?;
-        self.adopt(now, id::Slice(message.slice), key, feed);
+        self.adopt_feed(now, id::Slice(message.slice), key, feed);
         Ok(())
     }
 }
 
-/// Keys in an order that does not depend on a hash map's: the same events must
-/// give the same actions.
+/// Sorts keys, whose order must not depend on that of a hash map: the same events
+/// must cause the same actions.
 pub(super) fn sorted(keys: impl Iterator<Item = Key>) -> Vec<Key> {
     let mut keys: Vec<Key> = keys.collect();
     keys.sort();
@@ -436,21 +462,21 @@
 }
 
 /// Requests that wait for a replica's acknowledgements.
-fn waiters(replica: Replica) -> Vec<Key> {
+fn waiting_requests(replica: Replica) -> Vec<Key> {
     let pending = replica.pending.into_values();
     pending.filter_map(|pending| pending.waiter).collect()
 }
 
-fn pack_claim(key: &Key, claimer: Option<&id::Holder>, age: Duration) -> peer::Claim {
+fn pack_claim(key: &Key, claimed_by: Option<&id::Holder>, age: Duration) -> peer::Claim {
     peer::Claim {
         flow: Some(peer::pack_flow(&key.flow)),
         id: peer::pack_number(key.id.0),
-        claimer: claimer.map(ToString::to_string).unwrap_or_default(),
+        claimer: claimed_by.map(ToString::to_string).unwrap_or_default(),
         age_ms: age.as_millis() as u64,
     }
 }
 
-fn unpack_feed(now: Instant, stamp: u64, feed: peer::Feed) -> Result<(FeedKey, Feed)> {
+fn unpack_feed(now: Instant, replication_step: u64, feed: peer::Feed) -> Result<(FeedKey, Feed)> {
     let key = FeedKey {
         flow: peer::unpack_flow(feed.flow.as_ref())?,
         token: Token(peer::unpack_number(&feed.token)?),
@@ -466,7 +492,7 @@
         confirmed: now,
         unconfirmed: 0,
         next_check: now,
-        replication_step: stamp,
+        replication_step,
     };
     Ok((key, feed))
 }
--- a/src/engine/settlement.rs
+++ b/src/engine/settlement.rs
@@ -1,4 +1,4 @@
-//! Final outcomes: given once, kept for copies, repeated until received.
+//! Final outcomes: sent once, kept for duplicates, and resent until received.
 
 use std::time::Duration;
 
@@ -15,21 +15,25 @@
 use crate::request::Key;
 use crate::request::Outcome;
 
-/// First wait for the receipt of a separate answer; doubled each time.
+/// First delay before a separate answer without a receipt is sent again; doubled
+/// each time.
 const RESEND_AFTER: Duration = Duration::from_secs(2);
 
-/// Separate answers sent before the caller is taken to be gone.
+/// Times that a separate answer is resent before the caller is considered gone.
 const MAX_RESENDS: u32 = 4;
 
-/// How long copies are expected for a service whose profile is not known here.
+/// Copy lifetime (the time in which duplicates of a request may arrive) of a
+/// service whose profile is not known here.
 const DEFAULT_COPY_LIFETIME: Duration = Duration::from_secs(600);
 
-/// Added to the copy lifetime for which a record is kept: the last copy may wait
+/// Time that a record is kept beyond the copy lifetime: the last duplicate may wait
 /// for a home at another instance, or through a short pause of its process, and
-/// would run again if it found nothing.
-const KEEP_MARGIN: Duration = Duration::from_secs(20);
+/// would be run again if it found no record.
+const RECORD_MARGIN: Duration = Duration::from_secs(20);
+
 impl Engine {
-    /// Gives the final outcome at once and keeps it for copies where they matter.
+    /// Sends the final outcome at once and keeps it for duplicates where they
+    /// matter.
     pub(super) fn settle(
         &mut self,
         now: Instant,
@@ -47,25 +51,25 @@
         record.phase = Phase::Settled(outcome.clone());
         record.datagram = bytes::Bytes::new();
         let attempts = std::mem::take(&mut record.attempts);
-        let (token, confirmable, kept) = (record.token, record.confirmable, record.is_kept());
-        let once = record.kind.is_non_idempotent();
+        let (token, confirmable, is_kept) = (record.token, record.confirmable, record.is_kept());
+        let is_non_idempotent = record.kind.is_non_idempotent();
         let (separate, sequence) = (record.separate, record.sequence);
-        let born = record.received_at;
+        let received_at = record.received_at;
         let server = match outcome {
             Outcome::Answered(_) => record.tried_servers.last().cloned(),
             _ => None,
         };
         for attempt in attempts {
-            self.drop_sending(attempt);
+            self.remove_attempt(attempt);
         }
-        self.close_account(slice, key);
-        let elapsed = now.duration_since(born);
-        self.note_settled(reason, slice, key, server, elapsed);
-        if once {
-            self.tell_new_home(slice, key, token, &outcome);
+        self.decrement_in_progress(slice, key);
+        let elapsed = now.duration_since(received_at);
+        self.emit_settled(reason, slice, key, server, elapsed);
+        if is_non_idempotent {
+            self.send_outcome_to_new_home(slice, key, token, &outcome);
         }
         let delivery = separate.map_or(Delivery::Direct, |message| Delivery::Separate { message });
-        self.out.push(Action::Answer {
+        self.actions.push(Action::Answer {
             flow: key.flow.clone(),
             id: key.id,
             token,
@@ -75,33 +79,34 @@
             outcome,
         });
         if let Some(message) = separate {
-            self.receipts.insert((key.flow.clone(), message), key.id);
+            self.unacknowledged_answers
+                .insert((key.flow.clone(), message), key.id);
             self.schedule(now + RESEND_AFTER, Timer::Resend(slice, key.clone()));
         }
-        if kept {
-            self.schedule_forget(now, slice, key);
+        if is_kept {
+            self.schedule_record_expiry(now, slice, key);
         } else if separate.is_none() {
-            self.forget(slice, key);
+            self.remove_record(slice, key);
         }
     }
 
-    pub(super) fn close_account(&mut self, slice: id::Slice, key: &Key) {
+    pub(super) fn decrement_in_progress(&mut self, slice: id::Slice, key: &Key) {
         let usage = self.usage(&key.flow.service);
         usage.in_progress = usage.in_progress.saturating_sub(1);
         let Some(state) = self.slices.get_mut(&slice) else {
             return;
         };
-        if let Some(busy) = state.open_requests.get_mut(&key.flow) {
-            *busy = busy.saturating_sub(1);
-            if *busy == 0 {
+        if let Some(count) = state.open_requests.get_mut(&key.flow) {
+            *count = count.saturating_sub(1);
+            if *count == 0 {
                 state.open_requests.remove(&key.flow);
             }
         }
     }
 
-    /// A request that was in progress here while its slice moved: the new home
-    /// answers copies, so it gets the answer too.
-    fn tell_new_home(
+    /// Sends the new home the answer to a request that was in progress here when
+    /// its slice moved: the new home answers the duplicates.
+    fn send_outcome_to_new_home(
         &mut self,
         slice: id::Slice,
         key: &Key,
@@ -115,7 +120,7 @@
         let Some(home) = row.home.clone().filter(|home| *home != self.settings.me) else {
             return;
         };
-        self.out.push(Action::Peer {
+        self.actions.push(Action::Peer {
             to: home,
             body: peer::PeerMessage::FinalOutcome(peer::FinalOutcome {
                 slice: slice.0,
@@ -127,14 +132,14 @@
         });
     }
 
-    pub(super) fn schedule_forget(&mut self, now: Instant, slice: id::Slice, key: &Key) {
-        let keep = self.keep_time(&key.flow.service);
-        self.schedule(now + keep, Timer::Expire(slice, key.clone()));
+    pub(super) fn schedule_record_expiry(&mut self, now: Instant, slice: id::Slice, key: &Key) {
+        let lifetime = self.record_lifetime(&key.flow.service);
+        self.schedule(now + lifetime, Timer::Expire(slice, key.clone()));
     }
 
-    /// How long a record is kept after its request came.
-    pub(super) fn keep_time(&self, service: &id::Service) -> Duration {
-        self.copy_lifetime(service) + KEEP_MARGIN
+    /// How long a record is kept after its request arrived.
+    pub(super) fn record_lifetime(&self, service: &id::Service) -> Duration {
+        self.copy_lifetime(service) + RECORD_MARGIN
     }
 
     pub(super) fn copy_lifetime(&self, service: &id::Service) -> Duration {
@@ -144,7 +149,7 @@
             })
     }
 
-    pub(super) fn forget(&mut self, slice: id::Slice, key: &Key) {
+    pub(super) fn remove_record(&mut self, slice: id::Slice, key: &Key) {
         let Some(state) = self.slices.get_mut(&slice) else {
             return;
         };
@@ -153,23 +158,24 @@
         };
         self.records -= 1;
         if let Some(message) = record.separate {
-            self.receipts.remove(&(key.flow.clone(), message));
+            self.unacknowledged_answers
+                .remove(&(key.flow.clone(), message));
         }
     }
 
-    /// The caller has a separate answer.
+    /// The caller has received a separate answer.
     pub(super) fn confirm_answer(&mut self, slice: id::Slice, key: &Key) {
         let Some(record) = self.record(slice, key) else {
             return;
         };
         record.resends = MAX_RESENDS;
         if !record.is_kept() {
-            self.forget(slice, key);
+            self.remove_record(slice, key);
         }
     }
 
-    /// The receipt of a separate answer is late: send it again.
-    pub(super) fn resend(&mut self, now: Instant, slice: id::Slice, key: &Key) {
+    /// Sends a separate answer again whose receipt did not arrive in time.
+    pub(super) fn resend_answer(&mut self, now: Instant, slice: id::Slice, key: &Key) {
         let Some(record) = self.record(slice, key) else {
             return;
         };
@@ -179,15 +185,15 @@
         };
         if record.resends >= MAX_RESENDS {
             if !record.is_kept() {
-                self.forget(slice, key);
+                self.remove_record(slice, key);
             }
             return;
         }
         record.resends += 1;
-        let wait = RESEND_AFTER * 2u32.pow(record.resends);
+        let delay = RESEND_AFTER * 2u32.pow(record.resends);
         let (token, confirmable, sequence) = (record.token, record.confirmable, record.sequence);
-        self.schedule(now + wait, Timer::Resend(slice, key.clone()));
-        self.out.push(Action::Answer {
+        self.schedule(now + delay, Timer::Resend(slice, key.clone()));
+        self.actions.push(Action::Answer {
             flow: key.flow.clone(),
             id: key.id,
             token,
