--- a/src/budget.rs
+++ b/src/budget.rs
@@ -1,16 +1,16 @@
 //! Retry budget: retries as a share of first attempts.
 //!
-//! Without it, a service that slows down gets more requests the slower it is,
-//! and does not recover after the cause has gone. The budget bounds the added
-//! load to a fixed share whatever the servers do.
+//! Without a budget, a service that slows down receives more retries the slower it
+//! gets, and stays overloaded after the cause is gone. The budget limits the extra
+//! load to a fixed share of the first attempts, regardless of how the servers behave.
 
-/// Retries that may be saved up for a burst.
-const MOST_SAVED: u64 = 10;
+/// Maximum number of retries that can accumulate for a burst.
+const MAX_SAVED: u64 = 10;
 
-/// Hundredths of a retry, the unit of account.
-const ONE_RETRY: u64 = 100;
+/// Cost of one retry; the budget is kept in hundredths of a retry.
+const RETRY_COST: u64 = 100;
 
-/// Account of retries for one service at one worker.
+/// Retry budget of one service in one worker.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     saved: u64,
@@ -19,24 +19,24 @@
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            saved: MOST_SAVED * ONE_RETRY,
+            saved: MAX_SAVED * RETRY_COST,
         }
     }
 }
 
 impl RetryBudget {
-    /// Pays in for a first attempt.
+    /// Adds `percent` hundredths of a retry for a first attempt.
     pub fn deposit(&mut self, percent: u32) {
-        let most = MOST_SAVED * ONE_RETRY;
-        self.saved = (self.saved + u64::from(percent)).min(most);
+        let max = MAX_SAVED * RETRY_COST;
+        self.saved = (self.saved + u64::from(percent)).min(max);
     }
 
-    /// Takes out one retry if there is one.
+    /// Takes one retry from the budget; false if less than one is left.
     pub fn withdraw(&mut self) -> bool {
-        let Some(rest) = self.saved.checked_sub(ONE_RETRY) else {
+        let Some(remaining) = self.saved.checked_sub(RETRY_COST) else {
             return false;
         };
-        self.saved = rest;
+        self.saved = remaining;
         true
     }
 }
--- a/src/server.rs
+++ b/src/server.rs
@@ -1,8 +1,8 @@
-//! Backend servers as this instance sees them.
+//! State of the backend servers as observed by this instance.
 //!
-//! A [`Server`] is shared by all workers. Its state sits behind a lock of its
-//! own, which is always the last one taken and is held for a few instructions.
-//! What this instance saw itself counts for more than what health answers say.
+//! A [`Server`] is shared by all workers. Its state is behind its own lock, which is
+//! always acquired last and held for a few instructions only. The outcomes of this
+//! instance's own requests take precedence over health responses.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -12,92 +12,94 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use crate::document::Profile;
-use crate::document::State as Listed;
+use crate::document::State as ListedState;
 use crate::id;
 
-/// How long a server is still believed to run its service after the last proof,
-/// while the health endpoints of most others are silent too. It bounds how long
-/// an address that was taken over meanwhile could be mistaken.
-pub const TRUST_FOR: Duration = Duration::from_secs(60);
+/// How long after its last confirmation a server is still assumed to run its service,
+/// provided that the health endpoints of most other servers don't respond either. It
+/// bounds how long requests may go to an address that another service took over
+/// meanwhile.
+pub const TRUST_DURATION: Duration = Duration::from_secs(60);
 
-/// Answers "not found" in a row, while health is silent, after which an address
-/// is no longer taken to run the service.
-const MAX_DOUBTS: u32 = 3;
-/// Shortest first pause given to a server that refused.
-const LEAST_PAUSE: Duration = Duration::from_millis(200);
+/// Number of consecutive "not found" answers, received while the health endpoint does
+/// not respond, after which an address no longer counts as running the service.
+const MAX_NOT_FOUND: u32 = 3;
+/// Shortest first pause after a server refused work.
+const MIN_PAUSE: Duration = Duration::from_millis(200);
 
-/// Longest first pause; a server that asks for more is tried all the same.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+/// Longest first pause; a server that asks for a longer one is tried after this time.
+const MAX_PAUSE: Duration = Duration::from_secs(2);
 
-/// Times that the pause doubles while it goes on refusing.
+/// How often the pause doubles while the server keeps refusing.
 const MAX_DOUBLINGS: u32 = 3;
 
 /// A backend server that may be chosen for work.
 #[derive(Debug)]
 pub struct Server {
-    /// Its name.
+    /// Name of the server.
     pub id: id::Server,
-    /// The service that it is listed for.
+    /// The service that the platform lists the server for.
     pub service: id::Service,
-    /// Its availability zone.
+    /// Availability zone of the server.
     pub zone: id::Zone,
-    /// Where requests are sent.
+    /// Address for requests.
     pub address: id::Endpoint,
-    /// Where health is asked.
+    /// Address of the health endpoint.
     pub health: id::Endpoint,
-    /// Requests that it runs at once.
+    /// Number of requests that the server runs concurrently.
     pub slots: u32,
     state: Mutex<State>,
-    /// Ends with the server.
-    witness: Mutex<Option<AbortOnDropHandle<()>>>,
+    /// Task that waits for the watched connection to close; aborted when the server is dropped.
+    connection_watch: Mutex<Option<AbortOnDropHandle<()>>>,
 }
 
-/// What is known of a server right now.
+/// Current state of a server.
 #[derive(Clone, Debug)]
 pub struct State {
-    /// Requests of ours in progress there.
+    /// This instance's requests in progress at the server.
     pub outstanding: u32,
-    /// Requests of other instances in progress there, as they last told.
+    /// Other instances' requests in progress at the server, as last reported by them.
     pub peer_outstanding: u32,
-    /// Feeds of ours open there.
+    /// This instance's open feeds at the server.
     pub feeds: u32,
-    /// Feeds of other instances open there, as they last told.
+    /// Other instances' open feeds at the server, as last reported by them.
     pub peer_feeds: u32,
-    /// What the platform's list says.
-    pub listed: Listed,
-    /// Whether an operator says that it is leaving.
+    /// State according to the platform's list.
+    pub listed: ListedState,
+    /// Whether an operator has drained the server.
     pub drained: bool,
-    /// Whether operators have evacuated its zone: feeds stay, and nothing new comes.
+    /// Whether operators have evacuated the server's zone: its feeds stay open, but it
+    /// gets no new work.
     pub evacuated: bool,
-    /// Whether its own health answer says that it is leaving.
+    /// Whether the server's health response says that it is draining.
     pub draining: bool,
-    /// Whether a connection is open whose end tells of the process's end.
+    /// Whether a connection is open whose end indicates that the process has ended.
     pub is_connection_watched: bool,
-    /// Until when the address is known to run the listed service.
+    /// Time until which the address is confirmed to run the listed service.
     pub confirmed_until: Option<Instant>,
-    /// Until when the last health answer counts.
+    /// Time until which the last health response is valid.
     pub healthy_until: Option<Instant>,
-    /// Answers "not found" in a row.
-    pub doubts: u32,
-    /// How long a proof of the service counts in full.
-    pub valid: Duration,
-    /// Time of the last proof that the address runs the listed service; none
-    /// after a sign that it does not.
-    pub proven_at: Option<Instant>,
-    /// When it was first confirmed; the start of its slow start.
+    /// Number of consecutive "not found" answers.
+    pub not_found_count: u32,
+    /// How long a confirmation of the service is valid.
+    pub confirmation_ttl: Duration,
+    /// Time of the last confirmation that the address runs the listed service; none
+    /// after evidence that it does not.
+    pub last_confirmed_at: Option<Instant>,
+    /// Time of the first confirmation, at which the slow start begins.
     pub up_since: Option<Instant>,
-    /// Failures in a row.
+    /// Number of consecutive failures.
     pub failures: u32,
-    /// Until when it rests.
+    /// Time until which the server is ejected after failures.
     pub ejected_until: Option<Instant>,
-    /// Until when it has asked for a pause.
+    /// Time until which the server gets no work because it refused some.
     pub paused_until: Option<Instant>,
-    /// Refusals since it last handled anything, those of one pause as one.
+    /// Number of refusals since the last success; refusals within one pause count once.
     pub refusals: u32,
 }
 
 impl Server {
-    /// A server as listed, not yet confirmed.
+    /// Creates a server from its entry in the platform's list; it is not confirmed yet.
     pub fn new(id: id::Server, listed: &crate::document::Server) -> Self {
         Self {
             id,
@@ -106,7 +108,7 @@
             address: listed.address,
             health: listed.health,
             slots: listed.slots.max(1),
-            witness: Mutex::default(),
+            connection_watch: Mutex::default(),
             state: Mutex::new(State {
                 outstanding: 0,
                 peer_outstanding: 0,
@@ -119,9 +121,9 @@
                 is_connection_watched: false,
                 confirmed_until: None,
                 healthy_until: None,
-                doubts: 0,
-                valid: Duration::ZERO,
-                proven_at: None,
+                not_found_count: 0,
+                confirmation_ttl: Duration::ZERO,
+                last_confirmed_at: None,
                 up_since: None,
                 failures: 0,
                 ejected_until: None,
@@ -131,106 +133,111 @@
         }
     }
 
-    /// The state, locked.
+    /// Locks and returns the state.
     pub fn state(&self) -> MutexGuard<'_, State> {
-        // A panic elsewhere leaves counts that are still usable.
+        // A thread that panicked while holding the lock leaves the counters usable.
         self.state
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Notes a health answer that named the listed service.
-    pub fn confirm(&self, now: Instant, valid: Duration) {
+    /// Records a health response that named the listed service.
+    pub fn confirm(&self, now: Instant, confirmation_ttl: Duration) {
         let mut state = self.state();
-        state.valid = valid;
-        state.proven_at = Some(now);
-        state.confirmed_until = Some(now + valid);
+        state.confirmation_ttl = confirmation_ttl;
+        state.last_confirmed_at = Some(now);
+        state.confirmed_until = Some(now + confirmation_ttl);
         state.healthy_until = state.confirmed_until;
-        state.doubts = 0;
+        state.not_found_count = 0;
         state.up_since.get_or_insert(now);
     }
 
-    /// Notes an answer to a request that named the service and was sent at `sent`.
+    /// Records an answer to a request that named the service and was sent at `sent`.
     ///
-    /// A server of another service refuses that name, so the answer proves as much
-    /// as a health answer. It counts from the sending, as an answer may be late,
-    /// and not after a sign to the contrary, which only a health answer lifts.
+    /// A server of another service rejects that service name, so the answer confirms
+    /// the server as well as a health response does. The confirmation counts from the
+    /// time of sending because the answer may be late. It has no effect after evidence
+    /// that the address runs another service; only a health response overrides that.
     pub fn confirm_by_answer(&self, sent: Instant) {
         let mut state = self.state();
-        let Some(proven) = state.proven_at else {
+        let Some(last) = state.last_confirmed_at else {
             return;
         };
-        state.proven_at = Some(proven.max(sent));
-        state.doubts = 0;
-        let until = sent + state.valid;
+        state.last_confirmed_at = Some(last.max(sent));
+        state.not_found_count = 0;
+        let until = sent + state.confirmation_ttl;
         state.confirmed_until = state.confirmed_until.map(|known| known.max(until));
     }
 
-    /// Notes an answer that the right server gives at times and a server of
-    /// another service gives always. It says nothing while health answers.
+    /// Records a "not found" answer. A server of another service always answers so, but
+    /// the right server does at times too; while the health response is valid, the
+    /// answer is therefore ignored.
     pub fn record_not_found(&self, now: Instant) {
         let mut state = self.state();
         if state.healthy_until.is_some_and(|until| now < until) {
             return;
         }
-        state.doubts += 1;
-        if state.doubts >= MAX_DOUBTS {
-            state.proven_at = None;
+        state.not_found_count += 1;
+        if state.not_found_count >= MAX_NOT_FOUND {
+            state.last_confirmed_at = None;
             state.confirmed_until = None;
         }
     }
 
-    /// As [`Server::confirm`], unless the process that answered may have ended
-    /// since: its address may be another service's by now.
-    pub(crate) fn confirm_if_connected(&self, asked: Instant, valid: Duration) {
+    /// Like [`Server::confirm`], unless the process that answered may have ended since:
+    /// another service may use its address by now.
+    pub(crate) fn confirm_if_connected(&self, sent: Instant, confirmation_ttl: Duration) {
         if self.state().is_connection_watched {
-            self.confirm(asked, valid);
+            self.confirm(sent, confirmation_ttl);
         }
     }
 
-    /// Keeps the task that waits for the end of the process.
-    pub(crate) fn set_connection_watch(&self, witness: AbortOnDropHandle<()>) {
-        let mut kept = self.witness.lock().unwrap_or_else(|lock| lock.into_inner());
-        *kept = Some(witness);
+    /// Stores the task that waits for the watched connection to close.
+    pub(crate) fn set_connection_watch(&self, task: AbortOnDropHandle<()>) {
+        let mut slot = self
+            .connection_watch
+            .lock()
+            .unwrap_or_else(|lock| lock.into_inner());
+        *slot = Some(task);
     }
 
-    /// Notes that the process may have ended. What is known of its speed stays,
-    /// since most often only an idle connection was closed.
+    /// Records that the watched connection closed and the process may have ended. The
+    /// slow start does not begin again, since usually only an idle connection was closed.
     pub(crate) fn connection_lost(&self) {
         let mut state = self.state();
         state.is_connection_watched = false;
         state.confirmed_until = None;
     }
 
-    /// Notes that the address runs something else.
+    /// Records that the address runs something else than the listed service.
     pub fn revoke_confirmation(&self) {
         let mut state = self.state();
-        state.proven_at = None;
+        state.last_confirmed_at = None;
         state.confirmed_until = None;
         state.up_since = None;
     }
 
-    /// Notes that it refused work and wants a pause.
+    /// Records that the server refused work and asked for a pause.
     ///
-    /// A server that is leaving may say so by its refusals alone. Pauses that
-    /// double, with one trial after each, let it have almost no new work, and one
-    /// that was merely overloaded is found again.
-    pub fn record_refusal(&self, now: Instant, asked: Duration) {
+    /// Refusals may be the only sign that a server is leaving. With pauses that double
+    /// and a single trial request after each, such a server gets almost no new work,
+    /// and a server that was only overloaded still returns to use.
+    pub fn record_refusal(&self, now: Instant, requested: Duration) {
         let mut state = self.state();
-        // Several requests may have been on their way when it began to refuse.
+        // Several requests may have been in flight when the server began to refuse.
         if state.paused_until.is_some_and(|until| now < until) {
             return;
         }
-        let pause = asked.clamp(LEAST_PAUSE, LONGEST_PAUSE) * 2u32.pow(state.refusals);
+        let pause = requested.clamp(MIN_PAUSE, MAX_PAUSE) * 2u32.pow(state.refusals);
         state.paused_until = Some(now + pause);
         state.refusals = (state.refusals + 1).min(MAX_DOUBLINGS);
     }
 
-    /// Counts one more request in progress; tells whether it may be sent.
+    /// Reserves the server for one more request; returns whether the request may be sent.
     ///
-    /// Two workers may choose a server at the same moment that one of them is to
-    /// try again after a pause. Only the first gets it, since a server that leaves
-    /// by its refusals alone is owed one trial, not one of each worker.
+    /// After a pause, two workers may choose the server at the same time. Only the first
+    /// one succeeds: a server that shows by refusals alone that it is leaving should get
+    /// one trial request in total, not one per worker.
     pub fn reserve(&self) -> bool {
         let mut state = self.state();
         if state.is_on_trial() {
@@ -240,14 +247,15 @@
         true
     }
 
-    /// Notes that it handled something.
+    /// Records that the server handled a request.
     pub fn record_success(&self) {
         let mut state = self.state();
         state.failures = 0;
         state.refusals = 0;
     }
 
-    /// Notes a failure; the caller of this decides about ejection.
+    /// Records a failure and returns the number of consecutive ones, by which the caller
+    /// decides about ejection.
     pub fn record_failure(&self) -> u32 {
         let mut state = self.state();
         state.failures += 1;
@@ -256,67 +264,69 @@
 }
 
 impl State {
-    /// Whether the address is known to run the listed service at this moment.
+    /// Whether the address is confirmed to run the listed service at this time.
     pub fn is_confirmed(&self, now: Instant) -> bool {
         self.confirmed_until.is_some_and(|until| now < until)
     }
 
-    /// Whether it was known to run the service not long ago and has answered since
-    /// what it was sent: a server that died is given up at its first failure.
+    /// Whether the server is confirmed, or was confirmed recently and has had no failure
+    /// since: trust in a server that died ends with its first failure.
     pub fn is_trusted(&self, now: Instant) -> bool {
-        let recent = self.proven_at.is_some_and(|at| now < at + TRUST_FOR);
+        let recent = self
+            .last_confirmed_at
+            .is_some_and(|at| now < at + TRUST_DURATION);
         self.is_confirmed(now) || (recent && self.failures == 0)
     }
 
-    /// Whether it is leaving, by any signal.
+    /// Whether any source says that the server is leaving.
     pub fn is_leaving(&self) -> bool {
-        self.drained || self.draining || self.listed == Listed::Leaving
+        self.drained || self.draining || self.listed == ListedState::Leaving
     }
 
-    /// Whether it is to get nothing new, for good or until its zone is back.
-    pub fn is_closed(&self) -> bool {
+    /// Whether the server gets no new work because it is leaving or its zone is evacuated.
+    pub fn is_closed_to_new_work(&self) -> bool {
         self.evacuated || self.is_leaving()
     }
 
-    /// Whether it rests after failures or asked for a pause.
+    /// Whether the server is ejected after failures or paused after a refusal.
     pub fn is_in_cooldown(&self, now: Instant) -> bool {
-        let later = |until: Option<Instant>| until.is_some_and(|until| now < until);
-        later(self.ejected_until) || later(self.paused_until)
+        let is_future = |until: Option<Instant>| until.is_some_and(|until| now < until);
+        is_future(self.ejected_until) || is_future(self.paused_until)
     }
 
-    /// Whether new work may be sent.
+    /// Whether the server may get new work.
     pub fn takes_work(&self, now: Instant) -> bool {
         self.is_confirmed(now)
-            && !self.is_closed()
+            && !self.is_closed_to_new_work()
             && !self.is_in_cooldown(now)
             && !self.is_on_trial()
     }
 
-    /// Whether one request is finding out if it still refuses.
+    /// Whether a trial request is in progress that shows if the server still refuses.
     fn is_on_trial(&self) -> bool {
         self.refusals > 0 && self.outstanding > 0
     }
 
-    /// Requests in progress, everyone's.
+    /// Requests in progress, of this and all other instances.
     pub fn load(&self) -> u32 {
         self.outstanding + self.peer_outstanding
     }
 
-    /// Feeds open, everyone's.
+    /// Open feeds, of this and all other instances.
     pub fn feed_load(&self) -> u32 {
         self.feeds + self.peer_feeds
     }
 
-    /// Share of its full weight, from 0.1 at the start to 1 when warm.
+    /// Share of the server's full weight during slow start, rising from 0.1 to 1.
     pub fn warmth(&self, now: Instant, profile: &Profile) -> f64 {
-        const LEAST: f64 = 0.1;
+        const MIN_WARMTH: f64 = 0.1;
         let Some(since) = self.up_since else {
-            return LEAST;
+            return MIN_WARMTH;
         };
         if profile.slow_start_s == 0 {
             return 1.0;
         }
         let share = now.duration_since(since).as_secs_f64() / profile.slow_start_s as f64;
-        share.clamp(LEAST, 1.0)
+        share.clamp(MIN_WARMTH, 1.0)
     }
 }
