--- a/src/control.rs
+++ b/src/control.rs
@@ -1,9 +1,9 @@
-//! The control task's decisions: who is home and backup of which slice.
+//! Slice planning: decides which instance is home and which is backup of each slice.
 //!
-//! Like the engine, [`SlicePlanner`] has no input or output of its own. It looks at
-//! the slice table, the registrations and the heartbeats, and asks for writes to
-//! the platform, for copies to new backups and for messages to peers. Everything
-//! that moves is made of two steps: install a backup, promote the backup.
+//! Like the engine, [`SlicePlanner`] does no I/O. From the slice table, the
+//! registrations and the heartbeats it derives writes to the platform, copies to new
+//! backups and messages to peers. Every move of a slice has two steps: install a backup,
+//! then promote it to home.
 
 mod plan;
 
@@ -27,59 +27,60 @@
 use crate::table::Row;
 use crate::table::Table;
 
-/// Prefix of the slice table's documents.
+/// Key prefix of the slice table's documents.
 pub const SLICES_PREFIX: &str = "godwitreel/slices/";
 
-/// Prefix of the instances' registrations.
+/// Key prefix of the instances' registrations.
 pub const INSTANCES: &str = "godwitreel/instances/";
 
-/// How long a request to take slices over is honoured.
-const YIELD_VALID: Duration = Duration::from_secs(5);
+/// How long a takeover request from a home is valid.
+const TAKEOVER_REQUEST_TTL: Duration = Duration::from_secs(5);
 
-/// What the control task is told once.
+/// Settings of the slice planner, fixed at the start.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This instance's life.
+    /// Name and incarnation of this instance.
     pub me: id::Holder,
-    /// Its availability zone.
+    /// Availability zone of this instance.
     pub zone: id::Zone,
-    /// Where it takes peer messages.
+    /// Address at which this instance receives peer messages.
     pub address: id::Endpoint,
-    /// Count of slices.
+    /// Number of slices.
     pub slices: u32,
-    /// Silence after which a peer is taken to be gone.
+    /// Time without a heartbeat after which a peer is suspected to be dead.
     pub suspect_after: Duration,
-    /// Silence of the platform after which non-idempotent work stops.
+    /// Time without contact to the platform after which non-idempotent work stops.
     pub isolation_limit: Duration,
-    /// Unbroken contact with the platform before a slice is taken without records.
+    /// Time of unbroken contact with the platform that must pass before a slice is taken
+    /// over without its records.
     pub recordless_takeover_wait: Duration,
 }
 
-/// An instance's registration in the platform, under a lease.
+/// Registration of an instance in the platform, bound to a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registration {
-    /// Which instance, in which of its lives.
+    /// Name and incarnation of the instance.
     pub holder: id::Holder,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: id::Zone,
-    /// Where it takes peer messages.
+    /// Address at which the instance receives peer messages.
     pub peer: id::Endpoint,
-    /// Where it answers `GET /status`.
+    /// Address at which the instance serves `GET /status`.
     pub status: id::Endpoint,
-    /// Whether it is handing its slices over.
+    /// Whether the instance is handing its slices over.
     pub leaving: bool,
 }
 
-/// What the control task wants done.
+/// An action that the control task executes for the planner.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Write a document of the slice table by compare-and-swap.
     Write {
         /// Number of the document.
         document: u32,
-        /// The version to replace; none to create it.
+        /// The version to replace; none to create the document.
         expected: Option<u64>,
-        /// Its rows; the writer adds a mark of its own.
+        /// Rows of the document; the writer adds a unique write id.
         rows: Vec<Row>,
     },
     /// Copy the records of these slices to a new backup.
@@ -89,107 +90,112 @@
         /// The backup.
         backup: id::Holder,
     },
-    /// Go on without the backup that was being joined.
+    /// Cancel the copies of these slices to a new backup.
     CancelBackup(Vec<id::Slice>),
-    /// Ask a backup to take slices over.
+    /// Ask a backup to become home of slices.
     RequestTakeover {
         /// The backup.
         to: id::Holder,
         /// The slices.
         slices: Vec<id::Slice>,
     },
-    /// The workers need the new table.
+    /// Distribute the new slice table to the workers.
     Table(Arc<Table>),
-    /// The workers need the new view.
+    /// Distribute the new membership view to the workers.
     Membership(Arc<MembershipView>),
 }
 
-/// How a write of a document ended.
+/// Result of writing a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteResult {
-    /// It stands, at this version.
+    /// The write took effect and created this version.
     Done(u64),
-    /// It did not take effect, or was replaced; this is what stands.
+    /// The write did not take effect or was overwritten; contains the current entry.
     Lost(Option<Entry>),
-    /// It may have taken effect or still do so.
+    /// The write may have taken effect or may still do so.
     Unknown,
 }
 
-/// A peer that was heard.
+/// Last heartbeat of a peer.
 #[derive(Clone, Debug)]
-struct Heard {
+struct LastHeartbeat {
     member: Member,
-    at: Instant,
+    received_at: Instant,
 }
 
-/// One document of the slice table.
+/// State of one document of the slice table.
 #[derive(Clone, Debug, Default)]
-struct Part {
+struct DocumentState {
     version: Option<u64>,
-    /// The write under way: the rows it changes.
-    writing: Option<Vec<(id::Slice, Row)>>,
-    /// A write against this version may still take effect.
-    uncertain: Option<Option<u64>>,
+    /// Rows that the write in progress changes.
+    pending_write: Option<Vec<(id::Slice, Row)>>,
+    /// Version that a write with unknown result was to replace; that write may still take
+    /// effect.
+    unresolved_write: Option<Option<u64>>,
 }
 
-/// A copy to a new backup.
+/// A copy of a slice to a new backup.
 #[derive(Clone, Debug)]
-struct Joining {
+struct BackupCopy {
     backup: id::Holder,
-    complete: bool,
+    is_complete: bool,
 }
 
-/// The control task's state.
+/// Decides which instance is home and backup of which slice.
 #[derive(Debug)]
 pub struct SlicePlanner {
     settings: Settings,
     started: Instant,
     table: Table,
-    parts: Vec<Part>,
-    heard: BTreeMap<id::Instance, Heard>,
+    documents: Vec<DocumentState>,
+    last_heartbeats: BTreeMap<id::Instance, LastHeartbeat>,
     registered: BTreeMap<id::Instance, Registration>,
-    /// Since when a holder has had no registration, as long as contact was unbroken.
-    gone: HashMap<id::Holder, Instant>,
-    joining: BTreeMap<id::Slice, Joining>,
-    /// Copies that were given up lately: to whom, and until when it is passed over.
-    abandoned: BTreeMap<id::Slice, (id::Holder, Instant)>,
-    /// Slices on their way to a less loaded instance.
-    migrating: BTreeMap<id::Slice, id::Holder>,
-    yielded: BTreeMap<id::Slice, Instant>,
-    asked: Option<Instant>,
+    /// Since when a holder has had no registration, within the current period of unbroken
+    /// contact with the platform.
+    unregistered_since: HashMap<id::Holder, Instant>,
+    backup_copies: BTreeMap<id::Slice, BackupCopy>,
+    /// Recently cancelled copies: the backup, and until when it is not chosen again.
+    cancelled_copies: BTreeMap<id::Slice, (id::Holder, Instant)>,
+    /// Slices that move to a less loaded instance, with that instance.
+    migration_targets: BTreeMap<id::Slice, id::Holder>,
+    /// Slices that this instance was asked to take over, and until when that is valid.
+    takeover_requests: BTreeMap<id::Slice, Instant>,
+    /// Last time at which this instance sent takeover requests.
+    last_takeover_request: Option<Instant>,
     /// Since when slices are known to have lost their records.
-    blank_since: HashMap<id::Slice, Instant>,
+    records_lost_since: HashMap<id::Slice, Instant>,
     last_contact: Option<Instant>,
-    /// Last contact at which the platform listed this life.
-    listed_at: Option<Instant>,
-    ticked: Option<Instant>,
-    silent: bool,
+    /// Last contact at which the platform listed this incarnation.
+    last_listed_at: Option<Instant>,
+    /// Time of the last tick.
+    last_tick: Option<Instant>,
+    is_platform_silent: bool,
     leaving: bool,
     table_changed: bool,
     view: Arc<MembershipView>,
 }
 
 impl SlicePlanner {
-    /// Starts without any knowledge.
+    /// Creates a planner with an empty table and no known peers.
     pub fn new(settings: Settings, now: Instant) -> Self {
         let documents = settings.slices.div_ceil(ROWS_PER_DOCUMENT);
         Self {
             started: now,
             table: Table::new(settings.slices),
-            parts: vec![Part::default(); documents as usize],
-            heard: BTreeMap::new(),
+            documents: vec![DocumentState::default(); documents as usize],
+            last_heartbeats: BTreeMap::new(),
             registered: BTreeMap::new(),
-            gone: HashMap::new(),
-            joining: BTreeMap::new(),
-            abandoned: BTreeMap::new(),
-            migrating: BTreeMap::new(),
-            yielded: BTreeMap::new(),
-            asked: None,
-            blank_since: HashMap::new(),
+            unregistered_since: HashMap::new(),
+            backup_copies: BTreeMap::new(),
+            cancelled_copies: BTreeMap::new(),
+            migration_targets: BTreeMap::new(),
+            takeover_requests: BTreeMap::new(),
+            last_takeover_request: None,
+            records_lost_since: HashMap::new(),
             last_contact: None,
-            listed_at: None,
-            ticked: None,
-            silent: true,
+            last_listed_at: None,
+            last_tick: None,
+            is_platform_silent: true,
             leaving: false,
             table_changed: true,
             view: Arc::default(),
@@ -197,11 +203,12 @@
         }
     }
 
-    /// Takes a registration or a document of the table, from platform or peer.
+    /// Applies a registration or a document of the table, received from the platform or a
+    /// peer.
     pub fn apply_entry(&mut self, now: Instant, entry: &Entry) {
         if let Some(number) = entry.key.strip_prefix(SLICES_PREFIX) {
             if let Ok(number) = number.parse::<u32>() {
-                self.store_document(now, number, entry);
+                self.apply_document(now, number, entry);
             }
         } else if let Some(name) = entry.key.strip_prefix(INSTANCES)
             && let Ok(registration) = serde_json::from_slice::<Registration>(&entry.value)
@@ -209,22 +216,25 @@
         {
             let instance = registration.holder.instance.clone();
             self.registered.insert(instance, registration);
-            self.confirm_listing();
+            self.update_last_listed();
         }
     }
 
-    /// Others count from when this life is not listed any more, so its own time
-    /// must not run on by contact alone: a platform that lets it read but not renew
-    /// would let both go on.
-    fn confirm_listing(&mut self) {
+    /// Updates the time at which the platform last listed this incarnation.
+    ///
+    /// The authority of this instance must not be extended by contact alone: other
+    /// instances measure their wait from the end of its registration. If this instance
+    /// could read from the platform but not renew its lease, both could otherwise act for
+    /// the same slice.
+    fn update_last_listed(&mut self) {
         let me = &self.settings.me;
         let listed = self.registered.get(&me.instance);
         if listed.is_some_and(|listed| listed.holder == *me) {
-            self.listed_at = self.last_contact;
+            self.last_listed_at = self.last_contact;
         }
     }
 
-    /// Takes the removal of a key.
+    /// Applies the removal of a key.
     pub fn remove(&mut self, key: &str) {
         let name = key.strip_prefix(INSTANCES);
         if let Some(instance) = name.and_then(|name| name.parse::<id::Instance>().ok()) {
@@ -232,17 +242,17 @@
         }
     }
 
-    /// Drops registrations that the platform does not list any more.
+    /// Removes registrations that the platform no longer lists.
     pub fn retain(&mut self, keep: &BTreeSet<&str>) {
         self.registered
             .retain(|name, _| keep.contains(format!("{INSTANCES}{name}").as_str()));
     }
 
-    fn store_document(&mut self, now: Instant, number: u32, entry: &Entry) {
-        let Some(part) = self.parts.get_mut(number as usize) else {
+    fn apply_document(&mut self, now: Instant, number: u32, entry: &Entry) {
+        let Some(state) = self.documents.get_mut(number as usize) else {
             return;
         };
-        if part
+        if state
             .version
             .is_some_and(|version| version >= entry.mod_revision)
         {
@@ -251,66 +261,66 @@
         let Ok(document) = serde_json::from_slice::<Document>(&entry.value) else {
             return;
         };
-        part.version = Some(entry.mod_revision);
-        part.uncertain = None;
+        state.version = Some(entry.mod_revision);
+        state.unresolved_write = None;
         let first = number * ROWS_PER_DOCUMENT;
-        for (place, row) in document.rows.into_iter().enumerate() {
-            self.take_row(now, id::Slice(first + place as u32), row);
+        for (index, row) in document.rows.into_iter().enumerate() {
+            self.apply_row(now, id::Slice(first + index as u32), row);
         }
     }
 
-    fn take_row(&mut self, now: Instant, slice: id::Slice, row: Row) {
-        let home = row.is_home(&self.settings.me);
+    fn apply_row(&mut self, now: Instant, slice: id::Slice, row: Row) {
+        let is_home = row.is_home(&self.settings.me);
         let backup = row.backup.clone();
         let before = self.table.get(slice).cloned().unwrap_or_default();
         if !self.table.update_if_newer(slice, row.clone()) {
             return;
         }
         if !row.records_lost {
-            self.blank_since.remove(&slice);
+            self.records_lost_since.remove(&slice);
         } else if row.continues(&before) {
-            self.blank_since.entry(slice).or_insert(now);
+            self.records_lost_since.entry(slice).or_insert(now);
         } else {
-            self.blank_since.insert(slice, now);
+            self.records_lost_since.insert(slice, now);
         }
         self.table_changed = true;
-        self.yielded.remove(&slice);
-        if !home {
-            self.joining.remove(&slice);
-            self.migrating.remove(&slice);
+        self.takeover_requests.remove(&slice);
+        if !is_home {
+            self.backup_copies.remove(&slice);
+            self.migration_targets.remove(&slice);
         }
-        if self.joining.get(&slice).map(|joining| &joining.backup) == backup.as_ref() {
-            self.joining.remove(&slice);
+        if self.backup_copies.get(&slice).map(|copy| &copy.backup) == backup.as_ref() {
+            self.backup_copies.remove(&slice);
         }
     }
 
-    /// The platform answered at this time.
+    /// Records that the platform answered at this time.
     pub fn contact(&mut self, at: Instant) {
-        if self.silent {
-            // Whoever was not seen during the silence may have been there.
-            self.gone.clear();
+        if self.is_platform_silent {
+            // During the outage, holders may have been registered without being seen here.
+            self.unregistered_since.clear();
         }
-        self.silent = false;
+        self.is_platform_silent = false;
         self.last_contact = self.last_contact.max(Some(at));
-        self.confirm_listing();
+        self.update_last_listed();
     }
 
-    /// The platform does not answer.
+    /// Records that the platform does not answer.
     pub fn lose_contact(&mut self) {
-        self.silent = true;
+        self.is_platform_silent = true;
     }
 
-    /// Whether the platform does not answer now.
-    pub fn is_silent(&self) -> bool {
-        self.silent
+    /// Whether the platform currently does not answer.
+    pub fn is_platform_silent(&self) -> bool {
+        self.is_platform_silent
     }
 
-    /// When the platform last answered.
+    /// Time of the platform's last answer.
     pub fn last_contact(&self) -> Option<Instant> {
         self.last_contact
     }
 
-    /// A peer's sign of life; tells whether the peer is new.
+    /// Records a peer's heartbeat; returns whether the peer or its incarnation is new.
     pub fn heartbeat(
         &mut self,
         now: Instant,
@@ -326,71 +336,77 @@
             address,
             leaving: message.leaving,
         };
-        let known = self.heard.get(&from.instance);
+        let known = self.last_heartbeats.get(&from.instance);
         if known.is_some_and(|known| known.member.holder.incarnation > from.incarnation) {
             return false;
         }
-        let new = known.is_none_or(|known| known.member.holder != *from);
-        let heard = Heard { member, at: now };
-        self.heard.insert(from.instance.clone(), heard);
-        new
+        let is_new = known.is_none_or(|known| known.member.holder != *from);
+        let heartbeat = LastHeartbeat {
+            member,
+            received_at: now,
+        };
+        self.last_heartbeats
+            .insert(from.instance.clone(), heartbeat);
+        is_new
     }
 
-    /// A home asks this instance, its backup, to take slices over.
+    /// Records that a home asks this instance, its backup, to take slices over.
     pub fn takeover_requested(&mut self, now: Instant, from: &id::Holder, slices: &[u32]) {
         for slice in slices {
             let slice = id::Slice(*slice);
             if slice.0 < self.table.len() && self.table.row(slice).is_home(from) {
-                self.yielded.insert(slice, now + YIELD_VALID);
+                self.takeover_requests
+                    .insert(slice, now + TAKEOVER_REQUEST_TTL);
             }
         }
     }
 
-    /// A new backup has all records of a slice.
+    /// Records that a new backup has all records of a slice.
     pub fn backup_synced(&mut self, slice: id::Slice, backup: &id::Holder) {
-        if let Some(joining) = self.joining.get_mut(&slice)
-            && joining.backup == *backup
+        if let Some(copy) = self.backup_copies.get_mut(&slice)
+            && copy.backup == *backup
         {
-            joining.complete = true;
+            copy.is_complete = true;
         }
     }
 
-    /// A write has ended.
+    /// Records the result of a write.
     pub fn write_finished(&mut self, now: Instant, document: u32, written: WriteResult) {
-        let Some(part) = self.parts.get_mut(document as usize) else {
+        let Some(state) = self.documents.get_mut(document as usize) else {
             return;
         };
-        let rows = part.writing.take().unwrap_or_default();
+        let rows = state.pending_write.take().unwrap_or_default();
         match written {
             WriteResult::Done(version) => {
-                part.uncertain = None;
-                if part.version.is_none_or(|known| known < version) {
-                    part.version = Some(version);
+                state.unresolved_write = None;
+                if state.version.is_none_or(|known| known < version) {
+                    state.version = Some(version);
                     for (slice, row) in rows {
-                        self.take_row(now, slice, row);
+                        self.apply_row(now, slice, row);
                     }
                 }
             }
             WriteResult::Lost(entry) => {
                 if let Some(entry) = entry {
-                    self.store_document(now, document, &entry);
+                    self.apply_document(now, document, &entry);
                 }
             }
-            WriteResult::Unknown => part.uncertain = Some(part.version),
+            WriteResult::Unknown => state.unresolved_write = Some(state.version),
         }
     }
 
-    /// Begins or ends handing all slices over.
+    /// Starts or stops handing over all slices.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.leaving = leaving;
     }
 
-    /// Whether it is handing its slices over.
+    /// Whether this instance is handing its slices over.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Slices that the table still gives to this instance, as home and as backup.
+    /// Numbers of slices of which the table names this instance as home, as backup, and as
+    /// home without a backup.
     pub fn holdings(&self) -> (u32, u32, u32) {
         let me = &self.settings.me;
         let mut counts = (0, 0, 0);
@@ -404,7 +420,7 @@
         counts
     }
 
-    /// The other instances: each with when it was last heard, if ever.
+    /// The other instances, each with the time of its last heartbeat, if any.
     pub fn peers(&self) -> Vec<(Member, Option<Instant>)> {
         let mut peers = BTreeMap::new();
         for registration in self.registered.values() {
@@ -416,13 +432,13 @@
             };
             peers.insert(registration.holder.instance.clone(), (member, None));
         }
-        for (instance, heard) in &self.heard {
+        for (instance, heartbeat) in &self.last_heartbeats {
             let known = peers.get(instance);
-            let newer = known.is_none_or(|(member, _): &(Member, _)| {
-                member.holder.incarnation <= heard.member.holder.incarnation
+            let is_newer = known.is_none_or(|(member, _): &(Member, _)| {
+                member.holder.incarnation <= heartbeat.member.holder.incarnation
             });
-            if newer {
-                let peer = (heard.member.clone(), Some(heard.at));
+            if is_newer {
+                let peer = (heartbeat.member.clone(), Some(heartbeat.received_at));
                 peers.insert(instance.clone(), peer);
             }
         }
@@ -430,13 +446,16 @@
         peers.into_values().collect()
     }
 
-    /// Whether a holder was heard recently.
+    /// Whether a heartbeat of this holder was received recently.
     pub fn is_live(&self, now: Instant, holder: &id::Holder) -> bool {
         if *holder == self.settings.me {
             return true;
         }
-        self.heard.get(&holder.instance).is_some_and(|heard| {
-            heard.member.holder == *holder && now < heard.at + self.settings.suspect_after
-        })
+        self.last_heartbeats
+            .get(&holder.instance)
+            .is_some_and(|heartbeat| {
+                heartbeat.member.holder == *holder
+                    && now < heartbeat.received_at + self.settings.suspect_after
+            })
     }
 }
--- a/src/control/plan.rs
+++ b/src/control/plan.rs
@@ -1,4 +1,4 @@
-//! What to do next, worked out anew at each tick from what is known.
+//! Planning: derives the next commands at each tick from the current state.
 
 use std::collections::BTreeMap;
 use std::collections::HashSet;
@@ -10,8 +10,8 @@
 use siphasher::sip::SipHasher13;
 use tokio::time::Instant;
 
+use super::BackupCopy;
 use super::Command;
-use super::Joining;
 use super::SlicePlanner;
 use crate::id;
 use crate::peer::member::Member;
@@ -19,91 +19,95 @@
 use crate::table::ROWS_PER_DOCUMENT;
 use crate::table::Row;
 
-/// Wait after the start before free slices are taken, so that instances that
-/// start together share them.
-const SETTLE: Duration = Duration::from_secs(2);
+/// Wait after the start before unassigned slices are taken, so that instances that
+/// start at the same time share them.
+const STARTUP_WAIT: Duration = Duration::from_secs(2);
 
-/// Copies to new backups at a time: more would swamp a small instance's link.
-const MAX_JOINING: usize = 128;
+/// Maximum number of concurrent copies to new backups; more would overload the link of
+/// a small instance.
+const MAX_CONCURRENT_COPIES: usize = 128;
 
-/// Silence after which a peer without a registration is forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(600);
+/// Time without a heartbeat after which a peer without a registration is removed.
+const PEER_RETENTION: Duration = Duration::from_secs(600);
 
-/// How long a backup is passed over after a copy to it was given up; far longer
-/// than a worker's word waits to be read.
-const PASS_OVER: Duration = Duration::from_secs(10);
+/// How long a backup is not chosen again after a copy to it was cancelled. This is far
+/// longer than a worker's report about the copy can stay unread.
+const CANCELLED_BACKUP_COOLDOWN: Duration = Duration::from_secs(10);
 
-/// Slices on their way to a less loaded instance at a time.
-const MAX_MIGRATING: usize = 16;
+/// Maximum number of slices that move to less loaded instances at the same time.
+const MAX_CONCURRENT_MOVES: usize = 16;
 
-/// Time between two requests to the same backups to take slices over.
-const ASK_EVERY: Duration = Duration::from_millis(500);
+/// Time between two takeover requests to the same backups.
+const TAKEOVER_REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Longest copy lifetime that a profile may state.
-const LONGEST_COPY_LIFETIME: Duration = Duration::from_secs(600);
+const MAX_COPY_LIFETIME: Duration = Duration::from_secs(600);
 
-/// Slices held by each live instance.
-type Shares = BTreeMap<id::Holder, Share>;
+/// Number of slices per live instance.
+type SliceCounts = BTreeMap<id::Holder, SliceCount>;
 
+/// Number of slices of one instance.
 #[derive(Clone, Debug)]
-struct Share {
+struct SliceCount {
     zone: id::Zone,
     homes: u32,
     backups: u32,
 }
 
 impl SlicePlanner {
-    /// Looks at everything and says what to do.
+    /// Updates the state for the time `now` and returns the commands to execute.
     pub fn tick(&mut self, now: Instant) -> Vec<Command> {
         let mut commands = Vec::new();
-        self.watch_pause(now);
-        self.yielded.retain(|_, until| now < *until);
-        self.abandoned.retain(|_, (_, until)| now < *until);
-        self.forget_peers(now);
-        self.watch_registrations(now);
-        self.offer_view(now, &mut commands);
+        self.exclude_pause(now);
+        self.takeover_requests.retain(|_, until| now < *until);
+        self.cancelled_copies.retain(|_, (_, until)| now < *until);
+        self.remove_old_peers(now);
+        self.track_registrations(now);
+        self.publish_view(now, &mut commands);
         if self.table_changed {
             self.table_changed = false;
             commands.push(Command::Table(Arc::new(self.table.clone())));
         }
-        let shares = self.shares(now);
-        self.abandon(now, &mut commands);
-        self.end_moves(&shares);
-        if !self.silent {
-            self.write(now, &shares, &mut commands);
-            self.join(now, &shares, &mut commands);
+        let counts = self.slice_counts(now);
+        self.cancel_copies(now, &mut commands);
+        self.cancel_obsolete_moves(&counts);
+        if !self.is_platform_silent {
+            self.write_documents(now, &counts, &mut commands);
+            self.start_copies(now, &counts, &mut commands);
         }
-        self.hand_over(now, &shares, &mut commands);
+        self.request_takeovers(now, &counts, &mut commands);
         commands
     }
 
-    /// Time in which this process did not run is no silence of the others: they
-    /// would all look dead at once, and their slices be taken from them.
-    fn watch_pause(&mut self, now: Instant) {
-        let ticked = self.ticked.replace(now).unwrap_or(now);
-        let pause = now.saturating_duration_since(ticked);
+    /// Excludes time in which this process did not run from the peers' silence. Otherwise
+    /// all peers would appear dead at once and lose their slices.
+    fn exclude_pause(&mut self, now: Instant) {
+        let last_tick = self.last_tick.replace(now).unwrap_or(now);
+        let pause = now.saturating_duration_since(last_tick);
         if pause < self.settings.suspect_after / 2 {
             return;
         }
-        for heard in self.heard.values_mut() {
-            heard.at = (heard.at + pause).min(now);
+        for heartbeat in self.last_heartbeats.values_mut() {
+            heartbeat.received_at = (heartbeat.received_at + pause).min(now);
         }
-        // Whoever was absent before may have been there meanwhile.
-        self.gone.clear();
+        // Holders without a registration may have had one during the pause.
+        self.unregistered_since.clear();
     }
 
-    /// Forgets peers that have gone for good: each new name would else be sent
-    /// heartbeats for ever.
-    fn forget_peers(&mut self, now: Instant) {
+    /// Removes peers that have been gone for long; otherwise heartbeats would be sent
+    /// forever to each instance name ever used.
+    fn remove_old_peers(&mut self, now: Instant) {
         let registered = &self.registered;
-        self.heard
-            .retain(|name, heard| now < heard.at + FORGET_AFTER || registered.contains_key(name));
+        self.last_heartbeats.retain(|name, heartbeat| {
+            now < heartbeat.received_at + PEER_RETENTION || registered.contains_key(name)
+        });
     }
 
-    fn offer_view(&mut self, now: Instant, commands: &mut Vec<Command>) {
+    /// Sends the membership view to the workers if it has changed.
+    fn publish_view(&mut self, now: Instant, commands: &mut Vec<Command>) {
         let mut view = MembershipView {
             authority_until: self
-                .listed_at
+                .last_listed_at
                 .map(|listed| listed + self.settings.isolation_limit),
             ..MembershipView::default()
         };
@@ -114,17 +118,17 @@
             }
             view.known.insert(member.holder.instance.clone(), member);
         }
-        let same = view.live == self.view.live && view.known == self.view.known;
-        if same && view.authority_until == self.view.authority_until {
+        let has_same_members = view.live == self.view.live && view.known == self.view.known;
+        if has_same_members && view.authority_until == self.view.authority_until {
             return;
         }
         self.view = Arc::new(view);
         commands.push(Command::Membership(Arc::clone(&self.view)));
     }
 
-    /// Keeps since when each holder has had no registration.
-    fn watch_registrations(&mut self, now: Instant) {
-        if self.silent {
+    /// Tracks since when each holder has had no registration.
+    fn track_registrations(&mut self, now: Instant) {
+        if self.is_platform_silent {
             return;
         }
         let holders: HashSet<&id::Holder> = self
@@ -137,29 +141,30 @@
             known.is_none_or(|known| known.holder != **holder)
         };
         let absent: HashSet<id::Holder> = holders.into_iter().filter(absent).cloned().collect();
-        self.gone.retain(|holder, _| absent.contains(holder));
+        self.unregistered_since
+            .retain(|holder, _| absent.contains(holder));
         for holder in absent {
-            self.gone.entry(holder).or_insert(now);
+            self.unregistered_since.entry(holder).or_insert(now);
         }
     }
 
-    /// Whether a holder is taken to be gone. Early in this instance's life nobody
-    /// was heard yet, and silence means nothing.
+    /// Whether a holder is presumed dead. Shortly after the start of this instance, missing
+    /// heartbeats indicate nothing, since none may have arrived yet.
     fn is_dead(&self, now: Instant, holder: &id::Holder) -> bool {
         if self.is_live(now, holder) {
             return false;
         }
-        let newer = self
-            .heard
+        let is_newer_known = self
+            .last_heartbeats
             .get(&holder.instance)
-            .is_some_and(|heard| heard.member.holder.incarnation > holder.incarnation);
-        newer || now >= self.started + self.settings.suspect_after * 2
+            .is_some_and(|heartbeat| heartbeat.member.holder.incarnation > holder.incarnation);
+        is_newer_known || now >= self.started + self.settings.suspect_after * 2
     }
 
-    /// Whether nobody who could still act for the holder is left: it has had no
-    /// registration for so long that it has stopped by its own clock.
-    fn is_gone(&self, now: Instant, holder: &id::Holder) -> bool {
-        let since = self.gone.get(holder);
+    /// Whether the holder has certainly stopped acting: it has had no registration for so
+    /// long that its authority has expired by its own clock.
+    fn has_certainly_stopped(&self, now: Instant, holder: &id::Holder) -> bool {
+        let since = self.unregistered_since.get(holder);
         since.is_some_and(|since| now >= *since + self.settings.recordless_takeover_wait)
             && self.is_dead(now, holder)
     }
@@ -168,13 +173,14 @@
         if *holder == self.settings.me {
             return self.leaving;
         }
-        let heard = self.heard.get(&holder.instance);
-        heard.is_some_and(|heard| heard.member.holder == *holder && heard.member.leaving)
+        let heartbeat = self.last_heartbeats.get(&holder.instance);
+        heartbeat
+            .is_some_and(|heartbeat| heartbeat.member.holder == *holder && heartbeat.member.leaving)
     }
 
-    /// What each live instance that stays holds.
-    fn shares(&self, now: Instant) -> Shares {
-        let mut shares = Shares::new();
+    /// Number of slices of each live instance that is not leaving.
+    fn slice_counts(&self, now: Instant) -> SliceCounts {
+        let mut counts = SliceCounts::new();
         let me = Member {
             holder: self.settings.me.clone(),
             zone: self.settings.zone.clone(),
@@ -186,61 +192,61 @@
             if !self.is_live(now, &member.holder) || self.is_leaving_member(&member.holder) {
                 continue;
             }
-            let share = Share {
+            let count = SliceCount {
                 zone: member.zone,
                 homes: 0,
                 backups: 0,
             };
-            shares.insert(member.holder, share);
+            counts.insert(member.holder, count);
         }
         for (_, row) in self.table.rows() {
-            if let Some(share) = row.home.as_ref().and_then(|home| shares.get_mut(home)) {
-                share.homes += 1;
+            if let Some(count) = row.home.as_ref().and_then(|home| counts.get_mut(home)) {
+                count.homes += 1;
             }
-            if let Some(share) = row.backup.as_ref().and_then(|b| shares.get_mut(b)) {
-                share.backups += 1;
+            if let Some(count) = row.backup.as_ref().and_then(|b| counts.get_mut(b)) {
+                count.backups += 1;
             }
         }
-        for joining in self.joining.values() {
-            if let Some(share) = shares.get_mut(&joining.backup) {
-                share.backups += 1;
+        for copy in self.backup_copies.values() {
+            if let Some(count) = counts.get_mut(&copy.backup) {
+                count.backups += 1;
             }
         }
-        shares
+        counts
     }
 
-    /// Gives up copies to instances that are gone, unless a write that names them
-    /// may still take effect: then the home must go on waiting for them.
-    fn abandon(&mut self, now: Instant, commands: &mut Vec<Command>) {
+    /// Cancels copies to instances that are dead or leaving, unless a write that names them
+    /// as backup may still take effect: then the home must keep waiting for them.
+    fn cancel_copies(&mut self, now: Instant, commands: &mut Vec<Command>) {
         let mut slices = Vec::new();
-        for (slice, joining) in &self.joining {
-            let part = &self.parts[(slice.0 / ROWS_PER_DOCUMENT) as usize];
-            let dead =
-                !self.is_live(now, &joining.backup) || self.is_leaving_member(&joining.backup);
-            if dead && part.writing.is_none() && part.uncertain.is_none() {
+        for (slice, copy) in &self.backup_copies {
+            let state = &self.documents[(slice.0 / ROWS_PER_DOCUMENT) as usize];
+            let is_unavailable =
+                !self.is_live(now, &copy.backup) || self.is_leaving_member(&copy.backup);
+            if is_unavailable && state.pending_write.is_none() && state.unresolved_write.is_none() {
                 slices.push(*slice);
             }
         }
         for slice in &slices {
-            // The worker may have told already that this copy is complete. Taken for
-            // a later copy to the same backup, that would name it in the table while
-            // it lacks the claims made in between.
-            if let Some(joining) = self.joining.remove(slice) {
-                let until = now + PASS_OVER;
-                self.abandoned.insert(*slice, (joining.backup, until));
+            // The worker may already have reported this copy as complete. If the report
+            // were attributed to a later copy to the same backup, the table would name
+            // that backup although it lacks the claims made in between.
+            if let Some(copy) = self.backup_copies.remove(slice) {
+                let until = now + CANCELLED_BACKUP_COOLDOWN;
+                self.cancelled_copies.insert(*slice, (copy.backup, until));
             }
-            self.migrating.remove(slice);
+            self.migration_targets.remove(slice);
         }
         if !slices.is_empty() {
             commands.push(Command::CancelBackup(slices));
         }
     }
 
-    /// Writes the rows that must change, one write a document at a time.
-    fn write(&mut self, now: Instant, shares: &Shares, commands: &mut Vec<Command>) {
-        for document in 0..self.parts.len() as u32 {
-            let part = &self.parts[document as usize];
-            if part.writing.is_some() {
+    /// Writes the rows that must change, with at most one write per document in progress.
+    fn write_documents(&mut self, now: Instant, counts: &SliceCounts, commands: &mut Vec<Command>) {
+        for document in 0..self.documents.len() as u32 {
+            let state = &self.documents[document as usize];
+            if state.pending_write.is_some() {
                 continue;
             }
             let first = document * ROWS_PER_DOCUMENT;
@@ -248,22 +254,23 @@
             let changes: Vec<(id::Slice, Row)> = (first..last)
                 .filter_map(|slice| {
                     let slice = id::Slice(slice);
-                    Some((slice, self.next_row(now, slice, shares)?))
+                    Some((slice, self.next_row(now, slice, counts)?))
                 })
                 .collect();
-            // A write whose fate is unknown is settled by any later one.
-            let settle = part.uncertain == Some(part.version) && part.version.is_some();
-            if changes.is_empty() && !settle {
+            // Any later write resolves a write with unknown result.
+            let must_resolve =
+                state.unresolved_write == Some(state.version) && state.version.is_some();
+            if changes.is_empty() && !must_resolve {
                 continue;
             }
-            let expected = part.version;
+            let expected = state.version;
             let mut rows: Vec<Row> = (first..last)
                 .map(|slice| self.table.row(id::Slice(slice)).clone())
                 .collect();
             for (slice, row) in &changes {
                 rows[(slice.0 - first) as usize] = row.clone();
             }
-            self.parts[document as usize].writing = Some(changes);
+            self.documents[document as usize].pending_write = Some(changes);
             commands.push(Command::Write {
                 document,
                 expected,
@@ -272,22 +279,23 @@
         }
     }
 
-    /// The row that should replace the slice's present one, if any.
-    fn next_row(&self, now: Instant, slice: id::Slice, shares: &Shares) -> Option<Row> {
+    /// The row that should replace the current row of the slice, if any.
+    fn next_row(&self, now: Instant, slice: id::Slice, counts: &SliceCounts) -> Option<Row> {
         let row = self.table.row(slice);
         let me = &self.settings.me;
         let Some(home) = &row.home else {
-            return self.take_free(now, slice, row, shares);
+            return self.take_unassigned(now, slice, row, counts);
         };
         if home == me {
-            return self.change_backup(now, slice, row, shares);
+            return self.change_backup(now, slice, row, counts);
         }
         if row.is_backup(me) {
             return self.promote(now, slice, row, home);
         }
-        self.take_blank(now, slice, row, home, shares)
+        self.take_without_records(now, slice, row, home, counts)
     }
 
+    /// The row that makes this instance home of the slice.
     fn successor(&self, row: &Row) -> Row {
         Row {
             epoch: id::Epoch(row.epoch.0 + 1),
@@ -297,174 +305,205 @@
         }
     }
 
-    fn take_free(&self, now: Instant, slice: id::Slice, row: &Row, shares: &Shares) -> Option<Row> {
-        let settled = now >= self.started + SETTLE;
-        let mine = settled && self.is_chosen(slice, shares);
-        mine.then(|| self.successor(row))
+    /// If the slice is unassigned: takes it if this instance is the preferred home.
+    fn take_unassigned(
+        &self,
+        now: Instant,
+        slice: id::Slice,
+        row: &Row,
+        counts: &SliceCounts,
+    ) -> Option<Row> {
+        let has_waited = now >= self.started + STARTUP_WAIT;
+        let takes_slice = has_waited && self.is_preferred_home(slice, counts);
+        takes_slice.then(|| self.successor(row))
     }
 
-    /// Whether this instance is first for a slice among those that stay.
-    fn is_chosen(&self, slice: id::Slice, shares: &Shares) -> bool {
+    /// Whether rendezvous hashing prefers this instance for a slice among the instances
+    /// that are live and not leaving.
+    fn is_preferred_home(&self, slice: id::Slice, counts: &SliceCounts) -> bool {
         let weight = |holder: &&id::Holder| {
             let mut hasher = SipHasher13::new();
             slice.0.hash(&mut hasher);
             holder.instance.as_str().hash(&mut hasher);
             hasher.finish()
         };
-        shares.keys().max_by_key(weight) == Some(&self.settings.me)
+        counts.keys().max_by_key(weight) == Some(&self.settings.me)
     }
 
-    /// As home: drops a backup that is gone, leaves, or makes room for a move, and
-    /// names the one that has everything.
+    /// If this instance is home: removes a backup that is dead, leaving or in the way of a
+    /// move, and names the new backup once its copy is complete.
     fn change_backup(
         &self,
         now: Instant,
         slice: id::Slice,
         row: &Row,
-        shares: &Shares,
+        counts: &SliceCounts,
     ) -> Option<Row> {
-        let with = |backup: Option<id::Holder>| Row {
+        let new_row = |backup: Option<id::Holder>| Row {
             epoch: id::Epoch(row.epoch.0 + 1),
             backup,
-            records_lost: row.records_lost && self.is_blank(now, slice),
+            records_lost: row.records_lost && self.may_miss_records(now, slice),
             ..row.clone()
         };
         let Some(backup) = &row.backup else {
-            let joining = self.joining.get(&slice).filter(|joining| joining.complete);
-            return joining.map(|joining| with(Some(joining.backup.clone())));
+            let copy = self
+                .backup_copies
+                .get(&slice)
+                .filter(|copy| copy.is_complete);
+            return copy.map(|copy| new_row(Some(copy.backup.clone())));
         };
-        let target = self.migrating.get(&slice);
-        let wrong = target.is_some_and(|target| target != backup);
-        let near = self.joining.is_empty() && self.is_too_near(slice, backup, shares);
-        if self.is_dead(now, backup) || self.is_leaving_member(backup) || wrong || near {
-            return Some(with(None));
+        let target = self.migration_targets.get(&slice);
+        let blocks_move = target.is_some_and(|target| target != backup);
+        let is_needlessly_local =
+            self.backup_copies.is_empty() && self.is_needlessly_local(slice, backup, counts);
+        if self.is_dead(now, backup)
+            || self.is_leaving_member(backup)
+            || blocks_move
+            || is_needlessly_local
+        {
+            return Some(new_row(None));
         }
-        // A mark that stays would start the window at instances that come later.
-        let over = row.records_lost && !self.is_blank(now, slice);
-        over.then(|| with(Some(backup.clone())))
+        // Instances that start later would begin the lost-records window again if the flag
+        // stayed in the row.
+        let has_expired = row.records_lost && !self.may_miss_records(now, slice);
+        has_expired.then(|| new_row(Some(backup.clone())))
     }
 
-    /// Whether a backup is in this zone although another zone has an instance: at
-    /// the start of the fleet it may have been the only one that was heard.
+    /// Whether a backup is in this zone although another zone has an instance. This happens
+    /// when the backup was the only known peer at the start of the fleet.
     ///
-    /// One that cannot be taken now is no other: the near backup would be dropped and
-    /// taken again, a row each time, until it can be.
-    fn is_too_near(&self, slice: id::Slice, backup: &id::Holder, shares: &Shares) -> bool {
-        let is_far = |(holder, share): (&id::Holder, &Share)| {
-            share.zone != self.settings.zone && !self.is_passed_over(slice, holder)
+    /// Instances in cooldown don't count. Otherwise the local backup would be removed and
+    /// chosen again, with a row written each time, until the cooldown ends.
+    fn is_needlessly_local(
+        &self,
+        slice: id::Slice,
+        backup: &id::Holder,
+        counts: &SliceCounts,
+    ) -> bool {
+        let is_other_zone = |(holder, count): (&id::Holder, &SliceCount)| {
+            count.zone != self.settings.zone && !self.is_in_cooldown(slice, holder)
         };
-        let share = shares.get(backup);
-        let is_near = share.is_some_and(|share| share.zone == self.settings.zone);
-        is_near && shares.iter().any(is_far)
+        let count = counts.get(backup);
+        let is_local = count.is_some_and(|count| count.zone == self.settings.zone);
+        is_local && counts.iter().any(is_other_zone)
     }
 
-    fn is_blank(&self, now: Instant, slice: id::Slice) -> bool {
-        let since = self.blank_since.get(&slice);
-        since.is_none_or(|since| now < *since + LONGEST_COPY_LIFETIME)
+    /// Whether copies of requests whose records were lost may still arrive.
+    fn may_miss_records(&self, now: Instant, slice: id::Slice) -> bool {
+        let since = self.records_lost_since.get(&slice);
+        since.is_none_or(|since| now < *since + MAX_COPY_LIFETIME)
     }
 
-    /// As backup: takes over from a home that is gone or asks for it.
+    /// If this instance is backup: takes over from a home that is dead or requests it.
     fn promote(&self, now: Instant, slice: id::Slice, row: &Row, home: &id::Holder) -> Option<Row> {
-        // A backup that is leaving takes over too: it has the only records, which
-        // would be lost with it, and hands them to another before it stops.
-        let asked = self.yielded.contains_key(&slice);
-        let take = asked || self.is_dead(now, home);
-        take.then(|| self.successor(row))
+        // A leaving backup takes over too: it has the only records left and copies them to
+        // another instance before it stops. Otherwise they would be lost.
+        let is_requested = self.takeover_requests.contains_key(&slice);
+        let takes_slice = is_requested || self.is_dead(now, home);
+        takes_slice.then(|| self.successor(row))
     }
 
-    /// As neither: takes a slice without its records once nobody can act for it.
-    fn take_blank(
+    /// If this instance is neither: takes over a slice without its records once no other
+    /// instance can act for it.
+    fn take_without_records(
         &self,
         now: Instant,
         slice: id::Slice,
         row: &Row,
         home: &id::Holder,
-        shares: &Shares,
+        counts: &SliceCounts,
     ) -> Option<Row> {
         if self.leaving {
             return None;
         }
         let backup = row.backup.as_ref();
-        let blank = Row {
+        let new_row = Row {
             records_lost: true,
             ..self.successor(row)
         };
-        // An earlier life of this very instance is gone for sure, and its
-        // records with it; a backup that lives has them and takes over itself.
-        let earlier = home.instance == self.settings.me.instance;
+        // An earlier incarnation of this instance has certainly ended, and its records are
+        // lost; a live backup has a copy and takes over itself.
+        let is_own_instance = home.instance == self.settings.me.instance;
         let backup_dead = backup.is_none_or(|backup| self.is_dead(now, backup));
-        if earlier && backup_dead {
-            return Some(blank);
+        if is_own_instance && backup_dead {
+            return Some(new_row);
         }
-        let gone = self.is_gone(now, home) && backup.is_none_or(|b| self.is_gone(now, b));
-        (gone && self.is_chosen(slice, shares)).then_some(blank)
+        let have_stopped = self.has_certainly_stopped(now, home)
+            && backup.is_none_or(|b| self.has_certainly_stopped(now, b));
+        (have_stopped && self.is_preferred_home(slice, counts)).then_some(new_row)
     }
 
-    /// Starts copies to new backups for slices that have none.
-    fn join(&mut self, now: Instant, shares: &Shares, commands: &mut Vec<Command>) {
-        let mut shares = shares.clone();
+    /// Starts copies to new backups for this instance's slices without a backup.
+    fn start_copies(&mut self, now: Instant, counts: &SliceCounts, commands: &mut Vec<Command>) {
+        let mut counts = counts.clone();
         let mut chosen: BTreeMap<id::Holder, Vec<id::Slice>> = BTreeMap::new();
         for (slice, row) in self.table.rows() {
-            if self.joining.len() + chosen.len() >= MAX_JOINING {
+            if self.backup_copies.len() + chosen.len() >= MAX_CONCURRENT_COPIES {
                 break;
             }
-            let alone = row.is_home(&self.settings.me) && row.backup.is_none();
-            if !alone || self.joining.contains_key(&slice) {
+            let needs_backup = row.is_home(&self.settings.me) && row.backup.is_none();
+            if !needs_backup || self.backup_copies.contains_key(&slice) {
                 continue;
             }
-            let target = self.migrating.get(&slice);
+            let target = self.migration_targets.get(&slice);
             let target = target
-                .filter(|target| self.is_live(now, target) && !self.is_passed_over(slice, target))
+                .filter(|target| self.is_live(now, target) && !self.is_in_cooldown(slice, target))
                 .cloned();
-            let Some(backup) = target.or_else(|| self.candidate(slice, &shares)) else {
+            let Some(backup) = target.or_else(|| self.choose_backup(slice, &counts)) else {
                 continue;
             };
-            if let Some(share) = shares.get_mut(&backup) {
-                share.backups += 1;
+            if let Some(count) = counts.get_mut(&backup) {
+                count.backups += 1;
             }
             chosen.entry(backup).or_default().push(slice);
         }
         for (backup, slices) in chosen {
             for slice in &slices {
-                let joining = Joining {
+                let copy = BackupCopy {
                     backup: backup.clone(),
-                    complete: false,
+                    is_complete: false,
                 };
-                self.joining.insert(*slice, joining);
+                self.backup_copies.insert(*slice, copy);
             }
             commands.push(Command::AddBackup { slices, backup });
         }
     }
 
-    /// The best backup: in another availability zone, so that losing one zone
-    /// never loses both, and with the fewest slices.
-    fn candidate(&self, slice: id::Slice, shares: &Shares) -> Option<id::Holder> {
-        let others = shares
+    /// Chooses a backup: preferably in another availability zone, so that the failure of one
+    /// zone does not affect both home and backup, then by the fewest slices.
+    fn choose_backup(&self, slice: id::Slice, counts: &SliceCounts) -> Option<id::Holder> {
+        let others = counts
             .iter()
             .filter(|(holder, _)| holder.instance != self.settings.me.instance)
-            .filter(|(holder, _)| !self.is_passed_over(slice, holder));
-        let best = others.min_by_key(|(holder, share)| {
-            let near = share.zone == self.settings.zone;
+            .filter(|(holder, _)| !self.is_in_cooldown(slice, holder));
+        let best = others.min_by_key(|(holder, count)| {
+            let is_same_zone = count.zone == self.settings.zone;
             let mut hasher = SipHasher13::new();
             slice.0.hash(&mut hasher);
             holder.instance.as_str().hash(&mut hasher);
-            (near, share.homes + share.backups, hasher.finish())
+            (is_same_zone, count.homes + count.backups, hasher.finish())
         });
         best.map(|(holder, _)| holder.clone())
     }
 
-    fn is_passed_over(&self, slice: id::Slice, holder: &id::Holder) -> bool {
-        let given_up = self.abandoned.get(&slice);
-        given_up.is_some_and(|(backup, _)| backup == holder)
+    /// Whether a copy of the slice to this holder was cancelled recently.
+    fn is_in_cooldown(&self, slice: id::Slice, holder: &id::Holder) -> bool {
+        let cancelled = self.cancelled_copies.get(&slice);
+        cancelled.is_some_and(|(backup, _)| backup == holder)
     }
 
-    /// Asks backups to take slices over: all when leaving, else those that an
-    /// instance with fewer slices should have.
-    fn hand_over(&mut self, now: Instant, shares: &Shares, commands: &mut Vec<Command>) {
+    /// Asks backups to take slices over: all slices when this instance is leaving, otherwise
+    /// those that move to an instance with fewer slices.
+    fn request_takeovers(
+        &mut self,
+        now: Instant,
+        counts: &SliceCounts,
+        commands: &mut Vec<Command>,
+    ) {
         if !self.leaving {
-            self.level(shares);
+            self.plan_moves(counts);
         }
-        let mut asked: BTreeMap<id::Holder, Vec<id::Slice>> = BTreeMap::new();
+        let mut requests: BTreeMap<id::Holder, Vec<id::Slice>> = BTreeMap::new();
         for (slice, row) in self.table.rows() {
             let Some(backup) = row
                 .backup
@@ -473,81 +512,89 @@
             else {
                 continue;
             };
-            let moved = self.migrating.get(&slice) == Some(backup);
-            let able = self.is_live(now, backup) && !self.is_leaving_member(backup);
-            if (self.leaving || moved) && able {
-                asked.entry(backup.clone()).or_default().push(slice);
+            let is_move = self.migration_targets.get(&slice) == Some(backup);
+            let is_available = self.is_live(now, backup) && !self.is_leaving_member(backup);
+            if (self.leaving || is_move) && is_available {
+                requests.entry(backup.clone()).or_default().push(slice);
             }
         }
-        let recent = self.asked.is_some_and(|at| now < at + ASK_EVERY);
-        if recent || asked.is_empty() {
+        let was_recent = self
+            .last_takeover_request
+            .is_some_and(|at| now < at + TAKEOVER_REQUEST_INTERVAL);
+        if was_recent || requests.is_empty() {
             return;
         }
-        self.asked = Some(now);
-        for (to, slices) in asked {
+        self.last_takeover_request = Some(now);
+        for (to, slices) in requests {
             commands.push(Command::RequestTakeover { to, slices });
         }
     }
 
-    /// Ends moves whose targets are gone, and moves within the zone once there is
-    /// another.
+    /// Cancels moves whose targets are gone, and moves within the zone once another zone
+    /// has an instance.
     ///
-    /// A move that begins while a zone is cut off has its target beside the home. When
-    /// the other zones are back, that one is too near to be backup and was joined, named
-    /// and dropped fifteen times a second for as long as it stayed the target.
-    fn end_moves(&mut self, shares: &Shares) {
-        let mut migrating = std::mem::take(&mut self.migrating);
-        migrating.retain(|slice, target| {
-            shares.contains_key(target) && !self.is_too_near(*slice, target, shares)
+    /// A move that starts during a network partition has its target in the same zone as
+    /// the home. Once the other zones are reachable again, such a target is not acceptable
+    /// as backup: as long as it stayed the target, it would be copied to, named in the
+    /// table and removed again, many times a second.
+    fn cancel_obsolete_moves(&mut self, counts: &SliceCounts) {
+        let mut targets = std::mem::take(&mut self.migration_targets);
+        targets.retain(|slice, target| {
+            counts.contains_key(target) && !self.is_needlessly_local(*slice, target, counts)
         });
-        self.migrating = migrating;
+        self.migration_targets = targets;
     }
 
-    /// Picks slices to move to the instance that has the fewest.
-    fn level(&mut self, shares: &Shares) {
-        let Some(mine) = shares.get(&self.settings.me).map(|share| share.homes) else {
+    /// Selects slices to move to the instance that has the fewest.
+    fn plan_moves(&mut self, counts: &SliceCounts) {
+        let Some(own_homes) = counts.get(&self.settings.me).map(|count| count.homes) else {
             return;
         };
-        let total: u32 = shares.values().map(|share| share.homes).sum();
-        let mean = total / shares.len().max(1) as u32;
+        let total: u32 = counts.values().map(|count| count.homes).sum();
+        let mean = total / counts.len().max(1) as u32;
         let slack = (mean / 10).max(1);
-        let Some((least, share)) = self.least_loaded(shares) else {
+        let Some((target, count)) = self.least_loaded(counts) else {
             return;
         };
-        // One in this zone may be short while the other zones have their share. It
-        // gets its own by way of them, so they may go over it for a while.
-        let short = |share: &Share| share.homes + slack <= mean;
-        let needed = shares.values().any(short);
-        if mine <= mean + slack || !needed || share.homes > mean + slack {
+        // An instance in this zone may have too few slices while those of the other zones
+        // have their share. It gets slices through instances of other zones, which may
+        // exceed their share for a while.
+        let is_short = |count: &SliceCount| count.homes + slack <= mean;
+        let is_needed = counts.values().any(is_short);
+        if own_homes <= mean + slack || !is_needed || count.homes > mean + slack {
             return;
         }
-        let surplus = (mine - mean) as usize;
-        let room = MAX_MIGRATING
+        let surplus = (own_homes - mean) as usize;
+        let room = MAX_CONCURRENT_MOVES
             .min(surplus)
-            .saturating_sub(self.migrating.len());
-        let free = |(slice, row): &(id::Slice, &Row)| {
-            row.is_home(&self.settings.me) && !self.migrating.contains_key(slice)
+            .saturating_sub(self.migration_targets.len());
+        let is_movable = |(slice, row): &(id::Slice, &Row)| {
+            row.is_home(&self.settings.me) && !self.migration_targets.contains_key(slice)
         };
-        let mut slices: Vec<_> = self.table.rows().filter(free).collect();
-        // Those that it backs already need no other backup in between.
-        slices.sort_by_key(|(_, row)| row.backup.as_ref() != Some(least));
+        let mut slices: Vec<_> = self.table.rows().filter(is_movable).collect();
+        // Slices whose backup is the target already need no change of backup first.
+        slices.sort_by_key(|(_, row)| row.backup.as_ref() != Some(target));
         let slices: Vec<id::Slice> = slices
             .into_iter()
             .take(room)
             .map(|(slice, _)| slice)
             .collect();
         for slice in slices {
-            self.migrating.insert(slice, least.clone());
+            self.migration_targets.insert(slice, target.clone());
         }
     }
 
-    /// The instance with the fewest slices, of another zone if there is one. Whoever
-    /// is to become home is the backup first; in the same zone, a cut of that zone
-    /// in between would take home and backup together.
-    fn least_loaded<'a>(&self, shares: &'a Shares) -> Option<(&'a id::Holder, &'a Share)> {
-        let far = |(_, share): &(&id::Holder, &Share)| share.zone != self.settings.zone;
-        let others = shares.iter().filter(far);
-        let least = others.min_by_key(|(_, share)| share.homes);
-        least.or_else(|| shares.iter().min_by_key(|(_, share)| share.homes))
+    /// The instance with the fewest slices, in another zone if there is one. The future
+    /// home is the backup first. If it were in the same zone, a failure of that zone
+    /// during the move would affect home and backup together.
+    fn least_loaded<'a>(
+        &self,
+        counts: &'a SliceCounts,
+    ) -> Option<(&'a id::Holder, &'a SliceCount)> {
+        let is_other_zone =
+            |(_, count): &(&id::Holder, &SliceCount)| count.zone != self.settings.zone;
+        let others = counts.iter().filter(is_other_zone);
+        let smallest = others.min_by_key(|(_, count)| count.homes);
+        smallest.or_else(|| counts.iter().min_by_key(|(_, count)| count.homes))
     }
 }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,7 +1,7 @@
-//! Messages between entry instances.
+//! Messages between instances.
 //!
-//! The structs carry their own `prost` derivations, so the build needs no
-//! generator. Field numbers are part of the protocol: never reuse one.
+//! The structs derive `prost::Message` themselves, so the build needs no code generator.
+//! Field numbers are part of the protocol and must never be reused.
 
 pub(crate) mod link;
 pub mod member;
@@ -18,7 +18,7 @@
 use crate::request;
 use crate::request::Flow;
 
-/// A flow on the wire.
+/// Encoding of a flow in messages.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct WireFlow {
     /// Name of the service.
@@ -29,57 +29,57 @@
     pub caller: Vec<u8>,
 }
 
-/// A datagram passed on to the instance that decides for it.
+/// A datagram relayed to the instance that is home of the flow's slice.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Relay {
-    /// Whose datagram it is.
+    /// Flow of the datagram.
     #[prost(message, optional, tag = "1")]
     pub flow: Option<WireFlow>,
-    /// The datagram as it came.
+    /// The datagram as received from the caller.
     #[prost(bytes = "bytes", tag = "2")]
     pub datagram: Bytes,
-    /// Relays so far.
+    /// Number of relays so far.
     #[prost(uint32, tag = "3")]
     pub hops: u32,
-    /// Whether the sender, home until now, claimed the request but neither
-    /// forwarded it nor ever will.
+    /// Whether the sender, the previous home, claimed the request but has not forwarded
+    /// it and never will.
     #[prost(bool, tag = "4")]
     pub released: bool,
 }
 
-/// A request that may be forwarded from now on, or will never be.
+/// Claim of a request: from now on it may be forwarded, or it may never be.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Claim {
-    /// Whose request it is.
+    /// Flow of the request.
     #[prost(message, optional, tag = "1")]
     pub flow: Option<WireFlow>,
-    /// Its identity, big-endian without leading zeros.
+    /// Identity of the request, big-endian without leading zeros.
     #[prost(bytes = "vec", tag = "2")]
     pub id: Vec<u8>,
-    /// The home that made the claim, if it is not the sender.
+    /// Home that made the claim, if it is not the sender.
     #[prost(string, tag = "3")]
     pub claimer: String,
-    /// Time since the request came, in milliseconds.
+    /// Time since the request was received, in milliseconds.
     #[prost(uint64, tag = "4")]
     pub age_ms: u64,
 }
 
-/// A feed, with what is needed to register it again.
+/// A feed with the data needed to register it again.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Feed {
-    /// Whose feed it is.
+    /// Flow of the feed.
     #[prost(message, optional, tag = "1")]
     pub flow: Option<WireFlow>,
     /// The caller's token, big-endian without leading zeros.
     #[prost(bytes = "vec", tag = "2")]
     pub token: Vec<u8>,
-    /// The server that feeds it.
+    /// Server that sends the feed's notifications.
     #[prost(string, tag = "3")]
     pub server: String,
-    /// The caller's registration as it came.
+    /// The caller's registration datagram as received.
     #[prost(bytes = "bytes", tag = "4")]
     pub datagram: Bytes,
-    /// Last sequence number given to the caller.
+    /// Last sequence number sent to the caller.
     #[prost(uint32, tag = "5")]
     pub sequence: u32,
 }
@@ -87,7 +87,7 @@
 /// The end of a feed.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct FeedEnd {
-    /// Whose feed it was.
+    /// Flow of the feed.
     #[prost(message, optional, tag = "1")]
     pub flow: Option<WireFlow>,
     /// The caller's token.
@@ -95,11 +95,11 @@
     pub token: Vec<u8>,
 }
 
-/// Start of a new copy: what the receiver has of the slice's feeds is outdated.
+/// Start of a new copy: the receiver's data about the slice's feeds is outdated.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CopyStart {}
 
-/// One thing that a backup keeps.
+/// One element that a backup stores.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum ReplicationItem {
     /// Start of a new copy.
@@ -128,21 +128,22 @@
     /// Number of the step, to match its acknowledgement.
     #[prost(uint64, tag = "3")]
     pub number: u64,
-    /// What to keep.
+    /// Element to store.
     #[prost(oneof = "ReplicationItem", tags = "4, 5, 6, 7")]
     pub item: Option<ReplicationItem>,
 }
 
-/// The backup has the item and will honour it if it becomes home.
+/// Acknowledges a replication step: the backup has stored the item and will respect it
+/// when it becomes home.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ReplicationAck {
     /// The slice.
     #[prost(uint32, tag = "1")]
     pub slice: u32,
-    /// The epoch of the message that is acknowledged.
+    /// Epoch of the acknowledged step.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
-    /// The number of the message that is acknowledged.
+    /// Number of the acknowledged step.
     #[prost(uint64, tag = "3")]
     pub number: u64,
 }
@@ -153,10 +154,10 @@
     /// The slice.
     #[prost(uint32, tag = "1")]
     pub slice: u32,
-    /// Whose request it was.
+    /// Flow of the request.
     #[prost(message, optional, tag = "2")]
     pub flow: Option<WireFlow>,
-    /// Its identity.
+    /// Identity of the request.
     #[prost(bytes = "vec", tag = "3")]
     pub id: Vec<u8>,
     /// The caller's token.
@@ -167,7 +168,7 @@
     pub answer: Bytes,
 }
 
-/// A feed handed to the slice's home by an instance that served it meanwhile.
+/// A feed transferred to the slice's home by an instance that served it meanwhile.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct FeedTransfer {
     /// The slice.
@@ -178,37 +179,37 @@
     pub feed: Option<Feed>,
 }
 
-/// A server's load as one instance sees it.
+/// Load that one instance has at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
     /// Hash of the server's name.
     pub server: u32,
     /// Requests in progress.
     pub outstanding: u32,
-    /// Feeds open.
+    /// Open feeds.
     pub feeds: u32,
 }
 
-/// Loads of several servers, as packed columns: a message for each server would
-/// spend as many bytes on tags as on figures, in every heartbeat.
+/// Loads of several servers as packed columns. With one message per server, the tags
+/// would take as many bytes as the values in every heartbeat.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Loads {
     /// Hashes of the servers' names.
     #[prost(fixed32, repeated, tag = "1")]
     pub servers: Vec<u32>,
-    /// Requests in progress, server by server.
+    /// Requests in progress, in the order of `servers`.
     #[prost(uint32, repeated, tag = "2")]
     pub outstanding: Vec<u32>,
-    /// Feeds open, server by server.
+    /// Open feeds, in the order of `servers`.
     #[prost(uint32, repeated, tag = "3")]
     pub feeds: Vec<u32>,
 }
 
 impl Loads {
-    /// The loads one by one.
+    /// Iterates over the loads of the servers.
     pub fn iter(&self) -> impl Iterator<Item = Load> {
-        let figures = self.outstanding.iter().zip(&self.feeds);
-        let rows = self.servers.iter().zip(figures);
+        let counts = self.outstanding.iter().zip(&self.feeds);
+        let rows = self.servers.iter().zip(counts);
         rows.map(|(server, (outstanding, feeds))| Load {
             server: *server,
             outstanding: *outstanding,
@@ -229,31 +230,31 @@
     }
 }
 
-/// Sign of life.
+/// Periodic sign that the sender is alive.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Heartbeat {
     /// Availability zone of the sender.
     #[prost(string, tag = "1")]
     pub zone: String,
-    /// Where the sender takes peer messages.
+    /// Address at which the sender receives peer messages.
     #[prost(string, tag = "2")]
     pub address: String,
     /// Whether the sender is stopping.
     #[prost(bool, tag = "3")]
     pub leaving: bool,
-    /// Digest of the configuration revisions that the sender has in force.
+    /// Digest of the revisions in the sender's active configuration.
     #[prost(fixed64, tag = "4")]
     pub digest: u64,
     /// Loads of the servers in use.
     #[prost(message, optional, tag = "8")]
     pub loads: Option<Loads>,
-    /// Whether the loads were left out to keep the byte budget; the ones before
-    /// stand.
+    /// Whether the loads were omitted because of the byte budget; the previous ones
+    /// remain valid.
     #[prost(bool, tag = "7")]
     pub loads_omitted: bool,
 }
 
-/// Asks a backup to become home of slices that the sender is home of.
+/// Asks a backup to become home of slices whose current home is the sender.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct TakeoverRequest {
     /// The slices.
@@ -261,44 +262,44 @@
     pub slices: Vec<u32>,
 }
 
-/// Asks for everything that is newer than what the sender has.
+/// Requests all entries that are newer than those of the sender.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ConfigRequest {
-    /// What the sender has: a digest of each key with its version.
+    /// Keys that the sender has, each with its version.
     #[prost(message, repeated, tag = "1")]
     pub known_versions: Vec<Version>,
 }
 
-/// A key of the platform and how new the holder's copy is.
+/// A key of the platform with the version of an instance's copy.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Version {
     /// The key.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// The platform's modification number.
+    /// The platform's modification revision.
     #[prost(uint64, tag = "2")]
     pub modified: u64,
 }
 
-/// Copies of platform values, sent to a peer that is behind.
+/// Copies of platform entries, sent to a peer whose copies are older.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ConfigResponse {
-    /// The values.
+    /// The entries.
     #[prost(message, repeated, tag = "1")]
     pub entries: Vec<Entry>,
-    /// Keys of the asker that do not exist any more, each with a modification
-    /// number up to which that is known.
+    /// Keys of the requesting peer that no longer exist, each with the revision up to
+    /// which that is known.
     #[prost(message, repeated, tag = "2")]
     pub deleted: Vec<Version>,
 }
 
-/// One value of the platform.
+/// One entry of the platform.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Entry {
     /// The key.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// The platform's modification number.
+    /// The platform's modification revision.
     #[prost(uint64, tag = "2")]
     pub modified: u64,
     /// The value.
@@ -306,7 +307,7 @@
     pub value: Bytes,
 }
 
-/// Any message.
+/// Any message between instances.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum PeerMessage {
     /// See [`Relay`].
@@ -355,9 +356,9 @@
     }
 }
 
-/// Packs a flow for the wire.
+/// Encodes a flow.
 pub fn pack_flow(flow: &Flow) -> WireFlow {
-    let SocketAddrParts { mut ip, port } = parts(flow.caller.0);
+    let AddressBytes { mut ip, port } = address_bytes(flow.caller.0);
     ip.extend_from_slice(&port.to_be_bytes());
     WireFlow {
         service: flow.service.as_str().to_owned(),
@@ -365,22 +366,24 @@
     }
 }
 
-/// Unpacks a flow.
+/// Decodes a flow.
 ///
 /// # Errors
 ///
-/// [`Error::Decode`] if it is missing or malformed.
+/// [`Error::Decode`] if the flow is missing or malformed.
 pub fn unpack_flow(flow: Option<&WireFlow>) -> Result<Flow> {
     let flow = flow.ok_or_else(|| malformed("flow is missing"))?;
     let (ip, port) = flow
         .caller
         .split_last_chunk::<2>()
-        .ok_or_else(|| malformed("caller is too short"))?;
+        .ok_or_else(|| malformed("caller's address is too short"))?;
     let ip = match *ip {
         [a, b, c, d] => IpAddr::from([a, b, c, d]),
         _ => {
-            let long: [u8; 16] = ip.try_into().map_err(|_| malformed("caller's address"))?;
-            IpAddr::from(long)
+            let octets: [u8; 16] = ip
+                .try_into()
+                .map_err(|_| malformed("caller's address has neither 4 nor 16 bytes"))?;
+            IpAddr::from(octets)
         }
     };
     Ok(Flow {
@@ -389,29 +392,29 @@
     })
 }
 
-/// Packs a number of up to 128 bits.
+/// Encodes a number of up to 128 bits, big-endian without leading zeros.
 pub fn pack_number(number: u128) -> Vec<u8> {
     let bytes = number.to_be_bytes();
-    let skip = bytes.iter().take_while(|byte| **byte == 0).count();
-    bytes[skip..].to_vec()
+    let leading_zeros = bytes.iter().take_while(|byte| **byte == 0).count();
+    bytes[leading_zeros..].to_vec()
 }
 
-/// Unpacks a number of up to 128 bits.
+/// Decodes a number of up to 128 bits.
 ///
 /// # Errors
 ///
-/// [`Error::Decode`] if it is longer.
+/// [`Error::Decode`] if the number is longer.
 pub fn unpack_number(bytes: &[u8]) -> Result<u128> {
-    const WIDTH: usize = 16;
-    if bytes.len() > WIDTH {
-        return Err(malformed("number is too long"));
+    const MAX_LENGTH: usize = 16;
+    if bytes.len() > MAX_LENGTH {
+        return Err(malformed("number is longer than 128 bits"));
     }
     Ok(bytes
         .iter()
         .fold(0, |number, byte| number << 8 | u128::from(*byte)))
 }
 
-/// Unpacks a request's identity.
+/// Decodes a request's key.
 ///
 /// # Errors
 ///
@@ -423,17 +426,17 @@
     })
 }
 
-struct SocketAddrParts {
+struct AddressBytes {
     ip: Vec<u8>,
     port: u16,
 }
 
-fn parts(address: SocketAddr) -> SocketAddrParts {
+fn address_bytes(address: SocketAddr) -> AddressBytes {
     let ip = match address.ip() {
         IpAddr::V4(ip) => ip.octets().to_vec(),
         IpAddr::V6(ip) => ip.octets().to_vec(),
     };
-    SocketAddrParts {
+    AddressBytes {
         ip,
         port: address.port(),
     }
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -1,12 +1,12 @@
-//! Sockets between entry instances.
+//! Sockets between instances.
 //!
-//! One UDP socket carries single messages. The TCP port of the same number
-//! serves copies of the configuration to peers that are behind.
+//! One UDP socket carries single messages. The TCP port of the same number serves copies
+//! of the configuration to peers with older entries.
 //!
-//! What an instance says to a peer of its own accord has a budget of bytes per
-//! second. Loads in heartbeats give way first, then copies of the configuration;
-//! signs of life and hand-overs always go out. What belongs to a caller's request
-//! or feed is not counted: it grows with the traffic and not with the fleet.
+//! Control traffic to each peer has a budget of bytes per second. When it is exhausted,
+//! loads in heartbeats are omitted and copies of the configuration are refused, while
+//! heartbeats themselves and takeover requests are always sent. Messages for a caller's
+//! request or feed are not counted: they grow with the traffic, not with the fleet.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -47,13 +47,13 @@
 use crate::platform::rate_limit::Rate;
 use crate::platform::rate_limit::TokenBucket;
 
-/// Time for one exchange of configuration with a peer.
-const PULL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Timeout of one configuration exchange with a peer.
+const CONFIG_EXCHANGE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The sending side, shared by workers and control task.
+/// Sends and verifies messages; shared by the workers and the control task.
 ///
-/// Lock order: `addresses`, `guard` and `budgets` are leaves, not held while
-/// sending.
+/// Lock order: no other lock is acquired while `addresses`, `replay_guard` or `budgets`
+/// is held, and none of them is held while sending.
 #[derive(Debug)]
 pub(crate) struct Link {
     me: id::Holder,
@@ -61,7 +61,7 @@
     socket: UdpSocket,
     sequence: AtomicU64,
     addresses: RwLock<HashMap<id::Holder, SocketAddr>>,
-    guard: Mutex<ReplayGuard>,
+    replay_guard: Mutex<ReplayGuard>,
     rate: Rate,
     budgets: Mutex<HashMap<SocketAddr, TokenBucket>>,
     metrics: Arc<Metrics>,
@@ -81,14 +81,14 @@
             socket,
             sequence: AtomicU64::new(0),
             addresses: RwLock::default(),
-            guard: Mutex::default(),
+            replay_guard: Mutex::default(),
             rate,
             budgets: Mutex::default(),
             metrics,
         }
     }
 
-    /// Takes the addresses of a new view.
+    /// Updates the addresses of the peers from a new membership view.
     pub(crate) fn update_addresses(&self, view: &MembershipView) {
         let addresses = view
             .known
@@ -105,18 +105,22 @@
         self.budgets.lock().unwrap_or_else(|lock| lock.into_inner())
     }
 
-    /// Spends from the budget of one peer.
-    fn spend<T>(&self, peer: SocketAddr, spend: impl FnOnce(&mut TokenBucket, Instant) -> T) -> T {
+    /// Charges the byte budget of one peer.
+    fn charge<T>(
+        &self,
+        peer: SocketAddr,
+        charge: impl FnOnce(&mut TokenBucket, Instant) -> T,
+    ) -> T {
         let now = Instant::now();
         let mut budgets = self.budgets();
         let bucket = budgets.entry(peer);
-        spend(
+        charge(
             bucket.or_insert_with(|| TokenBucket::new(self.rate, now)),
             now,
         )
     }
 
-    /// Sends a message to a life of an instance; dropped if it is not known.
+    /// Sends a message to an incarnation of an instance; dropped if its address is unknown.
     pub(crate) fn send(&self, to: &id::Holder, body: PeerMessage) {
         if let Some(address) = self.address(to) {
             self.send_to(address, to.instance.as_str(), body);
@@ -128,55 +132,56 @@
         addresses.get(holder).copied()
     }
 
-    /// Sends a message to an address; the receiver's name may be unknown.
+    /// Sends a message to an address; `to` is empty if the receiver's name is unknown.
     pub(crate) fn send_to(&self, address: SocketAddr, to: &str, body: PeerMessage) {
         let kind = body.kind();
         let frame = match body {
-            PeerMessage::Heartbeat(message) => self.seal_heartbeat(address, to, message),
-            PeerMessage::TakeoverRequest(_) => self.seal_essential(address, to, body),
+            PeerMessage::Heartbeat(message) => self.sign_heartbeat(address, to, message),
+            PeerMessage::TakeoverRequest(_) => self.sign_essential(address, to, body),
             _ => self.sign_frame(to, body),
         };
         self.metrics
             .peer_message(kind, Direction::Sent, frame.len());
-        // A datagram that cannot be sent is like one that is lost on the way.
+        // A failed send has the same effect as a lost datagram, which the protocol tolerates.
         let _ = self.socket.send_to(&frame, address);
     }
 
-    /// A heartbeat, without its loads if the budget has no room for them. A missing
-    /// sign of life would make the peer suspect this instance and take its slices;
-    /// loads that are a second older only make its choices a little worse.
-    fn seal_heartbeat(&self, address: SocketAddr, to: &str, message: Heartbeat) -> Vec<u8> {
-        let bare = Heartbeat {
+    /// Signs a heartbeat; omits its loads if the budget is exhausted. Without a heartbeat
+    /// the peer would suspect this instance and take over its slices, while loads that are
+    /// a second older only make its server selection slightly worse.
+    fn sign_heartbeat(&self, address: SocketAddr, to: &str, message: Heartbeat) -> Vec<u8> {
+        let without_loads = Heartbeat {
             loads: None,
             loads_omitted: true,
             ..message.clone()
         };
         let frame = self.sign_frame(to, PeerMessage::Heartbeat(message));
-        if self.spend(address, |bucket, now| bucket.take_many(frame.len(), now)) {
+        if self.charge(address, |bucket, now| bucket.take_many(frame.len(), now)) {
             return frame;
         }
         self.metrics.peer_withheld("heartbeat");
-        self.seal_essential(address, to, PeerMessage::Heartbeat(bare))
+        self.sign_essential(address, to, PeerMessage::Heartbeat(without_loads))
     }
 
-    /// A message that goes out whatever the budget.
-    fn seal_essential(&self, address: SocketAddr, to: &str, body: PeerMessage) -> Vec<u8> {
+    /// Signs a message that is sent even if the budget is exhausted.
+    fn sign_essential(&self, address: SocketAddr, to: &str, body: PeerMessage) -> Vec<u8> {
         let frame = self.sign_frame(to, body);
-        self.spend(address, |bucket, now| {
+        self.charge(address, |bucket, now| {
             bucket.take_available(frame.len(), now)
         });
         frame
     }
 
-    /// Pays for one side of a copy, or refuses until the last one is paid off.
-    fn pay(&self, address: SocketAddr, kind: &'static str, bytes: usize) -> Result<()> {
-        if self.spend(address, |bucket, now| bucket.take_on_credit(bytes, now)) {
+    /// Charges one side of a configuration exchange to the budget; fails while the budget is
+    /// still in debt from an earlier exchange.
+    fn charge_exchange(&self, address: SocketAddr, kind: &'static str, bytes: usize) -> Result<()> {
+        if self.charge(address, |bucket, now| bucket.take_on_credit(bytes, now)) {
             self.metrics.peer_message(kind, Direction::Sent, bytes);
             return Ok(());
         }
         self.metrics.peer_withheld(kind);
         Err(Error::Exhausted {
-            step: "copy of the configuration",
+            step: "configuration exchange",
             peer: address.to_string(),
             rate: self.rate,
         })
@@ -192,32 +197,35 @@
         wire::sign_frame(&self.keys, &envelope)
     }
 
-    /// Checks a received frame: key, receiver, and that it is not a replay.
+    /// Verifies a received frame: its MAC, its receiver, and that it is not a replay.
     pub(crate) fn verify_frame(&self, peer: SocketAddr, frame: &[u8]) -> Result<Frame> {
-        let opened = wire::verify_frame(&self.keys, &self.me.instance, &peer.to_string(), frame)?;
-        let mut guard = self.guard.lock().unwrap_or_else(|lock| lock.into_inner());
-        if !guard.admit(&opened.from, opened.sequence) {
+        let verified = wire::verify_frame(&self.keys, &self.me.instance, &peer.to_string(), frame)?;
+        let mut guard = self
+            .replay_guard
+            .lock()
+            .unwrap_or_else(|lock| lock.into_inner());
+        if !guard.admit(&verified.from, verified.sequence) {
             return Err(Error::Decode {
                 step: "peer frame",
                 peer: peer.to_string(),
-                reason: "sent before".to_owned(),
+                reason: "frame was received before".to_owned(),
             });
         }
         drop(guard);
         self.metrics
-            .peer_message(opened.body.kind(), Direction::Received, frame.len());
-        Ok(opened)
+            .peer_message(verified.body.kind(), Direction::Received, frame.len());
+        Ok(verified)
     }
 
-    /// Asks a peer for everything newer than what is here.
-    pub(crate) async fn pull(
+    /// Requests the entries that are newer than `known` from a peer.
+    pub(crate) async fn request_config(
         &self,
         peer: SocketAddr,
-        have: ConfigRequest,
+        known: ConfigRequest,
     ) -> Result<ConfigResponse> {
         let exchange = async {
-            let frame = self.sign_frame("", PeerMessage::ConfigRequest(have));
-            self.pay(peer, "pull", frame.len())?;
+            let frame = self.sign_frame("", PeerMessage::ConfigRequest(known));
+            self.charge_exchange(peer, "pull", frame.len())?;
             let stream = TcpStream::connect(peer).await.map_err(|e| io(peer, e))?;
             let mut framed = framed(stream);
             framed
@@ -230,45 +238,45 @@
                 .ok_or_else(|| unanswered(peer, "closed"))?;
             let answer = answer.map_err(|e| io(peer, e))?;
             match self.verify_frame(peer, &answer)?.body {
-                PeerMessage::ConfigResponse(push) => Ok(push),
+                PeerMessage::ConfigResponse(response) => Ok(response),
                 _ => Err(unanswered(peer, "another message")),
             }
         };
-        let answer = timeout(PULL_TIMEOUT, exchange).await;
+        let answer = timeout(CONFIG_EXCHANGE_TIMEOUT, exchange).await;
         answer.unwrap_or_else(|_| Err(unanswered(peer, "timeout")))
     }
 
-    /// Serves one peer's question from `copies`, which returns what is newer.
+    /// Answers one configuration request with the entries that `newer_entries` returns.
     pub(crate) async fn serve(
         self: Arc<Self>,
         stream: TcpStream,
         peer: SocketAddr,
-        copies: impl Fn(ConfigRequest) -> ConfigResponse,
+        newer_entries: impl Fn(ConfigRequest) -> ConfigResponse,
     ) -> Result<()> {
         let exchange = async {
             let mut framed = framed(stream);
-            let question = framed
+            let request_frame = framed
                 .next()
                 .await
                 .ok_or_else(|| unanswered(peer, "closed"))?;
-            let question = question.map_err(|e| io(peer, e))?;
-            let frame = self.verify_frame(peer, &question)?;
-            let PeerMessage::ConfigRequest(pull) = frame.body else {
+            let request_frame = request_frame.map_err(|e| io(peer, e))?;
+            let frame = self.verify_frame(peer, &request_frame)?;
+            let PeerMessage::ConfigRequest(request) = frame.body else {
                 return Err(unanswered(peer, "another message"));
             };
-            let push = copies(pull);
+            let response = newer_entries(request);
             let answer = self.sign_frame(
                 frame.from.instance.as_str(),
-                PeerMessage::ConfigResponse(push),
+                PeerMessage::ConfigResponse(response),
             );
             let address = self.address(&frame.from).unwrap_or(peer);
-            self.pay(address, "push", answer.len())?;
+            self.charge_exchange(address, "push", answer.len())?;
             framed
                 .send(Bytes::from(answer))
                 .await
                 .map_err(|e| io(peer, e))
         };
-        let served = timeout(PULL_TIMEOUT, exchange).await;
+        let served = timeout(CONFIG_EXCHANGE_TIMEOUT, exchange).await;
         served.unwrap_or_else(|_| Err(unanswered(peer, "timeout")))
     }
 }
@@ -282,7 +290,7 @@
 
 fn io(peer: SocketAddr, source: std::io::Error) -> Error {
     Error::Io {
-        step: "copy of the configuration",
+        step: "configuration exchange",
         peer: peer.to_string(),
         source,
     }
@@ -290,7 +298,7 @@
 
 fn unanswered(peer: SocketAddr, reason: &str) -> Error {
     Error::Unanswered {
-        step: "copy of the configuration",
+        step: "configuration exchange",
         peer: peer.to_string(),
         reason: reason.to_owned(),
     }
--- a/src/peer/member.rs
+++ b/src/peer/member.rs
@@ -1,4 +1,4 @@
-//! Which instances this one can reach, as the control task last judged.
+//! Membership of the fleet as last determined by the control task.
 
 use std::collections::BTreeMap;
 use std::collections::HashSet;
@@ -7,43 +7,43 @@
 
 use crate::id;
 
-/// What is known of another instance.
+/// Another instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Which of its lives.
+    /// Name and incarnation of the instance.
     pub holder: id::Holder,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: id::Zone,
-    /// Where it takes peer messages.
+    /// Address at which the instance receives peer messages.
     pub address: id::Endpoint,
-    /// Whether it is stopping.
+    /// Whether the instance is handing its slices over.
     pub leaving: bool,
 }
 
-/// The view handed to the workers.
+/// View of the membership that the control task gives to the workers.
 #[derive(Clone, Debug, Default)]
 pub struct MembershipView {
-    /// Lives that were heard recently, this instance's own included.
+    /// Instances whose heartbeats arrived recently, including this instance.
     pub live: HashSet<id::Holder>,
-    /// Everything known, by name.
+    /// All known other instances by name.
     pub known: BTreeMap<id::Instance, Member>,
-    /// Until when this instance may let non-idempotent requests run.
+    /// Time until which this instance may run non-idempotent requests.
     pub authority_until: Option<Instant>,
 }
 
 impl MembershipView {
-    /// Whether this life was heard recently.
+    /// Whether a heartbeat of this incarnation arrived recently.
     pub fn is_live(&self, holder: &id::Holder) -> bool {
         self.live.contains(holder)
     }
 
-    /// Whether this life is over for certain: a later one has registered.
+    /// Whether this incarnation has certainly ended because a later one is known.
     pub fn has_ended(&self, holder: &id::Holder) -> bool {
         let known = self.known.get(&holder.instance);
         known.is_some_and(|member| member.holder.incarnation > holder.incarnation)
     }
 
-    /// Whether non-idempotent requests may run now.
+    /// Whether this instance may run non-idempotent requests now.
     pub fn has_authority(&self, now: Instant) -> bool {
         self.authority_until.is_some_and(|until| now < until)
     }
--- a/src/peer/wire.rs
+++ b/src/peer/wire.rs
@@ -1,7 +1,7 @@
-//! Frames between entry instances: who sent it, when in its life, and a keyed MAC.
+//! Frames between instances: a message with its sender, a sequence number and a MAC.
 //!
-//! Small messages travel one to a UDP datagram. Copies of the configuration can
-//! be larger than a datagram and travel over TCP, framed by their length.
+//! Small messages are sent as one UDP datagram each. Copies of the configuration can be
+//! larger than a datagram and are sent over TCP with a length prefix.
 
 use std::collections::HashMap;
 
@@ -19,22 +19,23 @@
 /// Length of the MAC at the end of a frame, in bytes.
 pub const MAC_LENGTH: usize = 16;
 
-/// Largest frame taken over TCP, in bytes.
+/// Maximum size of a frame received over TCP, in bytes.
 pub const MAX_FRAME: usize = 4 << 20;
 
-/// Frames back from the newest in which a late one is still taken.
-const WINDOW: u64 = 4096;
+/// Size of the replay window: how many sequence numbers behind the newest a late frame
+/// is still accepted.
+const REPLAY_WINDOW: u64 = 4096;
 
-/// What is sent, before the MAC.
+/// Content of a frame without its MAC.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Envelope {
-    /// The sender's life, as `NAME#INCARNATION`.
+    /// Name and incarnation of the sender, as `NAME#INCARNATION`.
     #[prost(string, tag = "1")]
     pub from: String,
-    /// Name of the receiver; empty where the sender does not know it yet.
+    /// Name of the receiver; empty if the sender does not know it yet.
     #[prost(string, tag = "2")]
     pub to: String,
-    /// Number of the frame in the sender's life.
+    /// Sequence number of the frame within the sender's incarnation.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
     /// The message.
@@ -42,18 +43,18 @@
     pub body: Option<PeerMessage>,
 }
 
-/// A frame that was checked.
+/// A verified frame.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Frame {
-    /// The sender's life.
+    /// Name and incarnation of the sender.
     pub from: id::Holder,
-    /// Number of the frame in the sender's life.
+    /// Sequence number of the frame within the sender's incarnation.
     pub sequence: u64,
     /// The message.
     pub body: PeerMessage,
 }
 
-/// Keys of the fleet: the first signs, all are accepted.
+/// Keys of the fleet: frames are signed with the first one and accepted with any.
 #[derive(Clone)]
 pub struct Keys(Vec<Hmac<Sha256>>);
 
@@ -64,11 +65,11 @@
 }
 
 impl Keys {
-    /// Prepares the keys.
+    /// Prepares the keys for signing and verification.
     ///
     /// # Errors
     ///
-    /// [`Error::Decode`] if there is none, or one cannot be used.
+    /// [`Error::Decode`] if there is no key or one of them is not usable.
     pub fn new<'a>(keys: impl IntoIterator<Item = &'a [u8]>) -> Result<Self> {
         let keys: std::result::Result<Vec<_>, _> = keys
             .into_iter()
@@ -84,12 +85,12 @@
         let mut mac = self.0[0].clone();
         mac.update(bytes);
         let full = mac.finalize().into_bytes();
-        let mut short = [0; MAC_LENGTH];
-        short.copy_from_slice(&full[..MAC_LENGTH]);
-        short
+        let mut truncated = [0; MAC_LENGTH];
+        truncated.copy_from_slice(&full[..MAC_LENGTH]);
+        truncated
     }
 
-    fn accept(&self, bytes: &[u8], mac: &[u8]) -> bool {
+    fn verify(&self, bytes: &[u8], mac: &[u8]) -> bool {
         self.0.iter().any(|key| {
             let mut expected = key.clone();
             expected.update(bytes);
@@ -106,7 +107,7 @@
     }
 }
 
-/// Writes and signs a frame.
+/// Encodes and signs a frame.
 pub fn sign_frame(keys: &Keys, envelope: &Envelope) -> Vec<u8> {
     let mut bytes = envelope.encode_to_vec();
     let mac = keys.sign(&bytes);
@@ -114,104 +115,110 @@
     bytes
 }
 
-/// Checks and reads a frame. Whether it is a replay is for [`ReplayGuard`] to say.
+/// Verifies and decodes a frame. Replays are detected by [`ReplayGuard`].
 ///
 /// # Errors
 ///
-/// [`Error::Decode`] if it is forged, meant for another instance, or malformed.
+/// [`Error::Decode`] if the frame has no valid MAC, is addressed to another instance, or
+/// is malformed.
 pub fn verify_frame(keys: &Keys, me: &id::Instance, peer: &str, frame: &[u8]) -> Result<Frame> {
     const STEP: &str = "peer frame";
     let (bytes, mac) = frame
         .split_last_chunk::<MAC_LENGTH>()
-        .ok_or_else(|| malformed(STEP, peer, "too short"))?;
-    if !keys.accept(bytes, mac) {
+        .ok_or_else(|| malformed(STEP, peer, "frame is shorter than its MAC"))?;
+    if !keys.verify(bytes, mac) {
         return Err(malformed(STEP, peer, "MAC does not match"));
     }
     let envelope =
         Envelope::decode(bytes).map_err(|error| malformed(STEP, peer, &error.to_string()))?;
-    // A frame for one instance that is sent again to another would be taken for
-    // a message to it.
+    // Without this check, a frame for one instance could be replayed to another, which
+    // would process it as its own.
     if !envelope.to.is_empty() && envelope.to != me.as_str() {
-        return Err(malformed(STEP, peer, "meant for another instance"));
+        return Err(malformed(
+            STEP,
+            peer,
+            "frame is addressed to another instance",
+        ));
     }
     Ok(Frame {
         from: envelope.from.parse()?,
         sequence: envelope.sequence,
         body: envelope
             .body
-            .ok_or_else(|| malformed(STEP, peer, "no message"))?,
+            .ok_or_else(|| malformed(STEP, peer, "frame contains no message"))?,
     })
 }
 
-/// Recognises frames that were taken before.
+/// Detects frames that were received before.
 ///
-/// A heartbeat sent again by someone in between would keep a dead instance alive
-/// for its backup, and its slices would get no home.
+/// A heartbeat replayed by an attacker would make a dead instance appear alive to its
+/// backup, and its slices would stay without a home.
 #[derive(Debug, Default)]
 pub struct ReplayGuard {
-    lives: HashMap<id::Instance, Life>,
+    windows: HashMap<id::Instance, SequenceWindow>,
 }
 
+/// Sequence numbers recently received from one incarnation of an instance.
 #[derive(Debug)]
-struct Life {
+struct SequenceWindow {
     incarnation: id::Incarnation,
     newest: u64,
-    taken: Vec<u64>,
+    received: Vec<u64>,
 }
 
 impl ReplayGuard {
-    /// Whether the frame is new. Each is new once; those of an earlier life of the
-    /// sender, or too far behind the newest, never are.
+    /// Whether the frame is accepted: each frame is accepted once; frames of an earlier
+    /// incarnation of the sender or too far behind the newest one never are.
     pub fn admit(&mut self, from: &id::Holder, sequence: u64) -> bool {
-        let life = self.lives.entry(from.instance.clone());
-        let life = life.or_insert_with(|| Life::new(from.incarnation));
-        if from.incarnation < life.incarnation {
+        let window = self.windows.entry(from.instance.clone());
+        let window = window.or_insert_with(|| SequenceWindow::new(from.incarnation));
+        if from.incarnation < window.incarnation {
             return false;
         }
-        if from.incarnation > life.incarnation {
-            *life = Life::new(from.incarnation);
+        if from.incarnation > window.incarnation {
+            *window = SequenceWindow::new(from.incarnation);
         }
-        life.admit(sequence)
+        window.admit(sequence)
     }
 }
 
-impl Life {
+impl SequenceWindow {
     fn new(incarnation: id::Incarnation) -> Self {
         Self {
             incarnation,
             newest: 0,
-            taken: vec![0; (WINDOW / 64) as usize],
+            received: vec![0; (REPLAY_WINDOW / 64) as usize],
         }
     }
 
     fn admit(&mut self, sequence: u64) -> bool {
-        if sequence + WINDOW <= self.newest {
+        if sequence + REPLAY_WINDOW <= self.newest {
             return false;
         }
         if sequence > self.newest {
-            let first = (self.newest + 1).max((sequence + 1).saturating_sub(WINDOW));
-            for passed in first..=sequence {
-                self.set(passed, false);
+            let first = (self.newest + 1).max((sequence + 1).saturating_sub(REPLAY_WINDOW));
+            for skipped in first..=sequence {
+                self.set_received(skipped, false);
             }
             self.newest = sequence;
         }
-        if self.get(sequence) {
+        if self.is_received(sequence) {
             return false;
         }
-        self.set(sequence, true);
+        self.set_received(sequence, true);
         true
     }
 
-    fn get(&self, sequence: u64) -> bool {
-        let place = sequence % WINDOW;
-        self.taken[(place / 64) as usize] & 1 << (place % 64) != 0
+    fn is_received(&self, sequence: u64) -> bool {
+        let index = sequence % REPLAY_WINDOW;
+        self.received[(index / 64) as usize] & 1 << (index % 64) != 0
     }
 
-    fn set(&mut self, sequence: u64, taken: bool) {
-        let place = sequence % WINDOW;
-        let word = &mut self.taken[(place / 64) as usize];
-        let bit = 1 << (place % 64);
-        if taken {
+    fn set_received(&mut self, sequence: u64, received: bool) {
+        let index = sequence % REPLAY_WINDOW;
+        let word = &mut self.received[(index / 64) as usize];
+        let bit = 1 << (index % 64);
+        if received {
             *word |= bit;
         } else {
             *word &= !bit;
--- a/src/steer.rs
+++ b/src/steer.rs
@@ -1,4 +1,4 @@
-//! The control task: feeds the planner and carries out what it asks for.
+//! The control task: passes events to the slice planner and executes its commands.
 
 mod heartbeat;
 
@@ -42,20 +42,23 @@
 use crate::table::Document;
 use crate::table::Row;
 
-/// Time between two looks of the planner.
-const PLAN_EVERY: Duration = Duration::from_millis(100);
+/// Time between two runs of the slice planner.
+const PLAN_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The control task's own state, beside what is shared.
+/// State of the control task that is not shared with other tasks.
 pub(crate) struct ControlTask {
     shared: Arc<Shared>,
     client: Client,
-    told: UnboundedSender<ControlEvent>,
+    events: UnboundedSender<ControlEvent>,
     registration: watch::Sender<Registration>,
     stopping: watch::Receiver<bool>,
-    loads: HashMap<id::Instance, peer::Loads>,
-    differs: BTreeMap<id::Instance, Instant>,
-    pulled: Option<Instant>,
-    changed: bool,
+    /// Server loads as last reported by each peer.
+    peer_loads: HashMap<id::Instance, peer::Loads>,
+    /// Since when each peer's configuration digest has differed.
+    differing_since: BTreeMap<id::Instance, Instant>,
+    /// Last time at which a peer was asked for its configuration.
+    last_config_request: Option<Instant>,
+    config_changed: bool,
     loads_changed: bool,
 }
 
@@ -63,20 +66,20 @@
     pub(crate) fn new(
         shared: Arc<Shared>,
         client: Client,
-        told: UnboundedSender<ControlEvent>,
+        events: UnboundedSender<ControlEvent>,
         registration: watch::Sender<Registration>,
         stopping: watch::Receiver<bool>,
     ) -> Self {
         Self {
             shared,
             client,
-            told,
+            events,
             registration,
             stopping,
-            loads: HashMap::new(),
-            differs: BTreeMap::new(),
-            pulled: None,
-            changed: true,
+            peer_loads: HashMap::new(),
+            differing_since: BTreeMap::new(),
+            last_config_request: None,
+            config_changed: true,
             loads_changed: false,
         }
     }
@@ -84,30 +87,30 @@
     /// Runs until the daemon ends.
     pub(crate) async fn run(
         mut self,
-        mut told: UnboundedReceiver<ControlEvent>,
-        mut joined: UnboundedReceiver<crate::worker::SyncedBackup>,
+        mut events: UnboundedReceiver<ControlEvent>,
+        mut synced_backups: UnboundedReceiver<crate::worker::SyncedBackup>,
     ) {
-        let mut plan = tokio::time::interval(PLAN_EVERY);
+        let mut plan = tokio::time::interval(PLAN_INTERVAL);
         plan.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut beat = tokio::time::interval(self.shared.settings.heartbeat());
-        beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut heartbeat = tokio::time::interval(self.shared.settings.heartbeat());
+        heartbeat.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                Some(told) = told.recv() => self.take(told),
-                Some(joined) = joined.recv() => {
-                    self.shared.control().backup_synced(joined.slice, &joined.backup);
+                Some(event) = events.recv() => self.handle_event(event),
+                Some(synced) = synced_backups.recv() => {
+                    self.shared.control().backup_synced(synced.slice, &synced.backup);
                 }
                 _ = plan.tick() => self.plan(),
-                _ = beat.tick() => self.beat(),
+                _ = heartbeat.tick() => self.send_heartbeats(),
             }
         }
     }
 
-    fn take(&mut self, told: ControlEvent) {
+    fn handle_event(&mut self, event: ControlEvent) {
         let now = Instant::now();
-        match told {
-            ControlEvent::Platform(prefix, update) => self.take_update(now, prefix, update),
-            ControlEvent::Heartbeat { from, message } => self.take_heartbeat(now, &from, message),
+        match event {
+            ControlEvent::Platform(prefix, update) => self.handle_update(now, prefix, update),
+            ControlEvent::Heartbeat { from, message } => self.handle_heartbeat(now, &from, message),
             ControlEvent::Yield { from, slices } => self
                 .shared
                 .control()
@@ -116,36 +119,36 @@
                 self.shared.control().write_finished(now, document, written);
                 self.plan();
             }
-            ControlEvent::PulledEntries(push) => self.take_copies(now, push),
+            ControlEvent::PulledEntries(response) => self.apply_peer_copies(now, response),
         }
     }
 
-    fn take_update(&mut self, now: Instant, prefix: &str, update: Update) {
+    fn handle_update(&mut self, now: Instant, prefix: &str, update: Update) {
         match update {
             Update::Reset {
                 entries,
                 revision,
                 at,
             } => {
-                let keep: BTreeSet<&str> = entries.iter().map(|e| e.key.as_str()).collect();
+                let listed: BTreeSet<&str> = entries.iter().map(|e| e.key.as_str()).collect();
                 let mut config = self.shared.config();
                 config.mark_synced(prefix, revision);
-                config.retain(prefix, &keep);
+                config.retain(prefix, &listed);
                 drop(config);
                 if prefix == KEY_PREFIX {
-                    self.shared.control().retain(&keep);
+                    self.shared.control().retain(&listed);
                 }
-                self.contact(prefix, at);
+                self.record_contact(prefix, at);
                 for entry in &entries {
-                    self.put(now, entry);
+                    self.put_entry(now, entry);
                 }
-                self.changed = true;
+                self.config_changed = true;
             }
             Update::Change(change) => {
                 self.shared
                     .config()
                     .mark_synced(prefix, change.mod_revision());
-                self.take_change(now, &change);
+                self.handle_change(now, &change);
             }
             Update::Silent { .. } => {
                 if prefix == KEY_PREFIX {
@@ -153,53 +156,53 @@
                     self.shared.control().lose_contact();
                 }
             }
-            Update::Contact { at } => self.contact(prefix, at),
+            Update::Contact { at } => self.record_contact(prefix, at),
         }
     }
 
-    fn take_change(&mut self, now: Instant, change: &Change) {
+    fn handle_change(&mut self, now: Instant, change: &Change) {
         match change {
-            Change::Put(entry) => self.put(now, entry),
+            Change::Put(entry) => self.put_entry(now, entry),
             Change::Delete { key, .. } => {
                 self.shared.config().remove(key);
                 self.shared.control().remove(key);
-                self.changed = true;
+                self.config_changed = true;
             }
         }
     }
 
-    fn take_copies(&mut self, now: Instant, push: peer::ConfigResponse) {
-        for version in push.deleted {
+    fn apply_peer_copies(&mut self, now: Instant, response: peer::ConfigResponse) {
+        for version in response.deleted {
             let mut config = self.shared.config();
-            self.changed |= config.remove_copy(&version.key, version.modified);
+            self.config_changed |= config.remove_copy(&version.key, version.modified);
         }
-        for entry in push.entries {
+        for entry in response.entries {
             let entry = unpack(entry);
-            let newer = self.shared.config().put_copy(&entry);
-            if newer {
-                self.apply(now, &entry);
+            let is_newer = self.shared.config().put_copy(&entry);
+            if is_newer {
+                self.apply_entry(now, &entry);
             }
         }
     }
 
-    fn contact(&self, prefix: &str, at: Instant) {
+    fn record_contact(&self, prefix: &str, at: Instant) {
         if prefix == KEY_PREFIX {
             self.shared.control().contact(at);
         }
     }
 
-    fn put(&mut self, now: Instant, entry: &Entry) {
-        let newer = self.shared.config().put(entry);
-        if newer {
-            self.apply(now, entry);
+    fn put_entry(&mut self, now: Instant, entry: &Entry) {
+        let is_newer = self.shared.config().put(entry);
+        if is_newer {
+            self.apply_entry(now, entry);
         }
     }
 
-    fn apply(&mut self, now: Instant, entry: &Entry) {
+    fn apply_entry(&mut self, now: Instant, entry: &Entry) {
         if entry.key.starts_with(SLICES_PREFIX) || entry.key.starts_with(INSTANCES) {
             self.shared.control().apply_entry(now, entry);
         } else {
-            self.changed = true;
+            self.config_changed = true;
         }
     }
 
@@ -207,39 +210,39 @@
         let now = Instant::now();
         let drained = self.shared.config().is_drained(&self.shared.me.instance);
         let leaving = drained || *self.stopping.borrow();
-        let was = self.shared.control().is_leaving();
+        let was_leaving = self.shared.control().is_leaving();
         self.shared.control().set_leaving(leaving);
-        if was != leaving {
+        if was_leaving != leaving {
             info!(self.shared.log, "leaving changed"; "leaving" => leaving);
             self.registration
                 .send_modify(|registration| registration.leaving = leaving);
-            self.beat();
+            self.send_heartbeats();
         }
-        if self.changed {
-            self.changed = false;
-            self.spread_config();
+        if self.config_changed {
+            self.config_changed = false;
+            self.publish_config();
         }
-        // Once a look and not once a heartbeat: adding up goes over all peers, and
-        // each of them sends heartbeats.
+        // Done once per run of the planner and not per heartbeat: the sum is computed over
+        // all peers, and each of them sends heartbeats.
         if std::mem::take(&mut self.loads_changed) {
-            self.spread_loads(now);
+            self.update_peer_loads(now);
         }
         let commands = self.shared.control().tick(now);
         for command in commands {
-            self.carry_out(command);
+            self.execute(command);
         }
-        self.judge_ready(leaving);
+        self.update_readiness(leaving);
     }
 
-    fn judge_ready(&self, leaving: bool) {
+    fn update_readiness(&self, leaving: bool) {
         let listening = self.shared.outputs.listeners.read();
         let listening = listening.is_ok_and(|known| !known.is_empty());
         let ready = listening && !leaving;
         self.shared.ready.store(ready, Ordering::Relaxed);
     }
 
-    /// Gives a new configuration to the workers and binds new services.
-    fn spread_config(&mut self) {
+    /// Sends the new configuration to the workers and binds the listeners of new services.
+    fn publish_config(&mut self) {
         let config = self.shared.config();
         let snapshot = Arc::new(config.snapshot());
         let addresses = config.addresses();
@@ -276,11 +279,11 @@
         }
         let local = self.shared.settings.listeners.get(&service);
         let address = local.copied().unwrap_or(public);
-        let bound = edge::bind(address.0).and_then(|socket| {
+        let listener = edge::bind(address.0).and_then(|socket| {
             edge::listen(Arc::clone(&self.shared), service.clone(), &socket)?;
             Ok(socket)
         });
-        match bound {
+        match listener {
             Ok(socket) => {
                 if let Ok(mut known) = outputs.listeners.write() {
                     known.insert(service.clone(), Arc::new(socket));
@@ -288,21 +291,21 @@
                 info!(self.shared.log, "listening"; "service" => %service, "address" => %address);
             }
             Err(error) => {
-                // Tried again at the next look.
-                self.changed = true;
+                // Retried at the next run of the planner.
+                self.config_changed = true;
                 warn!(self.shared.log, "cannot listen"; "service" => %service, "error" => %error);
             }
         }
     }
 
-    fn carry_out(&self, command: Command) {
+    fn execute(&self, command: Command) {
         let pool = &self.shared.pool;
         match command {
             Command::Write {
                 document,
                 expected,
                 rows,
-            } => self.write(document, expected, rows),
+            } => self.write_document(document, expected, rows),
             Command::AddBackup { slices, backup } => {
                 for slice in slices {
                     let event = Event::AddBackup {
@@ -330,13 +333,13 @@
         }
     }
 
-    fn write(&self, document: u32, expected: Option<u64>, rows: Vec<Row>) {
+    fn write_document(&self, document: u32, expected: Option<u64>, rows: Vec<Row>) {
         let value = Document {
             write_id: format!("{}-{:016x}", self.shared.me, rand::random::<u64>()),
             rows,
         };
         let client = self.client.clone();
-        let told = self.told.clone();
+        let events = self.events.clone();
         let log = self.shared.log.clone();
         self.shared.spawn(async move {
             let key = format!("{SLICES_PREFIX}{document}");
@@ -349,7 +352,7 @@
                 Ok(ResolvedWrite::Unknown) => WriteResult::Unknown,
                 Err(_) => WriteResult::Lost(None),
             };
-            let _ = told.send(ControlEvent::Written { document, written });
+            let _ = events.send(ControlEvent::Written { document, written });
         });
     }
 }
@@ -371,26 +374,26 @@
     }
 }
 
-/// Prefixes of the platform that are followed.
+/// Key prefixes of the platform that are watched.
 pub(crate) const WATCHED_PREFIXES: [&str; 2] = [KEY_PREFIX, SERVERS];
 
-/// Passes on what a follower tells.
+/// Watches a prefix and forwards its updates to the control task.
 pub(crate) async fn follow(
     client: Client,
     prefix: &'static str,
-    told: UnboundedSender<ControlEvent>,
+    events: UnboundedSender<ControlEvent>,
 ) {
     const QUEUE: usize = 1_024;
     let (sender, mut receiver) = tokio::sync::mpsc::channel(QUEUE);
-    let pass_on = async {
+    let forward = async {
         while let Some(update) = receiver.recv().await {
-            if told.send(ControlEvent::Platform(prefix, update)).is_err() {
+            if events.send(ControlEvent::Platform(prefix, update)).is_err() {
                 return;
             }
         }
     };
     tokio::select! {
         () = platform::follow(client, prefix.to_owned(), sender) => {}
-        () = pass_on => {}
+        () = forward => {}
     }
 }
--- a/src/steer/heartbeat.rs
+++ b/src/steer/heartbeat.rs
@@ -1,5 +1,5 @@
-//! Heartbeats between instances: what they tell of servers' loads, and when a
-//! peer's configuration differs.
+//! Heartbeats between instances: the server loads that they report, and requests for the
+//! configuration of peers whose digest differs.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -19,65 +19,76 @@
 use crate::peer::PeerMessage;
 use crate::steer::ControlTask;
 
-/// How long a peer's copy may differ before it is asked for what is newer. A
-/// change that the platform is just telling everyone needs no copy.
-const DIFFER_FOR: Duration = Duration::from_secs(2);
+/// How long a peer's configuration must differ before newer entries are requested from
+/// it. A change that the platform is still distributing needs no copy from a peer.
+const CONFIG_REQUEST_DELAY: Duration = Duration::from_secs(2);
 
-/// Servers in one heartbeat.
+/// Maximum number of servers whose loads one heartbeat reports.
 const MAX_LOADS: usize = 32;
 
 impl ControlTask {
-    pub(super) fn take_heartbeat(
+    pub(super) fn handle_heartbeat(
         &mut self,
         now: Instant,
         from: &id::Holder,
         message: peer::Heartbeat,
     ) {
-        let new = self.shared.control().heartbeat(now, from, &message);
-        if new {
-            info!(self.shared.log, "peer is heard"; "peer" => %from);
-            // An instance that starts during an outage of the platform knows only
-            // its seeds: the answer tells it who else is there.
+        let is_new = self.shared.control().heartbeat(now, from, &message);
+        if is_new {
+            info!(self.shared.log, "peer discovered"; "peer" => %from);
+            // An instance that starts during an outage of the platform knows only its
+            // seeds; the reply lets it discover this instance.
             if let Ok(address) = message.address.parse::<id::Endpoint>() {
-                let heartbeat = self.heartbeat();
+                let heartbeat = self.build_heartbeat();
                 self.shared
                     .link
                     .send_to(address.0, from.instance.as_str(), heartbeat);
             }
         }
-        self.compare(now, from, &message);
+        self.compare_config(now, from, &message);
         if !message.loads_omitted {
             let loads = message.loads.unwrap_or_default();
-            self.loads.insert(from.instance.clone(), loads);
+            self.peer_loads.insert(from.instance.clone(), loads);
             self.loads_changed = true;
         }
     }
 
-    /// Asks a peer for copies if it has had something else for a while.
-    fn compare(&mut self, now: Instant, from: &id::Holder, message: &peer::Heartbeat) {
+    /// Requests newer entries from a peer whose configuration has differed for a while.
+    fn compare_config(&mut self, now: Instant, from: &id::Holder, message: &peer::Heartbeat) {
         if message.digest == self.shared.config().digest() {
-            self.differs.remove(&from.instance);
+            self.differing_since.remove(&from.instance);
             return;
         }
-        let since = *self.differs.entry(from.instance.clone()).or_insert(now);
+        let since = *self
+            .differing_since
+            .entry(from.instance.clone())
+            .or_insert(now);
         let control = self.shared.control();
-        let (silent, never) = (control.is_silent(), control.last_contact().is_none());
+        let (is_platform_silent, had_no_contact) = (
+            control.is_platform_silent(),
+            control.last_contact().is_none(),
+        );
         drop(control);
-        // With the platform in reach a peer has nothing to add: one that is cut off
-        // from it would bring back what was removed meanwhile.
-        let recent = self.pulled.is_some_and(|pulled| now < pulled + DIFFER_FOR);
-        if !silent || recent || (!never && now < since + DIFFER_FOR) {
+        // While the platform is reachable, peers are not asked: a peer that cannot reach
+        // the platform could reintroduce entries that were removed meanwhile.
+        let was_requested_recently = self
+            .last_config_request
+            .is_some_and(|requested| now < requested + CONFIG_REQUEST_DELAY);
+        if !is_platform_silent
+            || was_requested_recently
+            || (!had_no_contact && now < since + CONFIG_REQUEST_DELAY)
+        {
             return;
         }
         let Ok(address) = message.address.parse::<id::Endpoint>() else {
             return;
         };
-        self.pulled = Some(now);
-        self.pull(address);
+        self.last_config_request = Some(now);
+        self.request_config(address);
     }
 
-    fn pull(&self, address: id::Endpoint) {
-        let have = self
+    fn request_config(&self, address: id::Endpoint) {
+        let known_versions = self
             .shared
             .config()
             .shared()
@@ -87,28 +98,23 @@
             })
             .collect();
         let link = Arc::clone(&self.shared.link);
-        let told = self.told.clone();
+        let events = self.events.clone();
         let log = self.shared.log.clone();
         self.shared.spawn(async move {
             match link
-                .pull(
-                    address.0,
-                    peer::ConfigRequest {
-                        known_versions: have,
-                    },
-                )
+                .request_config(address.0, peer::ConfigRequest { known_versions })
                 .await
             {
-                Ok(push) => {
-                    let _ = told.send(ControlEvent::PulledEntries(push));
+                Ok(response) => {
+                    let _ = events.send(ControlEvent::PulledEntries(response));
                 }
-                Err(error) => debug!(log, "no copies"; "error" => %error),
+                Err(error) => debug!(log, "peer did not send its configuration"; "error" => %error),
             }
         });
     }
 
-    /// Adds up what the peers have at each server.
-    pub(super) fn spread_loads(&self, now: Instant) {
+    /// Updates each server with the sum of the loads that the live peers have there.
+    pub(super) fn update_peer_loads(&self, now: Instant) {
         let control = self.shared.control();
         let live: BTreeSet<id::Instance> = control
             .peers()
@@ -118,26 +124,32 @@
             .collect();
         drop(control);
         let mut sums: HashMap<u32, (u32, u32)> = HashMap::new();
-        let heard = self.loads.iter().filter(|(peer, _)| live.contains(*peer));
-        for load in heard.flat_map(|(_, loads)| loads.iter()) {
+        let live_loads = self
+            .peer_loads
+            .iter()
+            .filter(|(peer, _)| live.contains(*peer));
+        for load in live_loads.flat_map(|(_, loads)| loads.iter()) {
             let sum = sums.entry(load.server).or_default();
             sum.0 += load.outstanding;
             sum.1 += load.feeds;
         }
         for server in self.shared.config().servers() {
-            let sum = sums.get(&mark(&server.id)).copied().unwrap_or_default();
+            let sum = sums
+                .get(&server_hash(&server.id))
+                .copied()
+                .unwrap_or_default();
             let mut state = server.state();
             (state.peer_outstanding, state.peer_feeds) = sum;
         }
     }
 
-    fn heartbeat(&self) -> PeerMessage {
+    fn build_heartbeat(&self) -> PeerMessage {
         let config = self.shared.config();
         let loads = config.servers().filter_map(|server| {
             let state = server.state();
             let used = state.outstanding > 0 || state.feeds > 0;
             used.then(|| peer::Load {
-                server: mark(&server.id),
+                server: server_hash(&server.id),
                 outstanding: state.outstanding,
                 feeds: state.feeds,
             })
@@ -152,8 +164,8 @@
         })
     }
 
-    pub(super) fn beat(&mut self) {
-        let heartbeat = self.heartbeat();
+    pub(super) fn send_heartbeats(&mut self) {
+        let heartbeat = self.build_heartbeat();
         let peers = self.shared.control().peers();
         let link = &self.shared.link;
         for (member, _) in &peers {
@@ -169,8 +181,8 @@
     }
 }
 
-/// Short mark of a server's name in heartbeats.
-fn mark(server: &id::Server) -> u32 {
+/// Hash that identifies a server in heartbeats.
+fn server_hash(server: &id::Server) -> u32 {
     let mut hasher = SipHasher13::new();
     server.as_str().hash(&mut hasher);
     hasher.finish() as u32
