--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The byte budget of control traffic between instances.
+//! Byte budget of control traffic between instances.
 
 mod utils;
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn what_goes_out_in_any_case_makes_no_debt() {
+fn essential_messages_cause_no_debt() {
     let start = Instant::now();
     let mut bucket = TokenBucket::new(Rate(100), start);
     bucket.take_available(1_000, start);
@@ -39,8 +39,9 @@
     assert!(bucket.take_many(100, start + SECOND));
 }
 
-/// A copy larger than the bucket goes out on credit. Until it is paid off nothing
-/// else does, so that the mean stays at the rate; the debt ends all the same.
+/// A configuration copy larger than the bucket is sent on credit. No further copy is
+/// sent until the debt is paid off, so that the mean stays at the rate. The debt is
+/// limited, so that a very large copy does not block a peer forever.
 #[test]
 fn a_debt_is_paid_off_before_the_next() {
     let start = Instant::now();
@@ -53,7 +54,7 @@
     assert!(bucket.take_on_credit(1, start + 70 * SECOND));
 }
 
-/// Sum of a counter's samples whose labels hold this text.
+/// Sum of a counter's samples whose labels contain this text.
 fn count(metrics: &str, name: &str, label: &str) -> u64 {
     let samples = metrics
         .lines()
@@ -71,11 +72,11 @@
     sum
 }
 
-/// The budget is too small for the loads in heartbeats. Only these are left out:
-/// no peer is suspected, feeds and bookings go on, and an instance that starts
-/// while the platform is away still gets its copy of the configuration.
+/// The budget is too small for the loads in heartbeats. Only the loads are omitted: no
+/// peer is suspected, feeds and bookings continue, and an instance that starts during an
+/// outage of the platform still gets a copy of the configuration from its peers.
 #[tokio::test(flavor = "multi_thread")]
-async fn loads_give_way_first() {
+async fn loads_are_omitted_first() {
     let mut cluster = Cluster::start(Plan {
         services: vec![("dispatch", 6)],
         settings: json!({"peer_bytes_per_second": 256, "heartbeat_ms": 200}),
@@ -88,7 +89,7 @@
         feeds.push(driver.observe("/route", DEADLINE).await.expect("a feed"));
     }
     cluster
-        .until("loads are left out", async || {
+        .until("loads are omitted", async || {
             withheld(&cluster.instances).await > 0
         })
         .await;
@@ -111,18 +112,18 @@
     }
     cluster.platform.down(true);
     let known = cluster.instances[0].status().await.expect("a status");
-    let place = cluster.add("bole").await;
+    let index = cluster.add("bole").await;
     cluster
         .until("the new instance has the configuration", async || {
-            let status = cluster.instances[place].status().await;
+            let status = cluster.instances[index].status().await;
             status.is_some_and(|status| status.revisions == known.revisions)
         })
         .await;
 }
 
-/// With room for all, nothing is left out, and what is said stays in the budget.
+/// With the default budget nothing is omitted, and the traffic stays within the budget.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_default_budget_holds_all_and_is_kept() {
+async fn the_default_budget_suffices_and_is_not_exceeded() {
     const BUDGET: u64 = 2_048;
     const CONTROL: [&str; 4] = ["heartbeat", "yield", "pull", "push"];
     let cluster = Cluster::start(Plan {
@@ -147,13 +148,13 @@
     tokio::time::sleep(3 * SECOND).await;
     let bytes = sent().await - before;
     let peers = cluster.instances.len() as u64 - 1;
-    // One bucket may have been full at the start.
+    // A bucket may have been full at the start, which allows one more second's worth.
     let seconds = start.elapsed().as_secs() + 2;
     assert!(bytes > 0);
     assert!(bytes <= peers * BUDGET * seconds, "{bytes} bytes");
-    // A copy of the configuration at the start may still be paid off.
+    // The debt of a configuration copy at the start may not be paid off yet.
     cluster
-        .until("nothing is left out", async || {
+        .until("nothing is omitted", async || {
             let before = withheld(&cluster.instances).await;
             tokio::time::sleep(2 * SECOND).await;
             withheld(&cluster.instances).await == before
--- a/tests/level.rs
+++ b/tests/level.rs
@@ -1,4 +1,4 @@
-//! Evening out the slices between instances.
+//! Balancing of slices between instances.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,13 +15,13 @@
 use godwitreel::table::Row;
 use tokio::time::Instant;
 
-const MANY: usize = 64;
+const SLICE_COUNT: usize = 64;
 
 fn holder(text: &str) -> id::Holder {
     text.parse().expect("a holder")
 }
 
-/// The home of so many slices, in zone bole, with kality-1 as their backup.
+/// Planner of bole-1, home of `slices` slices in zone bole with kality-1 as backup.
 fn loaded(now: Instant, slices: usize) -> SlicePlanner {
     let row = Row {
         epoch: id::Epoch(1),
@@ -56,7 +56,7 @@
     control
 }
 
-fn hear(control: &mut SlicePlanner, now: Instant, name: &str, zone: &str) {
+fn receive_heartbeat(control: &mut SlicePlanner, now: Instant, name: &str, zone: &str) {
     let heartbeat = peer::Heartbeat {
         zone: zone.to_owned(),
         address: "127.0.0.1:2".to_owned(),
@@ -65,14 +65,14 @@
     control.heartbeat(now, &holder(name), &heartbeat);
 }
 
-/// Rows that would be written over the next seconds with these peers heard.
-fn written(control: &mut SlicePlanner, mut now: Instant, peers: &[(&str, &str)]) -> Vec<Row> {
+/// Rows written over the next ten seconds, with a heartbeat of these peers each second.
+fn rows_written(control: &mut SlicePlanner, mut now: Instant, peers: &[(&str, &str)]) -> Vec<Row> {
     let mut written = Vec::new();
     for _ in 0..10 {
         now += Duration::from_secs(1);
         control.contact(now);
         for (name, zone) in peers {
-            hear(control, now, name, zone);
+            receive_heartbeat(control, now, name, zone);
         }
         for command in control.tick(now) {
             if let Command::Write { rows, .. } = command {
@@ -83,40 +83,40 @@
     written
 }
 
-// A zone is cut off while its loaded instance hands slices to a new one beside it.
-// Handing over begins by making the new one the backup, so for a moment the zone
-// holds both home and backup. The callers of the other zones then get "unknown"
-// until an outsider may take the slices, half an hour later. So slices move between
-// zones only, and reach the new instance by way of the others.
+// Guards against a move within a zone, which starts by making the new instance in that
+// zone the backup. If a network partition then isolates the zone, home and backup are
+// unreachable together, and callers in the other zones get "unknown" until another
+// instance may take the slices over without records, half an hour later. Slices therefore
+// move between zones only and reach the new instance through the other zones.
 #[test]
 fn slices_never_move_within_a_zone_when_there_is_another() {
     let now = Instant::now();
     let peers = [("bole-2#1", "bole"), ("kality-1#1", "kality")];
-    let rows = written(&mut loaded(now, MANY), now, &peers);
+    let rows = rows_written(&mut loaded(now, SLICE_COUNT), now, &peers);
     assert_eq!(rows, []);
     let peers = [("bole-2#1", "bole"), ("merkato-1#1", "merkato")];
-    let rows = written(&mut loaded(now, MANY), now, &peers);
+    let rows = rows_written(&mut loaded(now, SLICE_COUNT), now, &peers);
     assert!(!rows.is_empty());
 }
 
-// The fleet starts and an instance hears only the one beside it at first, which
-// becomes the backup of its slices. If that stayed so, a cut of the zone would take
-// home and backup together although other zones have instances.
+// At the start of the fleet, the first known peer of an instance may be in its own zone
+// and becomes the backup of its slices. If it stayed the backup, a partition of the zone
+// would isolate home and backup together although other zones have instances.
 #[test]
-fn a_backup_in_the_same_zone_gives_way_to_one_in_another() {
+fn a_backup_in_the_same_zone_is_replaced_by_one_in_another() {
     let now = Instant::now();
     let mut control = loaded(now, 1);
     let peers = [("kality-1#1", "bole"), ("merkato-1#1", "merkato")];
-    let rows = written(&mut control, now, &peers);
+    let rows = rows_written(&mut control, now, &peers);
     assert!(rows.iter().any(|row| row.backup.is_none()), "{rows:?}");
     let mut control = loaded(now, 1);
-    let alone = written(&mut control, now, &[("kality-1#1", "bole")]);
-    assert_eq!(alone, [], "there is no other zone");
+    let rows = rows_written(&mut control, now, &[("kality-1#1", "bole")]);
+    assert_eq!(rows, [], "there is no other zone");
 }
 
-// A new instance stands beside the loaded one, and the other zone has just its
-// share. Nothing may move within the zone, so the surplus goes to the other zone,
-// which passes it on; else the new instance would stay without work for ever.
+// A new instance is in the zone of the loaded one, and the other zone has exactly its
+// share. Slices don't move within the zone, so the surplus must go to the other zone,
+// which moves it on. Otherwise the new instance would never get slices.
 #[test]
 fn a_new_instance_gets_slices_by_way_of_another_zone() {
     let now = Instant::now();
@@ -130,18 +130,18 @@
     rows.extend(vec![row("kality-1#1", "bole-1#1"); 16]);
     let mut control = with_rows(now, rows);
     control.contact(now);
-    hear(&mut control, now, "kality-1#1", "kality");
-    hear(&mut control, now, "bole-2#1", "bole");
+    receive_heartbeat(&mut control, now, "kality-1#1", "kality");
+    receive_heartbeat(&mut control, now, "bole-2#1", "bole");
     let commands = control.tick(now);
-    let asked = commands
+    let has_request = commands
         .iter()
         .any(|command| matches!(command, Command::RequestTakeover { to, .. } if *to == holder("kality-1#1")));
-    assert!(asked, "{commands:?}");
+    assert!(has_request, "{commands:?}");
 }
 
-/// Carries out what a home wants, as a store and backups that work at once do; gives
-/// back the rows written.
-fn carry_out(control: &mut SlicePlanner, now: Instant, version: &mut u64) -> Vec<Row> {
+/// Executes a home's commands like a platform and backups that respond at once; returns
+/// the rows written.
+fn execute(control: &mut SlicePlanner, now: Instant, version: &mut u64) -> Vec<Row> {
     let mut written = Vec::new();
     for command in control.tick(now) {
         match command {
@@ -161,47 +161,52 @@
     written
 }
 
-// A zone is cut off and its loaded instance hears only the one beside it, to which it
-// begins to move slices. The cut ends. That one stayed the target of the move, was
-// made backup, was dropped as too near, and was made backup again: fifteen rows a
-// second for forty seconds. Whoever missed a row between two of them began the window
-// of lost records anew, and callers got "unknown" for as long again (`unknown_blank`,
-// 41 s after everything was well).
+// During a partition, a loaded instance knows only a peer in its own zone and starts to
+// move slices to it. After the partition the peer stayed the target of the moves: it was
+// made backup, removed because of its zone, and made backup again, fifteen rows a second
+// for forty seconds. An instance that missed one of these rows restarted the lost-records
+// window, and callers got "unknown" (`unknown_blank`) up to 41 s after the recovery.
 #[test]
 fn a_move_within_the_zone_ends_when_another_zone_is_back() {
     let mut now = Instant::now();
-    let mut control = loaded(now, MANY);
+    let mut control = loaded(now, SLICE_COUNT);
     let mut version = 1;
     let mut step = |control: &mut SlicePlanner, peers: &[(&str, &str)]| {
         now += Duration::from_millis(100);
         control.contact(now);
         for (name, zone) in peers {
-            hear(control, now, name, zone);
+            receive_heartbeat(control, now, name, zone);
         }
-        carry_out(control, now, &mut version)
+        execute(control, now, &mut version)
     };
     for _ in 0..100 {
         step(&mut control, &[("bole-2#1", "bole")]);
     }
     let peers = [("bole-2#1", "bole"), ("kality-1#1", "kality")];
     let rows: Vec<Row> = (0..100).flat_map(|_| step(&mut control, &peers)).collect();
-    let near = holder("bole-2#1");
-    let again: Vec<&Row> = rows
+    let local_peer = holder("bole-2#1");
+    let with_local_backup: Vec<&Row> = rows
         .iter()
-        .filter(|row| row.is_home(&holder("bole-1#1")) && row.is_backup(&near))
+        .filter(|row| row.is_home(&holder("bole-1#1")) && row.is_backup(&local_peer))
         .collect();
-    // Each slice is joined where it was going when the cut ended, at most.
-    assert!(again.len() <= MANY, "{} of {}", again.len(), rows.len());
+    // Each slice may get its former target as backup once at most.
+    assert!(
+        with_local_backup.len() <= SLICE_COUNT,
+        "{} of {}",
+        with_local_backup.len(),
+        rows.len()
+    );
     let by_epoch: BTreeMap<u64, &Row> = rows.iter().map(|row| (row.epoch.0, row)).collect();
     let last = by_epoch.values().last().expect("rows were written");
     assert!(last.is_backup(&holder("kality-1#1")), "{last:?}");
 }
 
-// The only instance of another zone went away amid a copy, is passed over for 10 s and
-// is back before that. The one beside the home, which is backup meanwhile, was dropped as
-// too near, taken again as there was no other to take, and so on until the 10 s were over.
+// The only instance of another zone disappears during a copy, is in cooldown for 10 s and
+// returns earlier. The instance in the home's zone, which is backup meanwhile, was removed
+// because of its zone and chosen again for lack of another one, repeatedly until the
+// cooldown ended.
 #[test]
-fn a_near_backup_stays_while_the_far_one_is_passed_over() {
+fn a_local_backup_stays_while_the_remote_one_is_in_cooldown() {
     let mut now = Instant::now();
     let row = Row {
         epoch: id::Epoch(1),
@@ -211,21 +216,21 @@
     };
     let mut control = with_rows(now, vec![row]);
     let mut version = 1;
-    let far = ("kality-1#1", "kality");
-    hear(&mut control, now, far.0, far.1);
+    let remote = ("kality-1#1", "kality");
+    receive_heartbeat(&mut control, now, remote.0, remote.1);
     control.contact(now);
-    // The copy to it begins and does not end.
+    // The copy to the remote backup starts and does not complete.
     control.tick(now);
     let mut rows = Vec::new();
     for tenths in 0..100 {
         now += Duration::from_millis(100);
         control.contact(now);
-        hear(&mut control, now, "bole-2#1", "bole");
+        receive_heartbeat(&mut control, now, "bole-2#1", "bole");
         if tenths > 40 {
-            hear(&mut control, now, far.0, far.1);
+            receive_heartbeat(&mut control, now, remote.0, remote.1);
         }
-        rows.extend(carry_out(&mut control, now, &mut version));
+        rows.extend(execute(&mut control, now, &mut version));
     }
-    // It is named once, and makes way once for the other.
+    // The local backup is named once and replaced once by the remote one.
     assert!(rows.len() <= 2, "{} rows", rows.len());
 }
--- a/tests/moves.rs
+++ b/tests/moves.rs
@@ -1,4 +1,4 @@
-//! Moves of a slice between instances, as one worker sees them.
+//! Moves of a slice between instances, at the engine of one worker.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -32,7 +32,7 @@
     text.parse().expect("a holder")
 }
 
-/// An instance that knows one service with one server, and both instances.
+/// Engine of an instance that knows one service with one server, and both instances.
 fn engine(me: &str, now: Instant) -> Engine {
     let mut engine = Engine::new(Settings {
         me: holder(me),
@@ -69,13 +69,13 @@
     engine
 }
 
-fn table(epoch: u64, home: &str, backup: Option<&str>, blank: bool) -> Event {
+fn table(epoch: u64, home: &str, backup: Option<&str>, records_lost: bool) -> Event {
     let mut table = Table::new(1);
     let row = Row {
         epoch: id::Epoch(epoch),
         home: Some(holder(home)),
         backup: backup.map(holder),
-        records_lost: blank,
+        records_lost,
     };
     table.update_if_newer(SLICE, row);
     Event::Table(Arc::new(table))
@@ -96,7 +96,7 @@
     }
 }
 
-fn ask(number: u128) -> Event {
+fn booking_event(number: u128) -> Event {
     Event::Request {
         request: booking(number),
         hops: 0,
@@ -116,17 +116,17 @@
     actions.iter().filter_map(outcome).collect()
 }
 
-fn body(action: Action) -> Option<PeerMessage> {
+fn peer_message(action: Action) -> Option<PeerMessage> {
     match action {
         Action::Peer { body, .. } => Some(body),
         _ => None,
     }
 }
 
-// A caller books just while its slice is handed over in a planned stop. The home
-// has claimed the booking at the backup and waits for the acknowledgement when the
-// backup becomes home. Nobody ran it, so the caller must not hear "unknown": the
-// old home gives the claim up and the new one runs the booking.
+// A caller books while its slice is handed over in a planned stop. The backup becomes
+// home while the old home waits for the acknowledgement of its claim. No server has run
+// the booking, so the caller must not get "unknown": the old home releases the claim and
+// the new home runs the booking.
 #[test]
 fn a_claim_under_way_during_a_planned_move_is_run_by_the_new_home() {
     let now = Instant::now();
@@ -134,18 +134,18 @@
     let mut new = engine("b#1", now);
     old.handle(now, table(1, "a#1", Some("b#1"), false));
     new.handle(now, table(1, "a#1", Some("b#1"), false));
-    let claim = old.handle(now, ask(7));
-    let claim = claim.into_iter().find_map(body);
+    let claim = old.handle(now, booking_event(7));
+    let claim = claim.into_iter().find_map(peer_message);
     let event = Event::Peer {
         from: holder("a#1"),
         body: claim.expect("a claim"),
     };
     new.handle(now, event);
-    let moved = old.handle(now, table(2, "b#1", None, false));
-    assert_eq!(forwards(&moved), 0);
-    let bodies: Vec<PeerMessage> = moved.into_iter().filter_map(body).collect();
-    let [PeerMessage::Relay(relay)] = bodies.as_slice() else {
-        panic!("{bodies:?}");
+    let after_move = old.handle(now, table(2, "b#1", None, false));
+    assert_eq!(forwards(&after_move), 0);
+    let messages: Vec<PeerMessage> = after_move.into_iter().filter_map(peer_message).collect();
+    let [PeerMessage::Relay(relay)] = messages.as_slice() else {
+        panic!("{messages:?}");
     };
     assert!(relay.released);
     let event = Event::ReleasedRequest {
@@ -153,10 +153,14 @@
         request: booking(7),
         hops: relay.hops,
     };
-    // The new home's table is late: the request waits instead of going back.
+    // The new home's table is not up to date yet: the request waits instead of being
+    // relayed back.
     let early = new.handle(now, event);
     assert_eq!(
-        (forwards(&early), early.into_iter().filter_map(body).count()),
+        (
+            forwards(&early),
+            early.into_iter().filter_map(peer_message).count()
+        ),
         (0, 0)
     );
     let run = new.handle(now, table(2, "b#1", None, false));
@@ -164,9 +168,10 @@
     assert_eq!(outcomes(&run), []);
 }
 
-// A booking is passed to the new home of its slice, whose table is late and names
-// the sender. The two pass it to and fro until its hops are used up. Nothing would
-// repeat it if it was sent once, so it waits and runs when the table has come.
+// A booking is relayed to the new home of its slice, whose outdated table still names the
+// sender as home. The two relay it back and forth until its hops are used up. Nothing
+// repeats a booking that the caller sent once, so it must wait and run when the new table
+// has arrived.
 #[test]
 fn a_request_between_two_late_tables_waits_for_the_next() {
     let now = Instant::now();
@@ -182,28 +187,29 @@
     assert_eq!(forwards(&promoted), 1);
 }
 
-// A home is cut off, loses its slice, and takes it back without the records of
-// the homes between. Its worker sees only the last row. A request that one of them
-// ran is new to it, so it must say "unknown" and not run it again.
+// A home is partitioned, loses its slice, and takes it over again without the records of
+// the homes in between. Its worker receives only the last row. It has no record of a
+// request that ran at one of these homes, so it must answer "unknown" and not run the
+// request again.
 #[test]
 fn taking_a_slice_back_without_records_is_noticed_across_skipped_rows() {
     let now = Instant::now();
     let mut engine = engine("a#1", now);
     engine.handle(now, table(1, "a#1", None, false));
     engine.handle(now, table(3, "a#1", None, true));
-    let actions = engine.handle(now, ask(7));
+    let actions = engine.handle(now, booking_event(7));
     assert_eq!(forwards(&actions), 0);
     assert_eq!(outcomes(&actions), [Outcome::Unknown]);
 }
 
-// A datagram comes in the moment after an instance has bound its address, before
-// its worker has the slice table. Looking up the slice's row would end the worker,
-// and with it half of the instance's flows, without a word.
+// A datagram arrives right after an instance has bound its address, before its worker has
+// the slice table. Looking up the slice's row in the empty table would end the worker, and
+// half of the instance's flows would be lost without any log line.
 #[test]
 fn a_datagram_before_the_first_table_does_no_harm() {
     let now = Instant::now();
     let mut engine = engine("a#1", now);
-    assert_eq!(forwards(&engine.handle(now, ask(7))), 0);
+    assert_eq!(forwards(&engine.handle(now, booking_event(7))), 0);
     let receipt = Event::Receipt {
         flow: booking(7).flow,
         message: 1,
@@ -213,5 +219,5 @@
     };
     assert_eq!(engine.handle(now, receipt).len(), 0);
     engine.handle(now, table(1, "a#1", None, false));
-    assert_eq!(forwards(&engine.handle(now, ask(8))), 1);
+    assert_eq!(forwards(&engine.handle(now, booking_event(8))), 1);
 }
