--- a/src/control/plan.rs
+++ b/src/control/plan.rs
@@ -536,7 +536,7 @@
     /// A move that starts during a network partition has its target in the same zone as
     /// the home. Once the other zones are reachable again, such a target is not acceptable
     /// as backup: as long as it stayed the target, it would be copied to, named in the
-    /// table and removed again, many times a second.
+    /// table and removed again, about fifteen times a second.
     fn cancel_obsolete_moves(&mut self, counts: &SliceCounts) {
         let mut targets = std::mem::take(&mut self.migration_targets);
         targets.retain(|slice, target| {
@@ -572,7 +572,7 @@
             row.is_home(&self.settings.me) && !self.migration_targets.contains_key(slice)
         };
         let mut slices: Vec<_> = self.table.rows().filter(is_movable).collect();
-        // Slices whose backup is the target already need no change of backup first.
+        // Slices that already have the target as backup need no change of backup first.
         slices.sort_by_key(|(_, row)| row.backup.as_ref() != Some(target));
         let slices: Vec<id::Slice> = slices
             .into_iter()
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -239,7 +239,7 @@
             let answer = answer.map_err(|e| io(peer, e))?;
             match self.verify_frame(peer, &answer)?.body {
                 PeerMessage::ConfigResponse(response) => Ok(response),
-                _ => Err(unanswered(peer, "another message")),
+                _ => Err(unanswered(peer, "unexpected message type")),
             }
         };
         let answer = timeout(CONFIG_EXCHANGE_TIMEOUT, exchange).await;
@@ -262,7 +262,7 @@
             let request_frame = request_frame.map_err(|e| io(peer, e))?;
             let frame = self.verify_frame(peer, &request_frame)?;
             let PeerMessage::ConfigRequest(request) = frame.body else {
-                return Err(unanswered(peer, "another message"));
+                return Err(unanswered(peer, "unexpected message type"));
             };
             let response = newer_entries(request);
             let answer = self.sign_frame(
--- a/src/server.rs
+++ b/src/server.rs
@@ -269,8 +269,8 @@
         self.confirmed_until.is_some_and(|until| now < until)
     }
 
-    /// Whether the server is confirmed, or was confirmed recently and has had no failure
-    /// since: trust in a server that died ends with its first failure.
+    /// Whether the server is confirmed, or was confirmed recently and has no failure since
+    /// its last success: trust in a server that died ends with its first failure.
     pub fn is_trusted(&self, now: Instant) -> bool {
         let recent = self
             .last_confirmed_at
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -119,12 +119,12 @@
     Profile::default().deadline()
 }
 
-/// A home forwards a booking and is then partitioned from its peers, but not from the
-/// caller and the server; its backup takes over. The server takes 6 s. The acknowledgement
-/// sent after 1 s is lost, so copies arrive 3 and 7 s after the booking. When the new home
-/// answered "unknown" to the first copy, the caller gave up before the server's answer
-/// arrived. The old home may answer until the deadline; only after it may the new home
-/// answer "unknown", as the old one then does.
+/// A home forwards a booking, gets the order to stop, and is partitioned from its peers,
+/// but not from the caller and the server; its backup takes over. The server takes 6 s. The
+/// acknowledgement sent after 1 s is lost, so copies arrive 3 and 7 s after the booking.
+/// When the new home answered "unknown" to the first copy, the caller gave up before the
+/// server's answer arrived. The old home may answer until the deadline; only after it may
+/// the new home answer "unknown", as the old one then does.
 #[test]
 fn a_cut_off_home_may_answer_until_the_deadline() {
     let mut pair = Pair::with_backup();
@@ -804,6 +804,6 @@
     let later = test.run(secs(12), &[&b]);
     assert!(
         later.iter().any(is_add_backup),
-        "never copy_messages to again"
+        "the slice is never copied again"
     );
 }
