--- a/soak/src/backend.rs
+++ b/soak/src/backend.rs
@@ -1,5 +1,5 @@
-//! Backend servers: they take opening packets, run requests once a flow, and
-//! answer callers directly.
+//! Simulated backend servers: they accept flows, run each request of a flow once,
+//! and respond directly to the callers.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -28,17 +28,17 @@
 use crate::net::RST;
 use crate::net::SYN;
 
-/// Bytes in front of a packet that name the server.
-const ENVELOPE: usize = 8;
+/// Length of the header in front of a packet, which holds the serial of the server.
+const SERVER_HEADER_LEN: usize = 8;
 
-/// What a backend server is.
+/// Identity and role of a backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct Identity {
-    /// Where it listens.
+    /// Address on which it receives packets.
     pub address: SocketAddrV4,
-    /// What its datagrams are named with.
+    /// Serial that the header of its datagrams holds.
     pub serial: u64,
-    /// Port of the route whose requests it runs.
+    /// Port of the route that it serves.
     pub port: u16,
     /// Number of its availability zone.
     pub zone: u8,
@@ -46,15 +46,15 @@
 
 struct Flow {
     tag: Tag,
-    /// Its own first sequence number.
-    first: u32,
-    /// Next byte expected of the caller.
-    next: u32,
-    /// Bytes sent.
-    sent: u32,
+    /// The server's initial sequence number.
+    initial_seq: u32,
+    /// Sequence number of the next byte expected from the caller.
+    next_seq: u32,
+    /// Count of response bytes sent.
+    sent_bytes: u32,
     is_open: bool,
-    /// The answer to the last request, if that is done.
-    answer: Option<Vec<u8>>,
+    /// Response to the last request, once that request has finished.
+    response: Option<Vec<u8>>,
 }
 
 struct Server {
@@ -64,17 +64,17 @@
     ledger: Arc<Ledger>,
 }
 
-/// A backend server that runs; it crashes when this is dropped.
-pub struct Running {
+/// A running backend server; dropping the value simulates a crash.
+pub struct RunningBackend {
     identity: Identity,
     ledger: Arc<Ledger>,
     task: tokio::task::JoinHandle<()>,
 }
 
-impl Drop for Running {
+impl Drop for RunningBackend {
     fn drop(&mut self) {
         self.task.abort();
-        self.ledger.ended(self.identity.serial);
+        self.ledger.server_stopped(self.identity.serial);
     }
 }
 
@@ -83,21 +83,21 @@
 /// # Errors
 ///
 /// Fails when its address cannot be bound.
-pub async fn start(identity: Identity, ledger: Arc<Ledger>) -> Result<Running> {
+pub async fn start(identity: Identity, ledger: Arc<Ledger>) -> Result<RunningBackend> {
     let server = Arc::new(Server {
         socket: net::bind(identity.address).await?,
         flows: Mutex::default(),
         ledger: Arc::clone(&ledger),
         identity,
     });
-    ledger.started(identity.serial);
+    ledger.server_started(identity.serial);
     let task = tokio::spawn(async move {
-        let mut buffer = vec![0; ENVELOPE + packet::LARGEST];
+        let mut buffer = vec![0; SERVER_HEADER_LEN + packet::LARGEST];
         while let Ok((length, from)) = server.socket.recv_from(&mut buffer).await {
-            server.take(&buffer[..length], from).await;
+            server.handle_datagram(&buffer[..length], from).await;
         }
     });
-    Ok(Running {
+    Ok(RunningBackend {
         identity,
         ledger,
         task,
@@ -105,119 +105,123 @@
 }
 
 impl Server {
-    async fn take(self: &Arc<Self>, datagram: &[u8], from: SocketAddr) {
-        let Some((envelope, bytes)) = datagram.split_at_checked(ENVELOPE) else {
+    async fn handle_datagram(self: &Arc<Self>, datagram: &[u8], from: SocketAddr) {
+        let Some((header, bytes)) = datagram.split_at_checked(SERVER_HEADER_LEN) else {
             return;
         };
-        let named = envelope.iter().fold(0, |all, b| all << 8 | u64::from(*b));
-        if named != self.identity.serial && named != 0 {
+        let serial = header.iter().fold(0, |value, b| value << 8 | u64::from(*b));
+        if serial != self.identity.serial && serial != 0 {
             return;
         }
-        if net::author(bytes) != Author::End {
-            self.ledger.breach("packet altered", format!("from {from}"));
+        if net::author(bytes) != Author::Endpoint {
+            self.ledger
+                .record_breach("packet altered", format!("from {from}"));
             return;
         }
         let Ok(segment) = packet::decode(bytes) else {
             return;
         };
         if segment.opens() {
-            self.open(&segment, from).await;
+            self.handle_opening(&segment, from).await;
         } else {
-            self.carry(&segment, &bytes[HEAD..]).await;
+            self.handle_segment(&segment, &bytes[HEAD..]).await;
         }
     }
 
-    async fn open(&self, segment: &Segment, from: SocketAddr) {
+    async fn handle_opening(&self, segment: &Segment, from: SocketAddr) {
         if let IpAddr::V4(instance) = from.ip() {
             let port = segment.flow_key.service.port();
             let zone = self.identity.zone;
             self.ledger
-                .opened(self.identity.serial, zone, port, instance);
+                .flow_opened(self.identity.serial, zone, port, instance);
         }
         if segment.flow_key.service.port() != self.identity.port {
             self.ledger
-                .breach("flow at the wrong service", segment.flow_key);
+                .record_breach("flow at the wrong service", segment.flow_key);
         }
         let mut flows = self.flows.lock().await;
         let flow = flows.entry(segment.flow_key).or_insert_with(|| Flow {
             tag: segment.tag,
-            first: rand::rng().random(),
-            next: segment.seq.wrapping_add(1),
-            sent: 0,
+            initial_seq: rand::rng().random(),
+            next_seq: segment.seq.wrapping_add(1),
+            sent_bytes: 0,
             is_open: false,
-            answer: None,
+            response: None,
         });
         flow.tag = segment.tag;
-        let answer = (flow.first, flow.next, flow.tag);
+        let numbers = (flow.initial_seq, flow.next_seq, flow.tag);
         drop(flows);
-        self.send(segment.flow_key, SYN | ACK, answer, b"").await;
+        self.send(segment.flow_key, SYN | ACK, numbers, b"").await;
     }
 
-    async fn carry(self: &Arc<Self>, segment: &Segment, data: &[u8]) {
+    async fn handle_segment(self: &Arc<Self>, segment: &Segment, data: &[u8]) {
         let mut flows = self.flows.lock().await;
         let Some(flow) = flows.get_mut(&segment.flow_key) else {
             drop(flows);
             if !segment.flags.rst {
-                let reset = (segment.ack, segment.end(), segment.tag);
-                self.send(segment.flow_key, RST, reset, b"").await;
+                let reset_numbers = (segment.ack, segment.end(), segment.tag);
+                self.send(segment.flow_key, RST, reset_numbers, b"").await;
             }
             return;
         };
         flow.tag = segment.tag;
-        flow.is_open |= segment.flags.ack && segment.ack == flow.first.wrapping_add(1);
-        if segment.flags.rst || is_last(segment.flags) {
+        flow.is_open |= segment.flags.ack && segment.ack == flow.initial_seq.wrapping_add(1);
+        if segment.flags.rst || has_fin(segment.flags) {
             flows.remove(&segment.flow_key);
             return;
         }
         if !flow.is_open && segment.flags.ack {
-            // The caller has taken another server's answer.
-            let reset = (segment.ack, segment.end(), segment.tag);
+            // The caller accepted the SYN-ACK of another server.
+            let reset_numbers = (segment.ack, segment.end(), segment.tag);
             drop(flows);
-            self.send(segment.flow_key, RST, reset, b"").await;
+            self.send(segment.flow_key, RST, reset_numbers, b"").await;
             return;
         }
-        let is_repeat = segment.end() == flow.next;
-        if is_repeat && let Some(answer) = flow.answer.clone() {
-            let start = flow.sent.wrapping_sub(answer.len() as u32);
-            let seq = flow.first.wrapping_add(1).wrapping_add(start);
-            let head = (seq, flow.next, flow.tag);
+        let is_retransmission = segment.end() == flow.next_seq;
+        if is_retransmission && let Some(response) = flow.response.clone() {
+            let start = flow.sent_bytes.wrapping_sub(response.len() as u32);
+            let seq = flow.initial_seq.wrapping_add(1).wrapping_add(start);
+            let numbers = (seq, flow.next_seq, flow.tag);
             drop(flows);
-            self.send(segment.flow_key, ACK, head, &answer).await;
-        } else if flow.is_open && segment.seq == flow.next && !data.is_empty() {
-            flow.next = segment.end();
-            flow.answer = None;
+            self.send(segment.flow_key, ACK, numbers, &response).await;
+        } else if flow.is_open && segment.seq == flow.next_seq && !data.is_empty() {
+            flow.next_seq = segment.end();
+            flow.response = None;
             drop(flows);
             let request = data.to_vec();
-            tokio::spawn(Arc::clone(self).run(segment.flow_key, request));
+            tokio::spawn(Arc::clone(self).run_request(segment.flow_key, request));
         }
     }
 
-    async fn run(self: Arc<Self>, flow_key: FlowKey, request: Vec<u8>) {
+    async fn run_request(self: Arc<Self>, flow_key: FlowKey, request: Vec<u8>) {
         let Some(request) = Request::decode(&request) else {
-            self.ledger.breach("request altered", flow_key);
+            self.ledger.record_breach("request altered", flow_key);
             return;
         };
-        self.ledger.ran(request.id, request.may_repeat);
-        let work = rand::rng().random_range(5..30);
-        time::sleep(Duration::from_millis(work)).await;
-        let answer = request.encode(self.identity.serial);
+        self.ledger
+            .request_started(request.id, request.is_idempotent);
+        let run_time_ms = rand::rng().random_range(5..30);
+        time::sleep(Duration::from_millis(run_time_ms)).await;
+        let response = request.encode(self.identity.serial);
         let mut flows = self.flows.lock().await;
         let Some(flow) = flows.get_mut(&flow_key) else {
             return;
         };
-        let head = (
-            flow.first.wrapping_add(1).wrapping_add(flow.sent),
-            flow.next,
+        let numbers = (
+            flow.initial_seq
+                .wrapping_add(1)
+                .wrapping_add(flow.sent_bytes),
+            flow.next_seq,
             flow.tag,
         );
-        flow.sent = flow.sent.wrapping_add(answer.len() as u32);
-        flow.answer = Some(answer.clone());
+        flow.sent_bytes = flow.sent_bytes.wrapping_add(response.len() as u32);
+        flow.response = Some(response.clone());
         drop(flows);
-        self.send(flow_key, ACK, head, &answer).await;
+        self.send(flow_key, ACK, numbers, &response).await;
     }
 
-    async fn send(&self, flow_key: FlowKey, flags: u8, head: (u32, u32, Tag), data: &[u8]) {
-        let (seq, ack, tag) = head;
+    async fn send(&self, flow_key: FlowKey, flags: u8, numbers: (u32, u32, Tag), data: &[u8]) {
+        let (seq, ack, tag) = numbers;
         let packet = Packet {
             from: flow_key.service,
             to: flow_key.caller,
@@ -228,45 +232,45 @@
             data,
         };
         let to = SocketAddrV4::new(*flow_key.caller.ip(), self.identity.address.port());
-        // A lost packet is repeated when the caller asks again.
+        // If sending fails, the caller retransmits and gets the packet again.
         let _ = self.socket.send_to(&packet.encode(), to).await;
     }
 }
 
-fn is_last(flags: Flags) -> bool {
+fn has_fin(flags: Flags) -> bool {
     flags.fin
 }
 
-/// A request, and with a server's serial its answer.
+/// A request; encoded with a server's serial it is the response to the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Its identity.
+    /// Unique number of the request.
     pub id: u64,
-    /// Whether it may run more than once.
-    pub may_repeat: bool,
+    /// Whether the request may run more than once.
+    pub is_idempotent: bool,
 }
 
 impl Request {
-    /// The bytes of a request (`server` 0) or of its answer.
+    /// Encodes the request (`server` is 0) or the response of a server.
     pub fn encode(&self, server: u64) -> Vec<u8> {
         let mut bytes = self.id.to_be_bytes().to_vec();
         bytes.extend(server.to_be_bytes());
-        bytes.push(u8::from(self.may_repeat));
+        bytes.push(u8::from(self.is_idempotent));
         bytes
     }
 
-    /// Reads them.
+    /// Decodes a request or a response; `None` if it is too short.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
-        let (id, rest) = bytes.split_first_chunk::<8>()?;
+        let (id, remainder) = bytes.split_first_chunk::<8>()?;
         Some(Self {
             id: u64::from_be_bytes(*id),
-            may_repeat: *rest.get(8)? != 0,
+            is_idempotent: *remainder.get(8)? != 0,
         })
     }
 }
 
-/// The server that an answer names.
-pub fn answered_by(bytes: &[u8]) -> Option<u64> {
+/// Serial of the server that sent a response.
+pub fn responding_server(bytes: &[u8]) -> Option<u64> {
     let serial = bytes.get(8..16)?;
-    Some(serial.iter().fold(0, |all, b| all << 8 | u64::from(*b)))
+    Some(serial.iter().fold(0, |value, b| value << 8 | u64::from(*b)))
 }
--- a/soak/src/caller.rs
+++ b/soak/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: they open flows, keep them or not, and check every answer.
+//! Simulated callers: they open flows, send requests and check every response.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -35,139 +35,148 @@
 use crate::net::SYN;
 use crate::router::Router;
 
-/// When an opening packet is repeated, and when the try ends.
-const OPENING: [Duration; 3] = [
+/// Delays after each opening packet: the packet is retransmitted after all but the
+/// last one, which ends the attempt.
+const OPENING_RETRANSMIT_DELAYS: [Duration; 3] = [
     Duration::from_millis(200),
     Duration::from_millis(400),
     Duration::from_millis(800),
 ];
 
-/// First pause before data is repeated; it doubles up to the longest.
-const REPEAT: Duration = Duration::from_millis(200);
-/// Longest pause before data is repeated.
-const LONGEST_REPEAT: Duration = Duration::from_millis(1_600);
+/// First delay before data is retransmitted; it doubles up to the maximum.
+const INITIAL_RETRANSMIT_DELAY: Duration = Duration::from_millis(200);
+/// Longest delay before data is retransmitted.
+const MAX_RETRANSMIT_DELAY: Duration = Duration::from_millis(1_600);
 
-/// Time for a request.
-const DEADLINE: Duration = Duration::from_millis(2_500);
+/// Time limit of a request, with all its attempts.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Tries of a request that may be repeated.
-const TRIES: u32 = 3;
+/// Attempts of an idempotent request, or to open a flow for another one.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// What the callers of a run share.
-pub struct Shared {
-    /// The routers.
+/// State shared by the callers of a zone.
+pub struct CallerContext {
+    /// Routers of the zone.
     pub router: Arc<Router>,
-    /// The ledger.
+    /// Ledger of the run.
     pub ledger: Arc<Ledger>,
-    /// Next identity of a request.
-    pub requests: Arc<AtomicU64>,
+    /// Number of the next request.
+    pub next_request_id: Arc<AtomicU64>,
 }
 
-/// What a caller's socket gets, by the caller's port.
+/// Sending half of the queue of packets received for one flow.
 type Inbox = mpsc::UnboundedSender<(Segment, Vec<u8>, Author)>;
 
-/// One caller's address.
+/// A caller with its socket. Each of its flows has a port of its own in the packets'
+/// headers.
 pub struct Host {
     socket: UdpSocket,
+    /// Queues of the open flows, by the port of the caller.
     inboxes: Mutex<HashMap<u16, Inbox>>,
-    shared: Arc<Shared>,
+    context: Arc<CallerContext>,
     address: SocketAddrV4,
-    ports: AtomicU64,
+    next_port: AtomicU64,
 }
 
 impl Host {
-    /// A caller at an address.
+    /// Binds a caller to an address and starts to receive.
     ///
     /// # Errors
     ///
     /// Fails when the address cannot be bound.
-    pub async fn new(address: SocketAddrV4, shared: Arc<Shared>) -> Result<Arc<Self>> {
+    pub async fn new(address: SocketAddrV4, context: Arc<CallerContext>) -> Result<Arc<Self>> {
         let host = Arc::new(Self {
             socket: net::bind(address).await?,
             inboxes: Mutex::default(),
-            shared,
+            context,
             address,
-            ports: AtomicU64::new(1_024),
+            next_port: AtomicU64::new(1_024),
         });
         tokio::spawn(receive(Arc::clone(&host)));
         Ok(host)
     }
 
-    /// Uses a route until the run ends: some flows for many requests, some for
-    /// one.
-    pub async fn use_route(self: Arc<Self>, service: SocketAddrV4, is_long: bool, seed: u64) {
+    /// Sends requests to a route until the run ends. With `keeps_flow` the requests are
+    /// idempotent and share a flow, otherwise each has a flow of its own.
+    pub async fn send_requests(
+        self: Arc<Self>,
+        service: SocketAddrV4,
+        keeps_flow: bool,
+        seed: u64,
+    ) {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut flow = None;
         loop {
             let pause = random.random_range(20..300);
             time::sleep(Duration::from_millis(pause)).await;
-            flow = self.request(service, is_long, flow.take()).await;
+            flow = self.request(service, keeps_flow, flow.take()).await;
         }
     }
 
-    /// Opens flows to a route that comes and goes until the run ends. Which
-    /// configuration is in force shows in where they open; nothing is asked.
-    pub async fn try_route(self: Arc<Self>, service: SocketAddrV4, seed: u64) {
+    /// Opens flows to a route that is withdrawn and added repeatedly, until the run
+    /// ends. No requests are sent: the servers and the ledger check which
+    /// configuration was applied when a flow was opened.
+    pub async fn open_flows(self: Arc<Self>, service: SocketAddrV4, seed: u64) {
         let mut random = SmallRng::seed_from_u64(seed);
         loop {
             let pause = random.random_range(100..600);
             time::sleep(Duration::from_millis(pause)).await;
-            let deadline = Instant::now() + DEADLINE;
+            let deadline = Instant::now() + REQUEST_TIMEOUT;
             if let Ok(mut flow) = Flow::open(&self, service, deadline).await {
-                flow.finish().await;
+                flow.close().await;
             }
         }
     }
 
-    /// Sends a request, with retries where it may be repeated; gives back the
-    /// flow if it goes on.
+    /// Sends a request and retries it if that is safe: the request is idempotent, or
+    /// its flow was never opened. Returns the flow if it stays open.
     async fn request(
         self: &Arc<Self>,
         service: SocketAddrV4,
-        is_long: bool,
+        keeps_flow: bool,
         mut flow: Option<Flow>,
     ) -> Option<Flow> {
         let request = Request {
-            id: self.shared.requests.fetch_add(1, Ordering::Relaxed),
-            may_repeat: is_long,
+            id: self.context.next_request_id.fetch_add(1, Ordering::Relaxed),
+            is_idempotent: keeps_flow,
         };
-        let deadline = Instant::now() + DEADLINE;
-        for _ in 0..TRIES {
+        let deadline = Instant::now() + REQUEST_TIMEOUT;
+        for _ in 0..MAX_ATTEMPTS {
             let opened = match flow.take() {
                 Some(flow) => Ok(flow),
                 None => Flow::open(self, service, deadline).await,
             };
-            let is_opened = opened.is_ok();
+            let was_opened = opened.is_ok();
             let outcome = match opened {
                 Ok(mut open) => {
-                    let outcome = open.ask(request, deadline).await;
+                    let outcome = open.send_request(request, deadline).await;
                     flow = Some(open).filter(|_| outcome == Outcome::Served);
                     outcome
                 }
                 Err(outcome) => outcome,
             };
-            let may_retry = request.may_repeat || !is_opened;
+            let may_retry = request.is_idempotent || !was_opened;
             if outcome == Outcome::Served || !may_retry || Instant::now() >= deadline {
-                self.shared.ledger.settle(outcome);
-                return self.keep(flow, is_long).await;
+                self.context.ledger.request_finished(outcome);
+                return self.keep_or_close(flow, keeps_flow).await;
             }
         }
-        self.shared.ledger.settle(Outcome::Refused);
+        self.context.ledger.request_finished(Outcome::Refused);
         None
     }
 
-    async fn keep(&self, flow: Option<Flow>, is_long: bool) -> Option<Flow> {
+    async fn keep_or_close(&self, flow: Option<Flow>, keeps_flow: bool) -> Option<Flow> {
         let mut flow = flow?;
-        if is_long && flow.asked < 200 {
+        if keeps_flow && flow.request_count < 200 {
             return Some(flow);
         }
-        flow.finish().await;
+        flow.close().await;
         None
     }
 
     async fn send(&self, flow_key: &FlowKey, bytes: &[u8]) {
-        let to = self.shared.router.pick(flow_key);
-        // An instance that is gone loses its packets; they are repeated.
+        let to = self.context.router.choose_instance(flow_key);
+        // Sending fails while an instance is down; the flow retransmits the packet.
         let _ = self.socket.send_to(bytes, to).await;
     }
 
@@ -185,19 +194,19 @@
         let bytes = &buffer[..length];
         let author = net::author(bytes);
         let Ok(segment) = packet::decode(bytes) else {
-            host.shared
+            host.context
                 .ledger
-                .breach("caller got a malformed packet", from);
+                .record_breach("caller got a malformed packet", from);
             continue;
         };
         let is_reset = segment.flags.rst && segment.len == 0;
         if author == Author::Altered || (author == Author::System && !is_reset) {
-            host.shared
+            host.context
                 .ledger
-                .breach("caller got an altered packet", from);
+                .record_breach("caller got an altered packet", from);
             continue;
         }
-        // From a server's side the caller's end is the destination.
+        // In a server's packets the destination is the caller's endpoint.
         let port = segment.flow_key.service.port();
         let inbox = host.inboxes().get(&port).cloned();
         if let Some(inbox) = inbox {
@@ -214,9 +223,9 @@
     seq: u32,
     ack: u32,
     tag: Tag,
-    /// Serial of the server, once it has answered.
+    /// Serial of the server, once it has responded.
     server: Option<u64>,
-    asked: u32,
+    request_count: u32,
 }
 
 impl Drop for Flow {
@@ -231,8 +240,8 @@
         service: SocketAddrV4,
         deadline: Instant,
     ) -> std::result::Result<Self, Outcome> {
-        let number = host.ports.fetch_add(1, Ordering::Relaxed);
-        let port = 1_024 + (number % 60_000) as u16;
+        let flow_number = host.next_port.fetch_add(1, Ordering::Relaxed);
+        let port = 1_024 + (flow_number % 60_000) as u16;
         let (sender, inbox) = mpsc::unbounded_channel();
         host.inboxes().insert(port, sender);
         let mut flow = Self {
@@ -246,34 +255,34 @@
             ack: 0,
             tag: Tag::NONE,
             server: None,
-            asked: 0,
+            request_count: 0,
         };
-        for (copy, pause) in OPENING.into_iter().enumerate() {
-            flow.ack = copy as u32;
+        for (attempt, pause) in OPENING_RETRANSMIT_DELAYS.into_iter().enumerate() {
+            flow.ack = attempt as u32;
             flow.send(SYN, b"").await;
             let until = (Instant::now() + pause).min(deadline);
-            match flow.next(until).await {
-                Some((segment, _, Author::End)) if segment.flags.syn => {
+            match flow.next_packet(until).await {
+                Some((segment, _, Author::Endpoint)) if segment.flags.syn => {
                     flow.seq = flow.seq.wrapping_add(1);
                     flow.ack = segment.seq.wrapping_add(1);
                     return Ok(flow);
                 }
                 Some((_, _, author)) => {
                     if author == Author::System {
-                        host.shared.ledger.refused(service.port());
+                        host.context.ledger.flow_refused(service.port());
                     }
                     return Err(Outcome::Refused);
                 }
                 None => {}
             }
         }
-        Err(Outcome::Silent)
+        Err(Outcome::TimedOut)
     }
 
-    async fn next(&mut self, until: Instant) -> Option<(Segment, Vec<u8>, Author)> {
-        let got = time::timeout_at(until, self.inbox.recv()).await;
-        let (segment, data, author) = got.ok().flatten()?;
-        if author == Author::End {
+    async fn next_packet(&mut self, until: Instant) -> Option<(Segment, Vec<u8>, Author)> {
+        let received = time::timeout_at(until, self.inbox.recv()).await;
+        let (segment, data, author) = received.ok().flatten()?;
+        if author == Author::Endpoint {
             self.tag = segment.tag;
         }
         Some((segment, data, author))
@@ -292,54 +301,54 @@
         self.host.send(&self.flow_key, &packet.encode()).await;
     }
 
-    async fn ask(&mut self, request: Request, deadline: Instant) -> Outcome {
+    async fn send_request(&mut self, request: Request, deadline: Instant) -> Outcome {
         let data = request.encode(0);
-        let mut pause = REPEAT;
-        self.asked += 1;
+        let mut pause = INITIAL_RETRANSMIT_DELAY;
+        self.request_count += 1;
         while Instant::now() < deadline {
             self.send(ACK, &data).await;
             let until = (Instant::now() + pause).min(deadline);
-            pause = (pause * 2).min(LONGEST_REPEAT);
-            while let Some((segment, answer, author)) = self.next(until).await {
+            pause = (pause * 2).min(MAX_RETRANSMIT_DELAY);
+            while let Some((segment, response, author)) = self.next_packet(until).await {
                 if segment.flags.rst {
-                    return self.reset(author);
+                    return self.handle_reset(author);
                 }
-                // Copies of what came before lie below what is expected.
+                // Skips retransmitted packets, whose sequence numbers are older.
                 if segment.flags.syn || segment.len == 0 || segment.seq != self.ack {
                     continue;
                 }
                 self.seq = self.seq.wrapping_add(data.len() as u32);
                 self.ack = segment.end();
-                self.check(request, &answer);
+                self.check_response(request, &response);
                 return Outcome::Served;
             }
         }
-        Outcome::Silent
+        Outcome::TimedOut
     }
 
-    fn check(&mut self, request: Request, answer: &[u8]) {
-        let ledger = &self.host.shared.ledger;
-        if Request::decode(answer) != Some(request) {
-            ledger.breach("answer to another request", self.flow_key);
+    fn check_response(&mut self, request: Request, response: &[u8]) {
+        let ledger = &self.host.context.ledger;
+        if Request::decode(response) != Some(request) {
+            ledger.record_breach("answer to another request", self.flow_key);
         }
-        let server = backend::answered_by(answer);
+        let server = backend::responding_server(response);
         if self.server.is_some() && self.server != server {
-            ledger.breach("flow changed its server", self.flow_key);
+            ledger.record_breach("flow changed its server", self.flow_key);
         }
         self.server = server;
     }
 
-    fn reset(&self, author: Author) -> Outcome {
+    fn handle_reset(&self, author: Author) -> Outcome {
         if author == Author::System
             && let Some(server) = self.server
         {
-            let ledger = &self.host.shared.ledger;
-            ledger.reset_open(server, &self.flow_key.to_string());
+            let ledger = &self.host.context.ledger;
+            ledger.open_flow_reset(server, &self.flow_key.to_string());
         }
         Outcome::Refused
     }
 
-    async fn finish(&mut self) {
+    async fn close(&mut self) {
         self.send(FIN | ACK, b"").await;
     }
 }
--- a/soak/src/error.rs
+++ b/soak/src/error.rs
@@ -1,36 +1,36 @@
-//! What can go wrong with the soak itself.
+//! Failures of the soak program itself.
 
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
 
-/// Result of the soak's operations.
+/// Result of the operations of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A failure of the soak, which says nothing about the instances.
+/// A failure of the soak program, as opposed to a violated guarantee.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A socket cannot be had.
+    /// A socket cannot be bound.
     #[error("bind {address}: {source}")]
     Bind {
-        /// The address.
+        /// Address of the socket.
         address: SocketAddrV4,
-        /// The system's error.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A process cannot be started or told something.
+    /// A process or the runtime cannot be started.
     #[error("process {name}: {reason}")]
     Process {
-        /// The instance.
+        /// Name of the instance, or `runtime`.
         name: String,
-        /// What was seen.
+        /// Description of the failure.
         reason: String,
     },
-    /// A file cannot be written.
+    /// A file or folder cannot be written.
     #[error("file {path}: {source}", path = path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The system's error.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// The plot cannot be drawn.
--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults, drawn by seed.
+//! Faults and operator changes, drawn at random from a seed.
 
 use std::fmt;
 use std::time::Duration;
@@ -10,7 +10,8 @@
 use crate::link::Harm;
 use crate::store::Mode;
 
-/// What happens to whom. Numbers of instances are taken modulo their count.
+/// A fault or change and its target. Indexes of instances, servers and links are taken
+/// modulo their count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// An instance gets SIGTERM.
@@ -19,31 +20,33 @@
     Kill(u8),
     /// All instances get SIGKILL.
     KillAll,
-    /// An instance stands still.
+    /// An instance is stopped (SIGSTOP) for so many milliseconds.
     Freeze(u8, u64),
     /// An instance gets SIGHUP.
     Reload(u8),
-    /// The link between an instance and the store is harmed.
+    /// The link between an instance and the store is faulty for so many milliseconds.
     Link(u8, Harm, u64),
-    /// The links of other instances to one are harmed.
+    /// The link from the other instances to one is faulty for so many milliseconds.
     Peers(u8, Harm, u64),
-    /// The store misbehaves.
+    /// The store is faulty for so many milliseconds.
     Store(Mode, u64),
-    /// The store is away, and the servers' entries lapse meanwhile.
+    /// The store does not answer for so many milliseconds, and the servers' entries are
+    /// deleted meanwhile.
     Lapse(u64),
-    /// The store is silent while configurations change, and drops its history.
+    /// The store does not answer while the configuration changes, and drops its history.
     Compact,
-    /// The store ends all leases.
+    /// The store revokes all leases.
     Revoke,
-    /// A backend server crashes; its entry lapses, and another starts.
+    /// A backend server crashes; its entry is deleted later, and another server starts.
     Crash(u8),
-    /// A backend server drains and leaves; another starts.
+    /// A backend server drains and stops; another one starts.
     Drain(u8),
     /// A route is withdrawn and added again.
     Route,
-    /// Several configurations in quick succession.
+    /// Several configurations are written in quick succession.
     Storm(u8),
-    /// A zone's servers are to get no new flows for so many milliseconds.
+    /// An availability zone is evacuated for so many milliseconds: its servers must get
+    /// no new flows.
     Evacuate(u8, u64),
 }
 
@@ -53,59 +56,71 @@
     }
 }
 
-/// A fault and when it begins.
+/// A fault and its start time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Since the begin of the faults.
+    /// Time since the first fault could begin.
     pub at: Duration,
-    /// What happens.
+    /// The fault and its target.
     pub kind: Kind,
 }
 
-/// Mean time between two faults, in milliseconds. Most last for seconds, so that
-/// several overlap.
-const EVERY_MS: u64 = 900;
+/// Mean time between two faults, in milliseconds. Most faults last for seconds, so
+/// several of them overlap.
+const MEAN_INTERVAL_MS: u64 = 900;
 
-/// The same in runs that are to check bounds: an instance's promises are suspended
-/// for seconds after each of its faults.
-const SELDOM_MS: u64 = 2_500;
+/// Mean time between two faults in calm runs, in milliseconds. It leaves time to check
+/// the guarantees with a bound, which are suspended for an instance for seconds after
+/// each of its faults.
+const CALM_MEAN_INTERVAL_MS: u64 = 2_500;
 
-/// The faults of a seed, in order of time.
+/// Draws the faults of a run, ordered by time.
 ///
-/// In runs with odd seeds faults are few and the store is let alone: promises with
-/// a bound are suspended for seconds after each fault of an instance or the store,
-/// and would hardly be checked.
+/// With an odd seed the run is calm: it has fewer faults, and none that make the store
+/// unavailable or drop its history.
+/// Guarantees with a bound are suspended for seconds after each fault of an instance or
+/// of the store, so they are hardly checked in the other runs.
 pub fn draw(seed: u64, length: Duration) -> Vec<Fault> {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut faults = Vec::new();
     let is_calm = seed % 2 == 1;
-    let every = if is_calm { SELDOM_MS } else { EVERY_MS };
+    let mean_interval = if is_calm {
+        CALM_MEAN_INTERVAL_MS
+    } else {
+        MEAN_INTERVAL_MS
+    };
     let mut at = 0;
     loop {
-        at += random.random_range(0..2 * every);
+        at += random.random_range(0..2 * mean_interval);
         let begin = Duration::from_millis(at);
         if begin >= length {
             return faults;
         }
         let kind = draw_kind(&mut random, is_calm);
         faults.push(Fault { at: begin, kind });
-        // Signals and restarts come in series, too.
+        // Repeats some faults, so that signals and restarts also come in series.
         if random.random_range(0..4) == 0 {
-            let again = Duration::from_millis(at + random.random_range(50..600));
-            faults.push(Fault { at: again, kind });
-            at = again.as_millis() as u64;
+            let repeated_at = Duration::from_millis(at + random.random_range(50..600));
+            faults.push(Fault {
+                at: repeated_at,
+                kind,
+            });
+            at = repeated_at.as_millis() as u64;
         }
-        if may_hide(kind) && random.random_range(0..2) == 0 {
-            let soon = Duration::from_millis(at + random.random_range(50..600));
-            let kind = change(&mut random);
-            faults.push(Fault { at: soon, kind });
-            at = soon.as_millis() as u64;
+        if may_delay_updates(kind) && random.random_range(0..2) == 0 {
+            let update_at = Duration::from_millis(at + random.random_range(50..600));
+            let kind = draw_update(&mut random);
+            faults.push(Fault {
+                at: update_at,
+                kind,
+            });
+            at = update_at.as_millis() as u64;
         }
     }
 }
 
-/// Evacuations of a seed, one after the other, in order of time. They are drawn apart, so
-/// that the faults of a seed stay what they were.
+/// Draws the evacuations of a run, which do not overlap, ordered by time. They have a
+/// random generator of their own, so that they do not change the faults of a seed.
 pub fn draw_evacuations(seed: u64, length: Duration) -> Vec<Fault> {
     let mut random = SmallRng::seed_from_u64(!seed);
     let mut evacuations = Vec::new();
@@ -122,16 +137,17 @@
     }
 }
 
-/// Whether others may not hear of a change meanwhile, so that one is worth making.
-fn may_hide(kind: Kind) -> bool {
+/// Whether some instances may miss updates during this fault, so that an update is
+/// worth checking.
+fn may_delay_updates(kind: Kind) -> bool {
     matches!(
         kind,
         Kind::Kill(_) | Kind::Freeze(..) | Kind::Link(..) | Kind::Peers(..)
     )
 }
 
-/// A change that must be in force everywhere within a bound.
-fn change(random: &mut SmallRng) -> Kind {
+/// Draws a change that all instances must apply within a bound.
+fn draw_update(random: &mut SmallRng) -> Kind {
     if random.random() {
         Kind::Drain(random.random_range(0..64))
     } else {
@@ -141,40 +157,40 @@
 
 fn draw_kind(random: &mut SmallRng, spares_store: bool) -> Kind {
     loop {
-        let kind = kind(random);
-        if !(spares_store && harms_store(kind)) {
+        let kind = draw_any_kind(random);
+        if !(spares_store && disturbs_store(kind)) {
             return kind;
         }
     }
 }
 
-fn harms_store(kind: Kind) -> bool {
+fn disturbs_store(kind: Kind) -> bool {
     matches!(kind, Kind::Store(..) | Kind::Lapse(_) | Kind::Compact)
 }
 
-fn kind(random: &mut SmallRng) -> Kind {
-    let who = random.random_range(0..64);
+fn draw_any_kind(random: &mut SmallRng) -> Kind {
+    let target = random.random_range(0..64);
     let ms = random.random_range(500..6_000);
     match random.random_range(0..22) {
-        0 | 1 => Kind::Stop(who),
-        2 | 3 => Kind::Kill(who),
+        0 | 1 => Kind::Stop(target),
+        2 | 3 => Kind::Kill(target),
         4 => Kind::KillAll,
-        5 | 6 => Kind::Freeze(who, ms),
-        7 => Kind::Reload(who),
-        8..=10 => Kind::Link(who, harm(random), ms),
-        11 | 12 => Kind::Store(mode(random), ms),
+        5 | 6 => Kind::Freeze(target, ms),
+        7 => Kind::Reload(target),
+        8..=10 => Kind::Link(target, draw_link_fault(random), ms),
+        11 | 12 => Kind::Store(draw_store_mode(random), ms),
         13 => Kind::Lapse(ms),
         14 => Kind::Compact,
         15 => Kind::Revoke,
-        16 => Kind::Crash(who),
-        17 => Kind::Drain(who),
+        16 => Kind::Crash(target),
+        17 => Kind::Drain(target),
         18 => Kind::Route,
         19 => Kind::Storm(random.random_range(2..8)),
-        _ => Kind::Peers(who, harm(random), ms),
+        _ => Kind::Peers(target, draw_link_fault(random), ms),
     }
 }
 
-fn harm(random: &mut SmallRng) -> Harm {
+fn draw_link_fault(random: &mut SmallRng) -> Harm {
     match random.random_range(0..5) {
         0 => Harm::Cut,
         1 => Harm::OneWay,
@@ -184,7 +200,7 @@
     }
 }
 
-fn mode(random: &mut SmallRng) -> Mode {
+fn draw_store_mode(random: &mut SmallRng) -> Mode {
     match random.random_range(0..4) {
         0 => Mode::Busy,
         1 => Mode::Silent,
--- a/soak/src/ledger.rs
+++ b/soak/src/ledger.rs
@@ -1,7 +1,8 @@
-//! What callers and backend servers saw, and the promises that it breaks.
+//! Records what callers and backend servers observe, and checks it against the
+//! guarantees of the system.
 //!
-//! A promise with a time bound holds for instances that are in touch: neither
-//! they nor the store were disturbed for a while before.
+//! A guarantee with a time bound is checked only for an instance that is undisturbed:
+//! neither the instance nor the store had a fault within the last few seconds.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -12,77 +13,78 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// How long after a disturbance an instance, or the store, counts as disturbed.
-pub const TOUCH: Duration = Duration::from_secs(4);
+/// How long an instance or the store still counts as disturbed after a fault has ended.
+pub const RECOVERY_TIME: Duration = Duration::from_secs(4);
 
-/// Bound after which a draining server gets no new flows and a configuration is
-/// in force.
-pub const BOUND: Duration = Duration::from_secs(3);
+/// Time within which all instances must apply a change of the store: a draining server
+/// gets no new flows, and a new configuration is applied.
+pub const PROPAGATION_BOUND: Duration = Duration::from_secs(3);
 
-/// How late a task of this process may run, on a machine that is busy too.
-const SLACK: Duration = Duration::from_millis(300);
+/// Allowance for tasks of this process that run late on a busy machine.
+const SCHEDULING_SLACK: Duration = Duration::from_millis(300);
 
-/// A promise that was broken.
+/// A violated guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// When, since the start.
+    /// Time since the start of the run.
     pub at: Duration,
-    /// Which promise.
-    pub promise: &'static str,
-    /// What was seen.
+    /// Description of the violation.
+    pub violation: &'static str,
+    /// The flow, server or request that shows it.
     pub detail: String,
 }
 
 impl fmt::Display for Breach {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let at = self.at.as_secs_f64();
-        write!(f, "{at:8.3} s {}: {}", self.promise, self.detail)
+        write!(f, "{at:8.3} s {}: {}", self.violation, self.detail)
     }
 }
 
-/// How a request ended for its caller.
+/// Outcome of a request for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Its own whole answer.
+    /// The caller received a response.
     Served,
-    /// The flow did not open or was reset.
+    /// The opening of the flow was refused, or the flow was reset.
     Refused,
-    /// Nothing until the deadline.
-    Silent,
+    /// No response came before the deadline.
+    TimedOut,
 }
 
-/// A second of the run.
+/// Counts of one second of the run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Second {
+pub struct SecondCounts {
     /// Requests that were served.
     pub served: u32,
-    /// Requests that were not.
+    /// Requests that were not served.
     pub failed: u32,
     /// Open flows that the system reset.
     pub reset: u32,
-    /// Oldest copy of the store at any instance that answered, in milliseconds.
+    /// Age of the oldest copy of the store that an instance reported, in milliseconds.
     pub oldest_view_ms: u64,
 }
 
 #[derive(Debug, Default)]
 struct State {
     breaches: Vec<Breach>,
-    seconds: Vec<Second>,
-    runs: HashMap<u64, u32>,
-    disturbed: HashMap<Ipv4Addr, Instant>,
-    store_disturbed: Option<Instant>,
-    /// Backend servers by serial: when their draining was acknowledged.
+    seconds: Vec<SecondCounts>,
+    /// How often each request was run, by its number.
+    run_counts: HashMap<u64, u32>,
+    disturbed_until: HashMap<Ipv4Addr, Instant>,
+    store_disturbed_until: Option<Instant>,
+    /// When the store acknowledged that a server drains, by the serial of the server.
     draining: HashMap<u64, Instant>,
-    /// Serials of backend servers that run.
-    alive: HashMap<u64, ()>,
-    /// Zones by number: when their evacuation was acknowledged.
+    /// Serials of the running backend servers.
+    running_servers: HashMap<u64, ()>,
+    /// When the store acknowledged the evacuation of a zone, by the number of the zone.
     evacuated: HashMap<u8, Instant>,
-    /// Routes by port: when they were last added (`true`) or withdrawn.
+    /// When each route was last added (`true`) or withdrawn, by port.
     routes: HashMap<u16, (bool, Instant)>,
     faults: Vec<(Duration, String)>,
 }
 
-/// The ledger of one run.
+/// Observations and violated guarantees of one run.
 #[derive(Debug)]
 pub struct Ledger {
     start: Instant,
@@ -103,55 +105,55 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes a broken promise.
-    pub fn breach(&self, promise: &'static str, detail: impl ToString) {
+    /// Records a violated guarantee.
+    pub fn record_breach(&self, violation: &'static str, detail: impl ToString) {
         let at = self.start.elapsed();
         let detail = detail.to_string();
         self.lock().breaches.push(Breach {
             at,
-            promise,
+            violation,
             detail,
         });
     }
 
-    /// Notes a fault, for the report.
-    pub fn fault(&self, what: impl ToString) {
+    /// Records the start of a fault, for the report.
+    pub fn record_fault(&self, fault: impl ToString) {
         let at = self.start.elapsed();
-        self.lock().faults.push((at, what.to_string()));
+        self.lock().faults.push((at, fault.to_string()));
     }
 
-    /// An instance is disturbed until now, or until later.
-    pub fn disturb(&self, instance: Ipv4Addr, for_: Duration) {
-        let until = Instant::now() + for_;
+    /// Marks an instance as disturbed from now on for a time, which may be zero.
+    pub fn mark_disturbed(&self, instance: Ipv4Addr, duration: Duration) {
+        let until = Instant::now() + duration;
         let mut state = self.lock();
-        let known = state.disturbed.entry(instance).or_insert(until);
+        let known = state.disturbed_until.entry(instance).or_insert(until);
         *known = until.max(*known);
     }
 
-    /// The store is disturbed until now, or until later.
-    pub fn disturb_store(&self, for_: Duration) {
-        let until = Instant::now() + for_;
+    /// Marks the store as disturbed from now on for a time, which may be zero.
+    pub fn mark_store_disturbed(&self, duration: Duration) {
+        let until = Instant::now() + duration;
         let mut state = self.lock();
-        state.store_disturbed = state.store_disturbed.max(Some(until));
+        state.store_disturbed_until = state.store_disturbed_until.max(Some(until));
     }
 
-    /// A backend server has started.
-    pub fn started(&self, serial: u64) {
-        self.lock().alive.insert(serial, ());
+    /// Records that a backend server has started.
+    pub fn server_started(&self, serial: u64) {
+        self.lock().running_servers.insert(serial, ());
     }
 
-    /// A backend server has ended.
-    pub fn ended(&self, serial: u64) {
-        self.lock().alive.remove(&serial);
+    /// Records that a backend server has stopped.
+    pub fn server_stopped(&self, serial: u64) {
+        self.lock().running_servers.remove(&serial);
     }
 
-    /// The store has acknowledged that a backend server drains.
-    pub fn draining(&self, serial: u64) {
+    /// Records that the store has acknowledged that a backend server drains.
+    pub fn server_draining(&self, serial: u64) {
         self.lock().draining.insert(serial, Instant::now());
     }
 
-    /// The store has acknowledged that a zone is evacuated, or used again.
-    pub fn evacuate(&self, zone: u8, is_evacuated: bool) {
+    /// Records that the store has acknowledged an evacuation, or that one is about to end.
+    pub fn set_zone_evacuated(&self, zone: u8, is_evacuated: bool) {
         let mut state = self.lock();
         if is_evacuated {
             state.evacuated.insert(zone, Instant::now());
@@ -160,109 +162,116 @@
         }
     }
 
-    /// The store has acknowledged that a route was added or withdrawn.
-    pub fn route(&self, port: u16, is_added: bool) {
+    /// Records that the store has acknowledged that a route was added or withdrawn.
+    pub fn set_route(&self, port: u16, is_added: bool) {
         self.lock().routes.insert(port, (is_added, Instant::now()));
     }
 
-    /// A backend server of a zone took an opening packet from an instance.
-    pub fn opened(&self, serial: u64, zone: u8, port: u16, instance: Ipv4Addr) {
+    /// Checks that a backend server may get a new flow from an instance.
+    pub fn flow_opened(&self, serial: u64, zone: u8, port: u16, instance: Ipv4Addr) {
         let now = Instant::now();
         let state = self.lock();
-        if !state.is_in_touch(instance, now) {
+        if !state.is_undisturbed(instance, now) {
             return;
         }
-        let is_late = |since: &Instant| now > *since + BOUND + SLACK;
+        let is_late = |since: &Instant| now > *since + PROPAGATION_BOUND + SCHEDULING_SLACK;
         let draining = state.draining.get(&serial).filter(|since| is_late(since));
-        let late = draining.map(|since| now - *since);
+        let draining_for = draining.map(|since| now - *since);
         let withdrawn = state.routes.get(&port);
         let withdrawn = withdrawn.filter(|(added, since)| !added && is_late(since));
-        let dropped = withdrawn.map(|(_, since)| now - *since);
+        let withdrawn_for = withdrawn.map(|(_, since)| now - *since);
         let evacuated = state.evacuated.get(&zone).filter(|since| is_late(since));
-        let emptied = evacuated.map(|since| now - *since);
+        let evacuated_for = evacuated.map(|since| now - *since);
         drop(state);
-        if let Some(late) = emptied {
+        if let Some(late) = evacuated_for {
             let detail = format!("server {serial:x} after {late:?} by {instance}");
-            self.breach("evacuated zone got a new flow", detail);
+            self.record_breach("evacuated zone got a new flow", detail);
         }
-        if let Some(late) = late {
+        if let Some(late) = draining_for {
             let detail = format!("server {serial:x} after {late:?} by {instance}");
-            self.breach("draining server got a new flow", detail);
+            self.record_breach("draining server got a new flow", detail);
         }
-        if let Some(late) = dropped {
+        if let Some(late) = withdrawn_for {
             let detail = format!("port {port} after {late:?} by {instance}");
-            self.breach("withdrawn route used", detail);
+            self.record_breach("withdrawn route used", detail);
         }
     }
 
-    /// A backend server began a request.
-    pub fn ran(&self, request: u64, may_repeat: bool) {
+    /// Records that a backend server runs a request, and checks that the request may run.
+    pub fn request_started(&self, request: u64, is_idempotent: bool) {
         let mut state = self.lock();
-        let runs = state.runs.entry(request).or_default();
-        *runs += 1;
-        let runs = *runs;
+        let run_count = state.run_counts.entry(request).or_default();
+        *run_count += 1;
+        let run_count = *run_count;
         drop(state);
-        if runs > 1 && !may_repeat {
-            self.breach("non-idempotent request ran twice", format!("{request:x}"));
+        if run_count > 1 && !is_idempotent {
+            self.record_breach("non-idempotent request ran twice", format!("{request:x}"));
         }
     }
 
-    /// The system has reset a flow that was open at a server.
-    pub fn reset_open(&self, serial: u64, detail: &str) {
-        let second = self.second();
+    /// Records that the system has reset a flow that was open at a server, and checks that
+    /// the server has stopped or a fault explains the reset.
+    pub fn open_flow_reset(&self, serial: u64, detail: &str) {
+        let index = self.current_second();
         let mut state = self.lock();
-        let is_alive = state.alive.contains_key(&serial);
-        state.at(second).reset += 1;
-        let calm = state
-            .disturbed
+        let is_running = state.running_servers.contains_key(&serial);
+        state.counts_at(index).reset += 1;
+        let is_calm = state
+            .disturbed_until
             .values()
-            .all(|at| Instant::now() > *at + TOUCH);
-        let calm = calm && state.is_store_calm(Instant::now());
+            .all(|at| Instant::now() > *at + RECOVERY_TIME);
+        let is_calm = is_calm && state.is_store_undisturbed(Instant::now());
         drop(state);
-        if is_alive && calm {
+        if is_running && is_calm {
             let detail = format!("server {serial:x}: {detail}");
-            self.breach("open flow of a living server reset", detail);
+            self.record_breach("open flow of a living server reset", detail);
         }
     }
 
-    /// A new flow to a route was reset although servers take some.
-    pub fn refused(&self, port: u16) {
+    /// Checks that the reset of a new flow by the system is explained by a fault or by a
+    /// recent change of its route. Each route always has a ready server.
+    pub fn flow_refused(&self, port: u16) {
         let now = Instant::now();
         let state = self.lock();
         let known = state.routes.get(&port);
-        let is_old = known.is_some_and(|(added, since)| *added && now > *since + BOUND + SLACK);
-        let calm = state.disturbed.values().all(|at| now > *at + TOUCH);
-        let is_breach = is_old && calm && state.is_store_calm(now);
+        let is_settled = known.is_some_and(|(added, since)| {
+            *added && now > *since + PROPAGATION_BOUND + SCHEDULING_SLACK
+        });
+        let is_calm = state
+            .disturbed_until
+            .values()
+            .all(|at| now > *at + RECOVERY_TIME);
+        let is_breach = is_settled && is_calm && state.is_store_undisturbed(now);
         drop(state);
         if is_breach {
-            self.breach("known route refused", format!("port {port}"));
+            self.record_breach("known route refused", format!("port {port}"));
         }
     }
 
-    /// A request has ended for its caller.
-    pub fn settle(&self, outcome: Outcome) {
-        let second = self.second();
+    /// Counts the outcome of a request.
+    pub fn request_finished(&self, outcome: Outcome) {
+        let index = self.current_second();
         let mut state = self.lock();
-        let row = state.at(second);
+        let counts = state.counts_at(index);
         match outcome {
-            Outcome::Served => row.served += 1,
-            Outcome::Refused | Outcome::Silent => row.failed += 1,
+            Outcome::Served => counts.served += 1,
+            Outcome::Refused | Outcome::TimedOut => counts.failed += 1,
         }
     }
 
-    /// An instance has told how old its copy of the store is.
-    pub fn view_age(&self, age_ms: u64) {
-        let second = self.second();
+    /// Records the age of the copy of the store that an instance reports.
+    pub fn record_view_age(&self, age_ms: u64) {
+        let index = self.current_second();
         let mut state = self.lock();
-        let row = state.at(second);
-        row.oldest_view_ms = row.oldest_view_ms.max(age_ms);
+        let counts = state.counts_at(index);
+        counts.oldest_view_ms = counts.oldest_view_ms.max(age_ms);
     }
 
-    fn second(&self) -> usize {
+    fn current_second(&self) -> usize {
         self.start.elapsed().as_secs() as usize
     }
 
-    /// What was seen.
+    /// Results of the run so far.
     pub fn summary(&self) -> Summary {
         let state = self.lock();
         Summary {
@@ -274,30 +283,31 @@
 }
 
 impl State {
-    fn at(&mut self, second: usize) -> &mut Second {
-        if self.seconds.len() <= second {
-            self.seconds.resize(second + 1, Second::default());
+    fn counts_at(&mut self, index: usize) -> &mut SecondCounts {
+        if self.seconds.len() <= index {
+            self.seconds.resize(index + 1, SecondCounts::default());
         }
-        &mut self.seconds[second]
+        &mut self.seconds[index]
     }
 
-    fn is_store_calm(&self, now: Instant) -> bool {
-        self.store_disturbed.is_none_or(|until| now > until + TOUCH)
+    fn is_store_undisturbed(&self, now: Instant) -> bool {
+        self.store_disturbed_until
+            .is_none_or(|until| now > until + RECOVERY_TIME)
     }
 
-    fn is_in_touch(&self, instance: Ipv4Addr, now: Instant) -> bool {
-        let until = self.disturbed.get(&instance);
-        self.is_store_calm(now) && until.is_none_or(|until| now > *until + TOUCH)
+    fn is_undisturbed(&self, instance: Ipv4Addr, now: Instant) -> bool {
+        let until = self.disturbed_until.get(&instance);
+        self.is_store_undisturbed(now) && until.is_none_or(|until| now > *until + RECOVERY_TIME)
     }
 }
 
-/// Everything that a run has shown.
+/// Results of a run.
 #[derive(Clone, Debug)]
 pub struct Summary {
-    /// Broken promises.
+    /// Violated guarantees.
     pub breaches: Vec<Breach>,
-    /// The run by seconds.
-    pub seconds: Vec<Second>,
-    /// Faults and when they began.
+    /// Counts of each second of the run.
+    pub seconds: Vec<SecondCounts>,
+    /// Faults and their start times.
     pub faults: Vec<(Duration, String)>,
 }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,8 +1,9 @@
-//! Real entry instances as processes, a small model of the systems around them,
-//! faults from outside by seed, and a ledger that checks the promises meanwhile.
+//! A fault injection test: it runs the entry instances as processes, simulates the
+//! systems around them, injects faults drawn from a seed, and checks the system's
+//! guarantees throughout the run.
 //!
 //! Everything runs on the loopback range: callers, routers, backend servers and
-//! the store are tasks of this process, each with addresses of its own.
+//! the store are tasks of this process, each with its own addresses.
 
 pub mod backend;
 pub mod caller;
--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -1,4 +1,5 @@
-//! A TCP link that can be harmed, from an instance to the store or to another one.
+//! A TCP proxy that simulates link faults, between an instance and the store or between
+//! instances.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -19,35 +20,35 @@
 use crate::Error;
 use crate::Result;
 
-/// How a link behaves.
+/// Fault of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Harm {
-    /// As it should.
+    /// The link works.
     #[default]
     None,
-    /// Bytes wait, in both directions, and new connections hang.
+    /// Bytes are held back in both directions, also on new connections.
     Cut,
-    /// Calls arrive, answers wait.
+    /// Requests are forwarded, responses are held back.
     OneWay,
-    /// Connections are closed at once.
+    /// Open and new connections are closed at once.
     Reset,
-    /// Bytes come so many milliseconds later.
+    /// Bytes are delayed by so many milliseconds.
     Delay(u64),
-    /// Open connections go silent for good, new ones work.
+    /// Connections opened before the fault never forward another byte; new ones work.
     Forgotten,
-    /// Answers of all connections together come at so many bytes a second.
+    /// Responses of all connections share a rate of so many bytes per second.
     Rate(u64),
 }
 
-/// One link.
+/// A link, which accepts connections and forwards them.
 pub struct Link {
     harm: watch::Sender<Harm>,
-    /// When the answers sent so far have passed, at the link's rate.
-    free_at: Mutex<Instant>,
+    /// When the responses so far have been transmitted at the limited rate.
+    rate_free_at: Mutex<Instant>,
 }
 
 impl Link {
-    /// A link from an address to another one.
+    /// Listens on one address and forwards connections to another one.
     ///
     /// # Errors
     ///
@@ -60,83 +61,98 @@
         })?;
         let link = Arc::new(Self {
             harm: watch::Sender::default(),
-            free_at: Mutex::new(Instant::now()),
+            rate_free_at: Mutex::new(Instant::now()),
         });
-        let accepting = Arc::clone(&link);
+        let accepting_link = Arc::clone(&link);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(relay(stream, to, Arc::clone(&accepting)));
+                tokio::spawn(relay(stream, to, Arc::clone(&accepting_link)));
             }
         });
         Ok(link)
     }
 
-    /// Changes how the link behaves.
+    /// Sets the fault of the link; `None` ends it.
     pub fn set(&self, harm: Harm) {
         self.harm.send_replace(harm);
     }
 
-    /// Waits until so many bytes of answers have passed.
-    async fn carry(&self, bytes: usize) {
+    /// Waits until so many bytes of responses have been transmitted at the limited rate.
+    async fn wait_for_rate(&self, bytes: usize) {
         let Harm::Rate(rate) = *self.harm.borrow() else {
             return;
         };
-        let taken = Duration::from_secs_f64(bytes as f64 / rate.max(1) as f64);
+        let transmission_time = Duration::from_secs_f64(bytes as f64 / rate.max(1) as f64);
         let until = {
-            let mut free_at = self.free_at.lock().unwrap_or_else(PoisonError::into_inner);
-            *free_at = (*free_at).max(Instant::now()) + taken;
-            *free_at
+            let mut rate_free_at = self
+                .rate_free_at
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner);
+            *rate_free_at = (*rate_free_at).max(Instant::now()) + transmission_time;
+            *rate_free_at
         };
         time::sleep_until(until).await;
     }
 }
 
-async fn relay(near: TcpStream, to: SocketAddrV4, link: Arc<Link>) {
+async fn relay(client: TcpStream, to: SocketAddrV4, link: Arc<Link>) {
     let harm = link.harm.subscribe();
-    // A connection made while others are forgotten is a new one, and works.
-    let is_new = *harm.borrow() == Harm::Forgotten;
+    // A connection opened during `Forgotten` is not affected by that fault.
+    let opened_during_fault = *harm.borrow() == Harm::Forgotten;
     if *harm.borrow() == Harm::Reset {
         return;
     }
-    let Ok(far) = TcpStream::connect(to).await else {
+    let Ok(server) = TcpStream::connect(to).await else {
         return;
     };
-    let (near_in, near_out) = near.into_split();
-    let (far_in, far_out) = far.into_split();
-    let calls = pump(near_in, far_out, &link, Way::Calls, is_new);
-    let answers = pump(far_in, near_out, &link, Way::Answers, is_new);
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    let requests = forward(
+        client_read,
+        server_write,
+        &link,
+        Direction::Requests,
+        opened_during_fault,
+    );
+    let responses = forward(
+        server_read,
+        client_write,
+        &link,
+        Direction::Responses,
+        opened_during_fault,
+    );
     tokio::select! {
-        () = calls => {}
-        () = answers => {}
+        () = requests => {}
+        () = responses => {}
     }
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Way {
-    Calls,
-    Answers,
+enum Direction {
+    Requests,
+    Responses,
 }
 
-async fn pump(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     link: &Link,
-    way: Way,
-    is_new: bool,
+    direction: Direction,
+    opened_during_fault: bool,
 ) {
     let mut harm = link.harm.subscribe();
     let mut buffer = vec![0; 16 << 10];
     loop {
         let read = tokio::select! {
             read = from.read(&mut buffer) => read,
-            () = broken(&mut harm, is_new) => return,
+            () = wait_for_reset(&mut harm, opened_during_fault) => return,
         };
         let Ok(length @ 1..) = read else { return };
-        if !pass(&mut harm, way, is_new).await {
+        if !wait_to_forward(&mut harm, direction, opened_during_fault).await {
             return;
         }
-        if way == Way::Answers {
-            link.carry(length).await;
+        if direction == Direction::Responses {
+            link.wait_for_rate(length).await;
         }
         if to.write_all(&buffer[..length]).await.is_err() {
             return;
@@ -144,14 +160,14 @@
     }
 }
 
-/// Returns when the link resets its connections; stays for ever once the
-/// connection is forgotten.
-async fn broken(harm: &mut watch::Receiver<Harm>, is_new: bool) {
+/// Returns when the link resets its connections. Never returns once the connection is
+/// affected by `Forgotten`, so that it stays open without forwarding anything.
+async fn wait_for_reset(harm: &mut watch::Receiver<Harm>, opened_during_fault: bool) {
     loop {
-        let now = *harm.borrow_and_update();
-        match now {
+        let current = *harm.borrow_and_update();
+        match current {
             Harm::Reset => return,
-            Harm::Forgotten if !is_new => std::future::pending::<()>().await,
+            Harm::Forgotten if !opened_during_fault => std::future::pending::<()>().await,
             _ => {}
         }
         if harm.changed().await.is_err() {
@@ -160,14 +176,18 @@
     }
 }
 
-/// Waits until bytes may pass; `false` when the connection is to be closed.
-async fn pass(harm: &mut watch::Receiver<Harm>, way: Way, is_new: bool) -> bool {
+/// Waits until bytes may be forwarded; `false` if the connection must be closed.
+async fn wait_to_forward(
+    harm: &mut watch::Receiver<Harm>,
+    direction: Direction,
+    opened_during_fault: bool,
+) -> bool {
     loop {
-        let now = *harm.borrow_and_update();
-        match now {
+        let current = *harm.borrow_and_update();
+        match current {
             Harm::None | Harm::Rate(_) => return true,
-            Harm::OneWay if way == Way::Calls => return true,
-            Harm::Forgotten if is_new => return true,
+            Harm::OneWay if direction == Direction::Requests => return true,
+            Harm::Forgotten if opened_during_fault => return true,
             Harm::Reset => return false,
             Harm::Delay(ms) => {
                 time::sleep(Duration::from_millis(ms)).await;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,6 +1,7 @@
-//! Plays runs by seed and says which promises were broken.
+//! Runs the fault injection test for each seed and reports the violated guarantees.
 //!
-//! Exit codes: 0 when none was, 1 when some were, 2 when a run could not be played.
+//! Exit codes: 0 without violations, 1 with violations, 2 when a run could not be
+//! carried out.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -18,7 +19,7 @@
 use soak::world::Size;
 use tokio::runtime::Runtime;
 
-/// Seeds from the first up to the last, both included
+/// Inclusive range of seeds
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Seeds {
     first: u64,
@@ -29,11 +30,11 @@
     type Err = String;
 
     fn from_str(text: &str) -> std::result::Result<Self, String> {
-        let number = |text: &str| text.parse::<u64>().map_err(|e| format!("{text:?}: {e}"));
+        let parse_number = |text: &str| text.parse::<u64>().map_err(|e| format!("{text:?}: {e}"));
         let (first, last) = text.split_once("..").unwrap_or((text, text));
         Ok(Self {
-            first: number(first)?,
-            last: number(last)?,
+            first: parse_number(first)?,
+            last: parse_number(last)?,
         })
     }
 }
@@ -70,17 +71,17 @@
 
 fn main() -> ExitCode {
     let arguments = arguments().run();
-    let mut broken = 0;
+    let mut breach_count = 0;
     for seed in arguments.seeds.first..=arguments.seeds.last {
         match run(&arguments, seed) {
-            Ok(breaches) => broken += breaches,
+            Ok(breaches) => breach_count += breaches,
             Err(error) => {
                 eprintln!("soak: seed {seed}: {error}");
                 return ExitCode::from(2);
             }
         }
     }
-    if broken == 0 {
+    if breach_count == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -89,7 +90,7 @@
 
 fn run(arguments: &Arguments, seed: u64) -> Result<usize> {
     let folder = arguments.folder.join(format!("seed-{seed}"));
-    renew(&folder)?;
+    recreate_folder(&folder)?;
     let options = Options {
         seed,
         size: Size {
@@ -106,7 +107,7 @@
         },
         evacuates: true,
     };
-    // A runtime of its own: when it goes, so do the run's tasks and sockets.
+    // Dropping the runtime ends all tasks of the run and closes their sockets.
     let runtime = Runtime::new().map_err(|error| Error::Process {
         name: "runtime".to_owned(),
         reason: error.to_string(),
@@ -115,12 +116,12 @@
     drop(runtime);
     let text = report::text(seed, &summary);
     print!("{text}");
-    write(&folder.join("report.txt"), &text)?;
+    write_file(&folder.join("report.txt"), &text)?;
     report::plot(&folder.join("plot.svg"), &summary)?;
     Ok(summary.breaches.len())
 }
 
-fn renew(folder: &Path) -> Result<()> {
+fn recreate_folder(folder: &Path) -> Result<()> {
     let failed = |source| Error::File {
         path: folder.to_owned(),
         source,
@@ -131,7 +132,7 @@
     std::fs::create_dir_all(folder).map_err(failed)
 }
 
-fn write(path: &Path, text: &str) -> Result<()> {
+fn write_file(path: &Path, text: &str) -> Result<()> {
     std::fs::write(path, text).map_err(|source| Error::File {
         path: path.to_owned(),
         source,
--- a/soak/src/net.rs
+++ b/soak/src/net.rs
@@ -1,4 +1,4 @@
-//! Addresses on the loopback range, and packets as the ends write them.
+//! Addresses on the loopback range, and packets as callers and servers write them.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -11,25 +11,26 @@
 use crate::Error;
 use crate::Result;
 
-/// Flags as they stand in a packet.
+/// Flag of a packet that opens a flow.
 pub const SYN: u8 = 2;
-/// The acknowledgement counts.
+/// Flag of a packet whose acknowledgement number is valid.
 pub const ACK: u8 = 4;
-/// Abandons a flow.
+/// Flag of a packet that resets a flow.
 pub const RST: u8 = 32;
-/// Ends a flow.
+/// Flag of a packet that closes a flow.
 pub const FIN: u8 = 64;
 
-/// Where the ends' checksum stands, and where what it leaves out does.
-const SUM: usize = 30;
-const UNSUMMED: std::ops::Range<usize> = 3..10;
+/// Offset of the endpoints' checksum in a packet.
+const CHECKSUM_OFFSET: usize = 30;
+/// Bytes of a packet that the checksum does not cover.
+const UNCHECKED_BYTES: std::ops::Range<usize> = 3..10;
 
-/// The addresses of one run; runs side by side differ in their block.
+/// Addresses of one run; runs at the same time need different blocks.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
     /// Second byte of all addresses.
     pub block: u8,
-    /// Port at which callers take packets and instances receive them.
+    /// Port on all addresses for packets, the store and the links.
     pub port: u16,
 }
 
@@ -54,68 +55,69 @@
         SocketAddrV4::new(Ipv4Addr::new(127, self.block, 4, 1), self.port)
     }
 
-    /// Where an instance finds the store, by a link of its own.
+    /// Address of an instance's link to the store.
     pub fn store_link(&self, number: u8) -> SocketAddrV4 {
         SocketAddrV4::new(Ipv4Addr::new(127, self.block, 5, number), self.port)
     }
 
-    /// Where other instances find an instance, by a link.
+    /// Address of the link by which other instances reach an instance.
     pub fn peer_link(&self, number: u8) -> SocketAddrV4 {
         SocketAddrV4::new(Ipv4Addr::new(127, self.block, 6, number), self.port)
     }
 }
 
-/// Binds a socket.
+/// Binds a UDP socket.
 pub(crate) async fn bind(address: SocketAddrV4) -> Result<UdpSocket> {
     let bound = UdpSocket::bind(address).await;
     bound.map_err(|source| Error::Bind { address, source })
 }
 
-/// A packet as an end writes it.
+/// A packet as a caller or a server writes it.
 #[derive(Clone, Copy, Debug)]
 pub struct Packet<'a> {
-    /// Who sends it.
+    /// Source of the packet.
     pub from: SocketAddrV4,
-    /// Who it is for.
+    /// Destination of the packet.
     pub to: SocketAddrV4,
-    /// Flags.
+    /// Flags, such as `SYN | ACK`.
     pub flags: u8,
     /// Sequence number.
     pub seq: u32,
     /// Acknowledgement number.
     pub ack: u32,
-    /// The tag that the end saw last.
+    /// Tag of the last packet that the endpoint received in this flow.
     pub tag: Tag,
-    /// Data.
+    /// Payload.
     pub data: &'a [u8],
 }
 
 impl Packet<'_> {
-    /// The bytes, with the ends' checksum.
+    /// Encodes the packet with its checksum.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![0; HEAD];
         bytes[..2].copy_from_slice(&(self.data.len() as u16).to_be_bytes());
         bytes[2] = self.flags;
         bytes[10..14].copy_from_slice(&self.seq.to_be_bytes());
         bytes[14..18].copy_from_slice(&self.ack.to_be_bytes());
-        put(&mut bytes, 18, self.from);
-        put(&mut bytes, 24, self.to);
+        write_endpoint(&mut bytes, 18, self.from);
+        write_endpoint(&mut bytes, 24, self.to);
         packet::set_tag(&mut bytes, self.tag);
         bytes.extend_from_slice(self.data);
-        let sum = sum(&bytes);
-        bytes[SUM..HEAD].copy_from_slice(&sum.to_be_bytes());
+        let checksum = checksum(&bytes);
+        bytes[CHECKSUM_OFFSET..HEAD].copy_from_slice(&checksum.to_be_bytes());
         bytes
     }
 }
 
-fn put(bytes: &mut [u8], at: usize, end: SocketAddrV4) {
-    bytes[at..at + 2].copy_from_slice(&end.port().to_be_bytes());
-    bytes[at + 2..at + 6].copy_from_slice(&end.ip().octets());
+fn write_endpoint(bytes: &mut [u8], at: usize, endpoint: SocketAddrV4) {
+    bytes[at..at + 2].copy_from_slice(&endpoint.port().to_be_bytes());
+    bytes[at + 2..at + 6].copy_from_slice(&endpoint.ip().octets());
 }
 
-/// FNV-1a over what the checksum covers; never 0, which marks the system's own.
-fn sum(bytes: &[u8]) -> u32 {
-    let covered = |at: &usize| !UNSUMMED.contains(at) && !(SUM..HEAD).contains(at);
+/// FNV-1a over the covered bytes. Never 0, which marks packets that the system writes.
+fn checksum(bytes: &[u8]) -> u32 {
+    let covered =
+        |at: &usize| !UNCHECKED_BYTES.contains(at) && !(CHECKSUM_OFFSET..HEAD).contains(at);
     let indexes = (0..bytes.len()).filter(covered);
     let hash = indexes.fold(0x811c_9dc5_u32, |hash, at| {
         (hash ^ u32::from(bytes[at])).wrapping_mul(0x0100_0193)
@@ -123,23 +125,25 @@
     hash.max(1)
 }
 
-/// Who wrote a packet.
+/// Author of a packet, by its checksum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Author {
-    /// The end, and nobody changed it.
-    End,
-    /// The system, which may only reset.
+    /// A caller or a server; the packet is unchanged.
+    Endpoint,
+    /// The system, which may only write resets.
     System,
-    /// Somebody else.
+    /// The checksum does not match: the packet was altered on its way.
     Altered,
 }
 
-/// Tells by the checksum who wrote a packet.
+/// Determines the author of a packet by its checksum.
 pub fn author(bytes: &[u8]) -> Author {
-    let written = bytes.get(SUM..HEAD).map(|b| [b[0], b[1], b[2], b[3]]);
-    match written.map(u32::from_be_bytes) {
+    let checksum_bytes = bytes
+        .get(CHECKSUM_OFFSET..HEAD)
+        .map(|b| [b[0], b[1], b[2], b[3]]);
+    match checksum_bytes.map(u32::from_be_bytes) {
         Some(0) => Author::System,
-        Some(written) if written == sum(bytes) => Author::End,
+        Some(written) if written == checksum(bytes) => Author::Endpoint,
         _ => Author::Altered,
     }
 }
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -1,4 +1,4 @@
-//! Entry instances as processes: started, signalled, and started again.
+//! Processes of the entry instances: starts them, signals them and restarts them.
 
 use std::fs::File;
 use std::net::Ipv4Addr;
@@ -24,59 +24,60 @@
 use crate::Result;
 use crate::ledger::Ledger;
 
-/// Time between two looks at a process.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Time between two checks whether a process has exited.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Pause before a process that has ended is started again.
-const RESTART: Duration = Duration::from_millis(300);
+/// Pause before a process that has exited is restarted.
+const RESTART_DELAY: Duration = Duration::from_millis(300);
 
-/// Longest planned stop.
-const GRACE: Duration = Duration::from_secs(6);
+/// Grace period of a planned stop. A process that exceeds it is killed.
+const STOP_GRACE: Duration = Duration::from_secs(6);
 
-/// Port of readiness, status and subscriptions, on each instance's address.
+/// Port of the readiness endpoint, on each instance's address.
 pub const READY: u16 = 7_001;
-/// Port of metrics and status.
+/// Port of the metrics and status endpoints.
 pub const STATUS: u16 = 7_002;
-/// Port of subscriptions.
+/// Port on which other instances subscribe.
 pub const PEERS: u16 = 7_003;
 
-/// What an instance is started with.
+/// Parameters of an instance.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// The program.
+    /// Program file.
     pub program: PathBuf,
-    /// Where settings and logs are kept.
+    /// Folder for settings and logs.
     pub folder: PathBuf,
-    /// Its name.
+    /// Name of the instance.
     pub name: String,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: String,
-    /// Its address.
+    /// Address of the instance.
     pub address: Ipv4Addr,
     /// Port for packets.
     pub packets: u16,
-    /// Its link to the store.
+    /// Address of its link to the store.
     pub store: SocketAddrV4,
-    /// Where other instances find it.
+    /// Address that it advertises to other instances.
     pub peers: SocketAddrV4,
-    /// Time in which changes of the store must be in force.
+    /// Time within which changes of the store must be applied.
     pub bound: Duration,
-    /// Longest wait for another instance's copy at the start.
+    /// Longest wait for another instance's copy of the store at the start.
     pub copy_wait: Duration,
-    /// Rate of its link, in Mbit/s.
+    /// Bandwidth of its network link, in Mbit/s.
     pub link_mbps: f64,
-    /// Instances to ask when the store does not answer.
+    /// Addresses of instances to contact when the store does not answer.
     pub seeds: Vec<SocketAddrV4>,
 }
 
 struct State {
     child: Option<Child>,
-    /// Whether its end is of the soak's making.
-    is_meant: bool,
-    is_over: bool,
+    /// Whether the process was sent a signal that ends it.
+    is_end_requested: bool,
+    /// Whether the process must not be restarted.
+    is_shut_down: bool,
 }
 
-/// One instance, whatever process it has at the moment.
+/// An instance, with its current process if that is running.
 pub struct Instance {
     setup: Setup,
     state: Mutex<State>,
@@ -93,25 +94,25 @@
         let instance = Arc::new(Self {
             state: Mutex::new(State {
                 child: Some(spawn(&setup)?),
-                is_meant: false,
-                is_over: false,
+                is_end_requested: false,
+                is_shut_down: false,
             }),
             setup,
         });
         Ok(instance)
     }
 
-    /// Where it runs.
+    /// Address of the instance.
     pub fn address(&self) -> Ipv4Addr {
         self.setup.address
     }
 
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub fn zone(&self) -> &str {
         &self.setup.zone
     }
 
-    /// Its name.
+    /// Name of the instance.
     pub fn name(&self) -> &str {
         &self.setup.name
     }
@@ -120,56 +121,57 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends a signal to its process, and to no other.
+    /// Sends a signal to the process, if it has not been waited for yet.
     pub fn signal(&self, signal: Signal) {
         let mut state = self.lock();
-        state.is_meant |= matches!(signal, Signal::SIGTERM | Signal::SIGKILL);
+        state.is_end_requested |= matches!(signal, Signal::SIGTERM | Signal::SIGKILL);
         if let Some(child) = &state.child {
             let id = Pid::from_raw(child.id() as i32);
-            // It may have ended just now; its id is ours until it is waited for.
+            // The process may just have exited. Its id is not reused until it is waited for,
+            // so the signal cannot reach another process.
             let _ = signal::kill(id, signal);
         }
     }
 
-    /// Starts it again whenever it ends, until the run is over.
+    /// Restarts the process whenever it exits, until `end` is called.
     ///
     /// # Errors
     ///
-    /// Fails when the program cannot be started again.
+    /// Fails when the program cannot be restarted.
     pub async fn watch(self: Arc<Self>, ledger: Arc<Ledger>) -> Result<()> {
         let mut stopping_for = Duration::ZERO;
         loop {
-            time::sleep(LOOK_EVERY).await;
-            if self.lock().is_over {
+            time::sleep(POLL_INTERVAL).await;
+            if self.lock().is_shut_down {
                 return Ok(());
             }
-            if !self.has_ended(&ledger) {
-                // A platform kills what outlives its grace time.
-                let is_stopping = self.lock().is_meant;
+            if !self.check_exit(&ledger) {
+                // As a platform does, kills a process that exceeds its grace period.
+                let is_stopping = self.lock().is_end_requested;
                 stopping_for = match is_stopping {
-                    true => stopping_for + LOOK_EVERY,
+                    true => stopping_for + POLL_INTERVAL,
                     false => Duration::ZERO,
                 };
-                if stopping_for > GRACE {
+                if stopping_for > STOP_GRACE {
                     self.signal(Signal::SIGKILL);
                 }
                 continue;
             }
             stopping_for = Duration::ZERO;
-            ledger.disturb(self.setup.address, RESTART);
-            time::sleep(RESTART).await;
+            ledger.mark_disturbed(self.setup.address, RESTART_DELAY);
+            time::sleep(RESTART_DELAY).await;
             let mut state = self.lock();
-            if state.is_over {
+            if state.is_shut_down {
                 return Ok(());
             }
             state.child = Some(spawn(&self.setup)?);
-            state.is_meant = false;
+            state.is_end_requested = false;
             drop(state);
-            ledger.disturb(self.setup.address, Duration::ZERO);
+            ledger.mark_disturbed(self.setup.address, Duration::ZERO);
         }
     }
 
-    fn has_ended(&self, ledger: &Ledger) -> bool {
+    fn check_exit(&self, ledger: &Ledger) -> bool {
         let mut state = self.lock();
         let Some(child) = &mut state.child else {
             return true;
@@ -178,19 +180,19 @@
             return false;
         };
         state.child = None;
-        if !state.is_meant {
+        if !state.is_end_requested {
             let detail = format!("{}: {status}", self.setup.name);
-            ledger.breach("process ended by itself", detail);
+            ledger.record_breach("process ended by itself", detail);
         }
         true
     }
 
-    /// Ends its process for good.
+    /// Kills the process and does not restart it.
     pub fn end(&self) {
         let mut state = self.lock();
-        state.is_over = true;
+        state.is_shut_down = true;
         if let Some(mut child) = state.child.take() {
-            // It may have ended by itself; either way it is waited for.
+            // Killing fails if the process has exited; it must be waited for either way.
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -221,7 +223,7 @@
             "copy_wait_ms": setup.copy_wait.as_millis() as u64,
         },
         "link_mbps": setup.link_mbps,
-        "grace_ms": GRACE.as_millis() as u64,
+        "grace_ms": STOP_GRACE.as_millis() as u64,
     });
     let path = settings_path(setup);
     std::fs::write(&path, settings.to_string()).map_err(|source| Error::File { path, source })
--- a/soak/src/store.rs
+++ b/soak/src/store.rs
@@ -1,4 +1,4 @@
-//! A metadata store: keys with revisions, leases, long polls, and faults.
+//! A simulated metadata store: keys with revisions, leases, long polls, and faults.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -14,7 +14,7 @@
 use axum::Router;
 use axum::extract::Path;
 use axum::extract::Query;
-use axum::extract::State as Shared;
+use axum::extract::State as AxumState;
 use axum::http::StatusCode;
 use axum::response::IntoResponse;
 use axum::response::Response;
@@ -29,27 +29,27 @@
 use tokio::sync::watch;
 use tokio::time;
 
-/// Changes kept for watches.
-const HISTORY: usize = 1_000;
+/// Count of changes kept for watches.
+const HISTORY_LEN: usize = 1_000;
 
-/// Items on a page.
-const PAGE: usize = 20;
+/// Count of items on a page of a listing.
+const PAGE_SIZE: usize = 20;
 
-/// How the store behaves.
+/// Operating mode of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// As it should.
+    /// It works.
     #[default]
     Up,
     /// It answers 503.
     Busy,
-    /// It answers that there are too many calls.
+    /// It answers 429 (too many requests).
     Limited,
-    /// It takes calls and never answers.
+    /// It accepts requests and never answers them.
     Silent,
-    /// Each answer takes so many milliseconds longer.
+    /// Each answer is delayed by so many milliseconds.
     Slow(u64),
-    /// Every other write is carried out and not answered.
+    /// It never answers every second write, but executes it.
     Losing,
 }
 
@@ -61,101 +61,106 @@
 }
 
 #[derive(Default)]
-struct Tables {
+struct Data {
     mode: Mode,
     rev: u64,
     items: BTreeMap<String, Item>,
     history: VecDeque<(u64, Value)>,
+    /// Revision up to which changes were dropped from the history.
     compacted: u64,
+    /// Expiry and TTL of each lease.
     leases: HashMap<u64, (Instant, Duration)>,
-    writes: u64,
+    /// Count of transactions and new leases.
+    write_count: u64,
+    /// Count of pages of listings that were requested.
     pages: u64,
+    /// Count of requests of all kinds.
     calls: u64,
 }
 
-/// The store.
+/// The store, to be served with [`serve`].
 pub struct Store {
-    tables: Mutex<Tables>,
+    data: Mutex<Data>,
     changed: watch::Sender<u64>,
 }
 
 impl Default for Store {
     fn default() -> Self {
         Self {
-            tables: Mutex::default(),
+            data: Mutex::default(),
             changed: watch::Sender::new(0),
         }
     }
 }
 
 impl Store {
-    fn lock(&self) -> MutexGuard<'_, Tables> {
-        self.tables.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Data> {
+        self.data.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes how the store behaves.
+    /// Sets the operating mode.
     pub fn set_mode(&self, mode: Mode) {
         self.lock().mode = mode;
     }
 
-    /// Writes a key, as the operator or a backend server does.
+    /// Writes a key, as an operator or a backend server does.
     pub fn put(&self, key: &str, value: &Value) {
         let bytes = value.to_string().into_bytes();
         let rev = self.lock().put(key, bytes, 0);
         self.changed.send_replace(rev);
     }
 
-    /// Removes a key.
+    /// Deletes a key.
     pub fn remove(&self, key: &str) {
         let rev = self.lock().remove(key);
         self.changed.send_replace(rev);
     }
 
-    /// Pages of listings that were read.
+    /// Count of pages of listings that were requested.
     pub fn pages(&self) -> u64 {
         self.lock().pages
     }
 
-    /// Calls of all kinds, answered or not.
+    /// Count of requests of all kinds, answered or not.
     pub fn calls(&self) -> u64 {
         self.lock().calls
     }
 
-    /// Drops the history, so that watches have to begin anew.
+    /// Drops the history, so that watches must start again from a listing.
     pub fn compact(&self) {
-        let mut tables = self.lock();
-        tables.history.clear();
-        tables.compacted = tables.rev;
+        let mut data = self.lock();
+        data.history.clear();
+        data.compacted = data.rev;
     }
 
-    /// Removes the keys of leases that have ended.
+    /// Ends the expired leases and deletes their keys.
     pub fn expire(&self) {
         let now = Instant::now();
-        let mut tables = self.lock();
-        let over: Vec<u64> = tables
+        let mut data = self.lock();
+        let expired: Vec<u64> = data
             .leases
             .iter()
             .filter(|(_, (end, _))| now > *end)
             .map(|(id, _)| *id)
             .collect();
-        tables.end(&over);
-        let rev = tables.rev;
-        drop(tables);
+        data.end_leases(&expired);
+        let rev = data.rev;
+        drop(data);
         self.changed.send_replace(rev);
     }
 
-    /// Ends all leases, as a store may that was away.
+    /// Ends all leases, as a store may do after an outage.
     pub fn revoke(&self) {
-        let mut tables = self.lock();
-        let all: Vec<u64> = tables.leases.keys().copied().collect();
-        tables.end(&all);
-        let rev = tables.rev;
-        drop(tables);
+        let mut data = self.lock();
+        let all: Vec<u64> = data.leases.keys().copied().collect();
+        data.end_leases(&all);
+        let rev = data.rev;
+        drop(data);
         self.changed.send_replace(rev);
     }
 }
 
-impl Tables {
+impl Data {
     fn put(&mut self, key: &str, value: Vec<u8>, lease: u64) -> u64 {
         self.rev += 1;
         let item = Item {
@@ -163,7 +168,7 @@
             rev: self.rev,
             lease,
         };
-        self.note(render(key, &item));
+        self.record_event(item_json(key, &item));
         self.items.insert(key.to_owned(), item);
         self.rev
     }
@@ -171,26 +176,26 @@
     fn remove(&mut self, key: &str) -> u64 {
         if self.items.remove(key).is_some() {
             self.rev += 1;
-            self.note(json!({"key": key, "rev": self.rev, "deleted": true}));
+            self.record_event(json!({"key": key, "rev": self.rev, "deleted": true}));
         }
         self.rev
     }
 
-    fn note(&mut self, event: Value) {
+    fn record_event(&mut self, event: Value) {
         self.history.push_back((self.rev, event));
-        if self.history.len() > HISTORY
+        if self.history.len() > HISTORY_LEN
             && let Some((rev, _)) = self.history.pop_front()
         {
             self.compacted = rev;
         }
     }
 
-    fn end(&mut self, leases: &[u64]) {
+    fn end_leases(&mut self, leases: &[u64]) {
         for lease in leases {
             self.leases.remove(lease);
         }
-        let held = |item: &Item| leases.contains(&item.lease);
-        let keys = self.items.iter().filter(|(_, item)| held(item));
+        let is_attached = |item: &Item| leases.contains(&item.lease);
+        let keys = self.items.iter().filter(|(_, item)| is_attached(item));
         let keys: Vec<String> = keys.map(|(key, _)| key.clone()).collect();
         for key in keys {
             self.remove(&key);
@@ -198,7 +203,7 @@
     }
 }
 
-fn render(key: &str, item: &Item) -> Value {
+fn item_json(key: &str, item: &Item) -> Value {
     json!({
         "key": key,
         "value": STANDARD.encode(&item.value),
@@ -210,39 +215,40 @@
 
 /// Serves the store until the process ends.
 pub async fn serve(listener: TcpListener, store: Arc<Store>) {
-    let ticking = Arc::clone(&store);
+    let expiring_store = Arc::clone(&store);
     tokio::spawn(async move {
         loop {
             time::sleep(Duration::from_millis(200)).await;
-            ticking.expire();
+            expiring_store.expire();
         }
     });
     let router = Router::new()
         .route("/kv-range", get(range))
-        .route("/kv-key", get(item))
-        .route("/kv-watch", get(poll))
-        .route("/kv-txn", post(transact))
-        .route("/kv-lease", post(grant))
-        .route("/kv-keep/{lease}", post(keep))
+        .route("/kv-key", get(get_item))
+        .route("/kv-watch", get(long_poll))
+        .route("/kv-txn", post(transaction))
+        .route("/kv-lease", post(grant_lease))
+        .route("/kv-keep/{lease}", post(keep_alive))
         .with_state(store);
     // The listener lives as long as the process.
     let _ = axum::serve(listener, router).await;
 }
 
-type StoreState = Shared<Arc<Store>>;
+type SharedStore = AxumState<Arc<Store>>;
 
-/// Behaves as the mode says before an answer; `Err` is the answer then.
-async fn behave(store: &Store) -> Result<(), Response> {
+/// Applies the operating mode before a request is answered. `Err` holds the answer if the
+/// mode determines it.
+async fn apply_mode(store: &Store) -> Result<(), Response> {
     let mode = {
-        let mut tables = store.lock();
-        tables.calls += 1;
-        tables.mode
+        let mut data = store.lock();
+        data.calls += 1;
+        data.mode
     };
     match mode {
         Mode::Up | Mode::Losing => Ok(()),
         Mode::Busy => Err(StatusCode::SERVICE_UNAVAILABLE.into_response()),
         Mode::Limited => Err(StatusCode::TOO_MANY_REQUESTS.into_response()),
-        Mode::Silent => silence().await,
+        Mode::Silent => never_answer().await,
         Mode::Slow(ms) => {
             time::sleep(Duration::from_millis(ms)).await;
             Ok(())
@@ -250,98 +256,98 @@
     }
 }
 
-/// A connection on which an answer is lost gives nothing more.
-async fn silence() -> Result<(), Response> {
+/// Never returns, so that the request is never answered.
+async fn never_answer() -> Result<(), Response> {
     std::future::pending().await
 }
 
 #[derive(Deserialize)]
-struct Range {
+struct RangeQuery {
     prefix: String,
     after: Option<String>,
 }
 
-async fn range(Shared(store): StoreState, Query(asked): Query<Range>) -> Response {
-    if let Err(answer) = behave(&store).await {
-        return answer;
+async fn range(AxumState(store): SharedStore, Query(request): Query<RangeQuery>) -> Response {
+    if let Err(response) = apply_mode(&store).await {
+        return response;
     }
-    let mut tables = store.lock();
-    tables.pages += 1;
-    let after = asked.after.unwrap_or_default();
-    let matching = tables.items.iter().filter(|(key, _)| {
-        key.starts_with(&asked.prefix) && (after.is_empty() || key.as_str() > after.as_str())
+    let mut data = store.lock();
+    data.pages += 1;
+    let after = request.after.unwrap_or_default();
+    let matching = data.items.iter().filter(|(key, _)| {
+        key.starts_with(&request.prefix) && (after.is_empty() || key.as_str() > after.as_str())
     });
-    let rows: Vec<Value> = matching.map(|(key, item)| render(key, item)).collect();
-    let has_more = rows.len() > PAGE;
-    let items: Vec<Value> = rows.into_iter().take(PAGE).collect();
-    Json(json!({"items": items, "hasMore": has_more, "currentRev": tables.rev})).into_response()
+    let matching_items: Vec<Value> = matching.map(|(key, item)| item_json(key, item)).collect();
+    let has_more = matching_items.len() > PAGE_SIZE;
+    let items: Vec<Value> = matching_items.into_iter().take(PAGE_SIZE).collect();
+    Json(json!({"items": items, "hasMore": has_more, "currentRev": data.rev})).into_response()
 }
 
 #[derive(Deserialize)]
-struct Get {
+struct KeyQuery {
     key: String,
 }
 
-async fn item(Shared(store): StoreState, Query(asked): Query<Get>) -> Response {
-    if let Err(answer) = behave(&store).await {
-        return answer;
+async fn get_item(AxumState(store): SharedStore, Query(request): Query<KeyQuery>) -> Response {
+    if let Err(response) = apply_mode(&store).await {
+        return response;
     }
-    let tables = store.lock();
-    let Some(item) = tables.items.get(&asked.key) else {
+    let data = store.lock();
+    let Some(item) = data.items.get(&request.key) else {
         return StatusCode::NOT_FOUND.into_response();
     };
-    let mut answer = render(&asked.key, item);
-    answer["currentRev"] = json!(tables.rev);
-    Json(answer).into_response()
+    let mut response = item_json(&request.key, item);
+    response["currentRev"] = json!(data.rev);
+    Json(response).into_response()
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Poll {
+struct PollQuery {
     prefix: String,
     after: u64,
     wait_ms: u64,
 }
 
-async fn poll(Shared(store): StoreState, Query(asked): Query<Poll>) -> Response {
-    if let Err(answer) = behave(&store).await {
-        return answer;
+async fn long_poll(AxumState(store): SharedStore, Query(request): Query<PollQuery>) -> Response {
+    if let Err(response) = apply_mode(&store).await {
+        return response;
     }
     let mut changed = store.changed.subscribe();
-    let end = time::Instant::now() + Duration::from_millis(asked.wait_ms);
+    let end = time::Instant::now() + Duration::from_millis(request.wait_ms);
     loop {
-        if let Some(answer) = events(&store, &asked) {
-            // A store that went away meanwhile answers nobody.
-            return behave(&store).await.err().unwrap_or(answer);
+        if let Some(response) = events_since(&store, &request) {
+            // The mode may have changed during the long poll.
+            return apply_mode(&store).await.err().unwrap_or(response);
         }
         let next = time::timeout_at(end, changed.changed()).await;
         if next.is_err() {
             let rev = store.lock().rev;
-            let answer = Json(json!({"events": [], "currentRev": rev})).into_response();
-            return behave(&store).await.err().unwrap_or(answer);
+            let response = Json(json!({"events": [], "currentRev": rev})).into_response();
+            return apply_mode(&store).await.err().unwrap_or(response);
         }
     }
 }
 
-fn events(store: &Store, asked: &Poll) -> Option<Response> {
-    let tables = store.lock();
-    if asked.after < tables.compacted {
+fn events_since(store: &Store, request: &PollQuery) -> Option<Response> {
+    let data = store.lock();
+    if request.after < data.compacted {
         return Some(StatusCode::GONE.into_response());
     }
-    let is_new = |row: &&(u64, Value)| {
-        let key = row.1["key"].as_str().unwrap_or_default();
-        row.0 > asked.after && key.starts_with(&asked.prefix)
+    let is_new = |change: &&(u64, Value)| {
+        let key = change.1["key"].as_str().unwrap_or_default();
+        change.0 > request.after && key.starts_with(&request.prefix)
     };
-    let events: Vec<&Value> = tables
+    let events: Vec<&Value> = data
         .history
         .iter()
         .filter(is_new)
-        .map(|row| &row.1)
+        .map(|change| &change.1)
         .collect();
     if events.is_empty() {
         return None;
     }
-    Some(Json(json!({"events": events, "currentRev": tables.rev})).into_response())
+    Some(Json(json!({"events": events, "currentRev": data.rev})).into_response())
 }
 
 #[derive(Deserialize)]
@@ -358,64 +364,64 @@
     puts: Vec<Put>,
 }
 
-async fn transact(Shared(store): StoreState, Json(asked): Json<Transaction>) -> Response {
-    if let Err(answer) = behave(&store).await {
-        return answer;
+async fn transaction(AxumState(store): SharedStore, Json(request): Json<Transaction>) -> Response {
+    if let Err(response) = apply_mode(&store).await {
+        return response;
     }
-    let (rev, is_lost) = match commit(&store, &asked) {
+    let (rev, is_lost) = match commit(&store, &request) {
         Ok(done) => done,
         Err(status) => return status.into_response(),
     };
-    if is_lost && let Err(answer) = silence().await {
-        return answer;
+    if is_lost && let Err(response) = never_answer().await {
+        return response;
     }
     Json(json!({"rev": rev})).into_response()
 }
 
-/// The new revision, and whether the answer gets lost.
-fn commit(store: &Store, asked: &Transaction) -> Result<(u64, bool), StatusCode> {
-    let mut tables = store.lock();
-    let is_known = |lease: u64| lease == 0 || tables.leases.contains_key(&lease);
-    if !asked.puts.iter().all(|put| is_known(put.lease)) {
+/// Executes a transaction. Returns the new revision, and whether the answer is to be lost.
+fn commit(store: &Store, request: &Transaction) -> Result<(u64, bool), StatusCode> {
+    let mut data = store.lock();
+    let is_known = |lease: u64| lease == 0 || data.leases.contains_key(&lease);
+    if !request.puts.iter().all(|put| is_known(put.lease)) {
         return Err(StatusCode::NOT_FOUND);
     }
-    for put in &asked.puts {
+    for put in &request.puts {
         let value = STANDARD.decode(&put.value);
         let value = value.map_err(|_| StatusCode::BAD_REQUEST)?;
-        tables.put(&put.key, value, put.lease);
+        data.put(&put.key, value, put.lease);
     }
-    tables.writes += 1;
-    let is_lost = tables.mode == Mode::Losing && tables.writes.is_multiple_of(2);
-    let rev = tables.rev;
-    drop(tables);
+    data.write_count += 1;
+    let is_lost = data.mode == Mode::Losing && data.write_count.is_multiple_of(2);
+    let rev = data.rev;
+    drop(data);
     store.changed.send_replace(rev);
     Ok((rev, is_lost))
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Ttl {
+struct LeaseRequest {
     ttl_ms: u64,
 }
 
-async fn grant(Shared(store): StoreState, Json(asked): Json<Ttl>) -> Response {
-    if let Err(answer) = behave(&store).await {
-        return answer;
+async fn grant_lease(AxumState(store): SharedStore, Json(request): Json<LeaseRequest>) -> Response {
+    if let Err(response) = apply_mode(&store).await {
+        return response;
     }
-    let mut tables = store.lock();
-    tables.writes += 1;
-    let lease = 1_000 + tables.writes;
-    let ttl = Duration::from_millis(asked.ttl_ms);
-    tables.leases.insert(lease, (Instant::now() + ttl, ttl));
-    Json(json!({"lease": lease, "ttlMs": asked.ttl_ms})).into_response()
+    let mut data = store.lock();
+    data.write_count += 1;
+    let lease = 1_000 + data.write_count;
+    let ttl = Duration::from_millis(request.ttl_ms);
+    data.leases.insert(lease, (Instant::now() + ttl, ttl));
+    Json(json!({"lease": lease, "ttlMs": request.ttl_ms})).into_response()
 }
 
-async fn keep(Shared(store): StoreState, Path(lease): Path<u64>) -> Response {
-    if let Err(answer) = behave(&store).await {
-        return answer;
+async fn keep_alive(AxumState(store): SharedStore, Path(lease): Path<u64>) -> Response {
+    if let Err(response) = apply_mode(&store).await {
+        return response;
     }
-    let mut tables = store.lock();
-    match tables.leases.get_mut(&lease) {
+    let mut data = store.lock();
+    match data.leases.get_mut(&lease) {
         Some((end, ttl)) => {
             *end = Instant::now() + *ttl;
             Json(json!({"ttlMs": ttl.as_millis() as u64})).into_response()
--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -1,4 +1,4 @@
-//! One run: everything started, faults carried out, promises checked.
+//! Carries out a run: starts all parts, injects the faults, and collects the results.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -21,14 +21,14 @@
 use crate::Result;
 use crate::backend;
 use crate::backend::Identity;
-use crate::backend::Running;
+use crate::backend::RunningBackend;
 use crate::caller;
 use crate::caller::Host;
 use crate::fault;
 use crate::fault::Fault;
 use crate::fault::Kind;
-use crate::ledger::BOUND;
 use crate::ledger::Ledger;
+use crate::ledger::PROPAGATION_BOUND;
 use crate::ledger::Summary;
 use crate::link::Harm;
 use crate::link::Link;
@@ -41,62 +41,62 @@
 use crate::store::Mode;
 use crate::store::Store;
 
-/// Port of the route whose requests may be repeated.
-const FEEDS: u16 = 8_001;
-/// Port of the route whose requests may not.
-const BOOKINGS: u16 = 8_002;
-/// Port of the route that comes and goes.
-const EXTRA: u16 = 8_003;
+/// Port of the route with idempotent requests.
+const IDEMPOTENT_PORT: u16 = 8_001;
+/// Port of the route with non-idempotent requests.
+const NON_IDEMPOTENT_PORT: u16 = 8_002;
+/// Port of the route that is withdrawn and added again.
+const TOGGLED_PORT: u16 = 8_003;
 
-/// Time without faults at the end, after which all is to be well again.
-pub const QUIET_TAIL: Duration = Duration::from_secs(14);
+/// Time without faults at the end of a run, in which the system must recover.
+pub const FAULT_FREE_TAIL: Duration = Duration::from_secs(14);
 
-/// When in that time a server drains and a route is withdrawn: nothing suspends
-/// the bounds any more, and a view that got stuck before shows.
-const LAST_CHANGES: Duration = Duration::from_secs(5);
+/// Time after which a server drains and a route is withdrawn in the fault-free tail. No
+/// fault suspends the bounds there, so an instance whose view is stuck is detected.
+const FINAL_CHANGES_AFTER: Duration = Duration::from_secs(5);
 
-/// Last part of the tail, in which requests must be served.
-const JUDGED_TAIL: Duration = Duration::from_secs(4);
+/// Last part of the fault-free tail, in which requests must be served.
+const RECOVERY_CHECK_WINDOW: Duration = Duration::from_secs(4);
 
-/// Share of the requests in that part, in percent.
-const LEAST_SERVED: u32 = 98;
+/// Smallest share of the requests in that part that must be served, in percent.
+const MIN_SERVED_PERCENT: u32 = 98;
 
-/// How long a crashed server's entry stays.
-const ENTRY_LIFE: Duration = Duration::from_millis(3_600);
+/// Time after which the entry of a crashed server is deleted.
+const ENTRY_TTL: Duration = Duration::from_millis(3_600);
 
-/// How long a draining server stays.
-const DRAIN: Duration = Duration::from_secs(4);
+/// Time for which a draining server runs.
+const DRAIN_TIME: Duration = Duration::from_secs(4);
 
-/// Slack for what a disturbance leaves behind, beside its own length.
-const AFTER: Duration = Duration::from_millis(500);
+/// Time added to the length of a fault, for its after-effects.
+const FAULT_MARGIN: Duration = Duration::from_millis(500);
 
-/// What a run is made of.
+/// Size of a run.
 #[derive(Clone, Debug)]
 pub struct Size {
     /// Entry instances.
     pub instances: u8,
-    /// Backend servers of each of the two services.
+    /// Backend servers of each of the two routes that always exist.
     pub servers: u8,
     /// Callers.
     pub callers: u8,
-    /// How long faults go on.
+    /// Duration of fault injection.
     pub faults_for: Duration,
 }
 
-/// What a run needs beside its size.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Draws the faults.
+    /// Seed from which the faults are drawn.
     pub seed: u64,
     /// Size of the run.
     pub size: Size,
-    /// The entry instances' program.
+    /// Program file of the entry instances.
     pub program: PathBuf,
-    /// Where settings and logs are kept.
+    /// Folder for settings and logs.
     pub folder: PathBuf,
-    /// Addresses.
+    /// Addresses of the run.
     pub plan: Plan,
-    /// Whether zones are evacuated beside the faults.
+    /// Whether zones are evacuated in addition to the faults.
     pub evacuates: bool,
 }
 
@@ -105,44 +105,44 @@
     store: Arc<Store>,
     ledger: Arc<Ledger>,
     instances: Vec<Arc<Instance>>,
-    /// Links to the store, by instance.
-    links: Vec<Arc<Link>>,
-    /// Links of others to an instance, by instance.
+    /// Links from the instances to the store, by instance.
+    store_links: Vec<Arc<Link>>,
+    /// Links from the other instances to an instance, by that instance.
     peer_links: Vec<Arc<Link>>,
     backends: Mutex<Vec<Backend>>,
-    /// Next number of a backend server's address, and of its serial.
-    numbers: AtomicU64,
-    version: AtomicU64,
-    has_extra: AtomicBool,
+    /// Number of the next backend server; its address and serial are derived from it.
+    next_server_number: AtomicU64,
+    config_version: AtomicU64,
+    has_toggled_route: AtomicBool,
 }
 
 struct Backend {
     identity: Identity,
-    _running: Running,
+    _running_backend: RunningBackend,
 }
 
-/// Plays a run and tells what was seen.
+/// Carries out a run and returns its results.
 ///
 /// # Errors
 ///
-/// Fails when an address is taken or a process cannot be started.
+/// Fails when an address is in use or a process cannot be started.
 pub async fn play(options: Options) -> Result<Summary> {
     let world = Arc::new(World::start(options).await?);
     for instance in &world.instances {
         let ledger = Arc::clone(&world.ledger);
-        let watch = Arc::clone(instance).watch(Arc::clone(&ledger));
+        let watching = Arc::clone(instance).watch(Arc::clone(&ledger));
         tokio::spawn(async move {
-            if let Err(error) = watch.await {
-                ledger.breach("process not started again", error);
+            if let Err(error) = watching.await {
+                ledger.record_breach("process not started again", error);
             }
         });
     }
     world.start_callers().await?;
     time::sleep(Duration::from_secs(2)).await;
-    let length = world.options.size.faults_for;
-    let mut faults = fault::draw(world.options.seed, length);
+    let fault_period = world.options.size.faults_for;
+    let mut faults = fault::draw(world.options.seed, fault_period);
     if world.options.evacuates {
-        faults.extend(fault::draw_evacuations(world.options.seed, length));
+        faults.extend(fault::draw_evacuations(world.options.seed, fault_period));
         faults.sort_by_key(|fault| fault.at);
     }
     let begin = Instant::now();
@@ -150,17 +150,17 @@
         let until = begin + fault.at;
         time::sleep_until(until.into()).await;
         let world = Arc::clone(&world);
-        tokio::spawn(world.carry_out(fault));
+        tokio::spawn(world.inject(fault));
     }
-    // What began last may take its own time to end.
+    // Waits for the last faults, which end by themselves.
     time::sleep(Duration::from_secs(5)).await;
-    time::sleep(LAST_CHANGES).await;
+    time::sleep(FINAL_CHANGES_AFTER).await;
     for kind in [Kind::Drain(0), Kind::Route] {
         let at = Duration::ZERO;
-        tokio::spawn(Arc::clone(&world).carry_out(Fault { at, kind }));
+        tokio::spawn(Arc::clone(&world).inject(Fault { at, kind }));
     }
-    time::sleep(QUIET_TAIL - LAST_CHANGES).await;
-    let summary = world.judge();
+    time::sleep(FAULT_FREE_TAIL - FINAL_CHANGES_AFTER).await;
+    let summary = world.check_recovery();
     for instance in &world.instances {
         instance.end();
     }
@@ -175,83 +175,96 @@
         let listener = TcpListener::bind(address).await;
         let listener = listener.map_err(|source| Error::Bind { address, source })?;
         tokio::spawn(store::serve(listener, Arc::clone(&store)));
-        let mut links = Vec::new();
+        let mut store_links = Vec::new();
         let mut peer_links = Vec::new();
         let mut instances = Vec::new();
         for number in 1..=options.size.instances {
             let peers = SocketAddrV4::new(plan.instance(number), process::PEERS);
-            links.push(Link::open(plan.store_link(number), address).await?);
+            store_links.push(Link::open(plan.store_link(number), address).await?);
             peer_links.push(Link::open(plan.peer_link(number), peers).await?);
-            instances.push(Instance::start(setup(&options, number))?);
+            instances.push(Instance::start(instance_setup(&options, number))?);
         }
         let world = Self {
             ledger: Arc::new(Ledger::default()),
             backends: Mutex::default(),
-            numbers: AtomicU64::new(1),
-            version: AtomicU64::new(0),
-            has_extra: AtomicBool::new(true),
+            next_server_number: AtomicU64::new(1),
+            config_version: AtomicU64::new(0),
+            has_toggled_route: AtomicBool::new(true),
             options,
             store,
             instances,
-            links,
+            store_links,
             peer_links,
         };
-        world.configure();
-        for round in 0..world.options.size.servers {
-            let zone = world.options.evacuates.then_some(round % 2);
-            world.add_server(FEEDS, zone).await?;
-            world.add_server(BOOKINGS, zone).await?;
+        world.write_config();
+        for index in 0..world.options.size.servers {
+            let zone = world.options.evacuates.then_some(index % 2);
+            world.add_server(IDEMPOTENT_PORT, zone).await?;
+            world.add_server(NON_IDEMPOTENT_PORT, zone).await?;
         }
         let zone = world.options.evacuates.then_some(0);
-        world.add_server(EXTRA, zone).await?;
+        world.add_server(TOGGLED_PORT, zone).await?;
         if world.options.evacuates {
-            world.add_server(EXTRA, Some(1)).await?;
+            world.add_server(TOGGLED_PORT, Some(1)).await?;
         }
         Ok(world)
     }
 
     async fn start_callers(&self) -> Result<()> {
         let plan = self.options.plan;
-        let requests = Arc::new(AtomicU64::new(1));
-        let zones = [2, 1].map(|number| self.start_router(zone(number), &requests));
+        let next_request_id = Arc::new(AtomicU64::new(1));
+        let zones = [2, 1].map(|number| self.start_routers(zone_name(number), &next_request_id));
         for number in 1..=self.options.size.callers {
-            let shared = &zones[usize::from(number % 2)];
+            let context = &zones[usize::from(number % 2)];
             let address = SocketAddrV4::new(plan.caller(number), plan.port);
-            let host = Host::new(address, Arc::clone(shared)).await?;
+            let host = Host::new(address, Arc::clone(context)).await?;
             let seed = self.options.seed ^ u64::from(number);
-            tokio::spawn(Arc::clone(&host).use_route(service(FEEDS), true, seed));
-            tokio::spawn(Arc::clone(&host).try_route(service(EXTRA), seed));
-            tokio::spawn(host.use_route(service(BOOKINGS), false, seed));
+            tokio::spawn(Arc::clone(&host).send_requests(
+                service_address(IDEMPOTENT_PORT),
+                true,
+                seed,
+            ));
+            tokio::spawn(Arc::clone(&host).open_flows(service_address(TOGGLED_PORT), seed));
+            tokio::spawn(host.send_requests(service_address(NON_IDEMPOTENT_PORT), false, seed));
         }
         Ok(())
     }
 
-    /// The routers of a zone, and what its callers share. A zone without
-    /// instances uses those of all.
-    fn start_router(&self, zone: &str, requests: &Arc<AtomicU64>) -> Arc<caller::Shared> {
+    /// Starts the routers of a zone and returns the state that its callers share. The
+    /// routers of a zone without instances use the instances of all zones.
+    fn start_routers(
+        &self,
+        zone: &str,
+        next_request_id: &Arc<AtomicU64>,
+    ) -> Arc<caller::CallerContext> {
         let all = || self.instances.iter();
-        let own: Vec<Ipv4Addr> = all()
+        let own_addresses: Vec<Ipv4Addr> = all()
             .filter(|instance| instance.zone() == zone)
             .map(|instance| instance.address())
             .collect();
-        let addresses = if own.is_empty() {
+        let addresses = if own_addresses.is_empty() {
             all().map(|instance| instance.address()).collect()
         } else {
-            own
+            own_addresses
         };
         let router = Router::new(&addresses, self.options.plan.port);
-        let probing = Arc::clone(&router);
-        tokio::spawn(probing.probe(process::READY, process::STATUS, Arc::clone(&self.ledger)));
-        Arc::new(caller::Shared {
+        let probing_router = Arc::clone(&router);
+        tokio::spawn(probing_router.probe(
+            process::READY,
+            process::STATUS,
+            Arc::clone(&self.ledger),
+        ));
+        Arc::new(caller::CallerContext {
             router,
             ledger: Arc::clone(&self.ledger),
-            requests: Arc::clone(requests),
+            next_request_id: Arc::clone(next_request_id),
         })
     }
 
-    /// Starts a server, in a zone by its number unless one is named.
+    /// Starts a server and registers it. Without a zone, the server's number determines
+    /// it.
     async fn add_server(&self, port: u16, zone: Option<u8>) -> Result<()> {
-        let number = self.numbers.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_server_number.fetch_add(1, Ordering::Relaxed);
         let identity = Identity {
             address: self.options.plan.backend((number % 250) as u8 + 1),
             serial: 0x1000_0000 + number,
@@ -259,20 +272,21 @@
             zone: zone.unwrap_or((number % 2) as u8),
         };
         let running = backend::start(identity, Arc::clone(&self.ledger)).await?;
-        self.store.put(&key(&identity), &entry(&identity, "ready"));
+        self.store
+            .put(&server_key(&identity), &server_entry(&identity, "ready"));
         self.backends.lock().await.push(Backend {
             identity,
-            _running: running,
+            _running_backend: running,
         });
         Ok(())
     }
 
     /// Writes the next configuration.
-    fn configure(&self) {
-        let version = self.version.fetch_add(3, Ordering::Relaxed) + 3;
-        let has_extra = self.has_extra.load(Ordering::Relaxed);
-        let mut routes = vec![route(FEEDS), route(BOOKINGS)];
-        routes.extend(has_extra.then(|| route(EXTRA)));
+    fn write_config(&self) {
+        let version = self.config_version.fetch_add(3, Ordering::Relaxed) + 3;
+        let has_toggled_route = self.has_toggled_route.load(Ordering::Relaxed);
+        let mut routes = vec![route_json(IDEMPOTENT_PORT), route_json(NON_IDEMPOTENT_PORT)];
+        routes.extend(has_toggled_route.then(|| route_json(TOGGLED_PORT)));
         let value = json!({
             "version": version,
             "routes": routes,
@@ -281,211 +295,222 @@
         });
         self.store.put("op/config", &value);
         if version == 3 {
-            self.ledger.route(FEEDS, true);
-            self.ledger.route(BOOKINGS, true);
+            self.ledger.set_route(IDEMPOTENT_PORT, true);
+            self.ledger.set_route(NON_IDEMPOTENT_PORT, true);
         }
-        self.ledger.route(EXTRA, has_extra);
+        self.ledger.set_route(TOGGLED_PORT, has_toggled_route);
     }
 
-    async fn carry_out(self: Arc<Self>, fault: Fault) {
-        self.ledger.fault(fault.kind);
+    async fn inject(self: Arc<Self>, fault: Fault) {
+        self.ledger.record_fault(fault.kind);
         match fault.kind {
-            Kind::Stop(who) => self.signal(who, Signal::SIGTERM, Duration::from_secs(6)),
-            Kind::Kill(who) => self.signal(who, Signal::SIGKILL, AFTER),
+            Kind::Stop(target) => self.signal(target, Signal::SIGTERM, Duration::from_secs(6)),
+            Kind::Kill(target) => self.signal(target, Signal::SIGKILL, FAULT_MARGIN),
             Kind::KillAll => {
-                for who in 0..self.options.size.instances {
-                    self.signal(who, Signal::SIGKILL, AFTER);
+                for target in 0..self.options.size.instances {
+                    self.signal(target, Signal::SIGKILL, FAULT_MARGIN);
                 }
             }
-            Kind::Reload(who) => self.signal(who, Signal::SIGHUP, Duration::ZERO),
-            Kind::Freeze(who, ms) => self.freeze(who, Duration::from_millis(ms)).await,
-            Kind::Link(who, harm, ms) => self.harm(who, harm, Duration::from_millis(ms)).await,
-            Kind::Peers(who, harm, ms) => {
-                self.harm_peers(who, harm, Duration::from_millis(ms)).await;
+            Kind::Reload(target) => self.signal(target, Signal::SIGHUP, Duration::ZERO),
+            Kind::Freeze(target, ms) => self.freeze(target, Duration::from_millis(ms)).await,
+            Kind::Link(target, harm, ms) => {
+                self.fault_link(target, harm, Duration::from_millis(ms))
+                    .await
+            }
+            Kind::Peers(target, harm, ms) => {
+                self.fault_peer_link(target, harm, Duration::from_millis(ms))
+                    .await;
             }
-            Kind::Store(mode, ms) => self.disturb(mode, Duration::from_millis(ms)).await,
-            Kind::Lapse(ms) => self.lapse(Duration::from_millis(ms)).await,
+            Kind::Store(mode, ms) => self.fault_store(mode, Duration::from_millis(ms)).await,
+            Kind::Lapse(ms) => self.lapse_entries(Duration::from_millis(ms)).await,
             Kind::Compact => self.compact().await,
             Kind::Revoke => self.store.revoke(),
-            Kind::Crash(who) => self.crash(who).await,
-            Kind::Drain(who) => self.drain(who).await,
-            Kind::Route => self.flip_route().await,
-            Kind::Evacuate(zone, ms) => self.evacuate(zone, Duration::from_millis(ms)).await,
+            Kind::Crash(target) => self.crash_server(target).await,
+            Kind::Drain(target) => self.drain_server(target).await,
+            Kind::Route => self.toggle_route().await,
+            Kind::Evacuate(zone, ms) => self.evacuate_zone(zone, Duration::from_millis(ms)).await,
             Kind::Storm(count) => {
                 for _ in 0..count {
-                    self.configure();
+                    self.write_config();
                     time::sleep(Duration::from_millis(80)).await;
                 }
             }
         }
     }
 
-    fn instance(&self, who: u8) -> &Arc<Instance> {
-        &self.instances[usize::from(who) % self.instances.len()]
+    fn instance(&self, target: u8) -> &Arc<Instance> {
+        &self.instances[usize::from(target) % self.instances.len()]
     }
 
-    fn signal(&self, who: u8, signal: Signal, for_: Duration) {
-        let instance = self.instance(who);
-        self.ledger.disturb(instance.address(), for_);
+    fn signal(&self, target: u8, signal: Signal, duration: Duration) {
+        let instance = self.instance(target);
+        self.ledger.mark_disturbed(instance.address(), duration);
         instance.signal(signal);
     }
 
-    async fn freeze(&self, who: u8, for_: Duration) {
-        let instance = self.instance(who);
-        self.ledger.disturb(instance.address(), for_ + AFTER);
+    async fn freeze(&self, target: u8, duration: Duration) {
+        let instance = self.instance(target);
+        self.ledger
+            .mark_disturbed(instance.address(), duration + FAULT_MARGIN);
         instance.signal(Signal::SIGSTOP);
-        time::sleep(for_).await;
+        time::sleep(duration).await;
         instance.signal(Signal::SIGCONT);
     }
 
-    async fn harm(&self, who: u8, harm: Harm, for_: Duration) {
-        let instance = self.instance(who);
-        let link = &self.links[usize::from(who) % self.links.len()];
-        self.ledger.disturb(instance.address(), for_ + AFTER);
+    async fn fault_link(&self, target: u8, harm: Harm, duration: Duration) {
+        let instance = self.instance(target);
+        let link = &self.store_links[usize::from(target) % self.store_links.len()];
+        self.ledger
+            .mark_disturbed(instance.address(), duration + FAULT_MARGIN);
         link.set(harm);
-        time::sleep(for_).await;
+        time::sleep(duration).await;
         link.set(Harm::None);
-        self.ledger.disturb(instance.address(), AFTER);
+        self.ledger.mark_disturbed(instance.address(), FAULT_MARGIN);
     }
 
-    /// The instances that follow this one reach the store, so that no promise of
-    /// theirs is suspended.
-    async fn harm_peers(&self, who: u8, harm: Harm, for_: Duration) {
-        let link = &self.peer_links[usize::from(who) % self.peer_links.len()];
+    /// Sets a fault on the link by which other instances reach this one. Instances that
+    /// subscribe to it still reach the store, so none of their guarantees is suspended.
+    async fn fault_peer_link(&self, target: u8, harm: Harm, duration: Duration) {
+        let link = &self.peer_links[usize::from(target) % self.peer_links.len()];
         link.set(harm);
-        time::sleep(for_).await;
+        time::sleep(duration).await;
         link.set(Harm::None);
     }
 
-    async fn disturb(&self, mode: Mode, for_: Duration) {
-        self.ledger.disturb_store(for_ + AFTER);
+    async fn fault_store(&self, mode: Mode, duration: Duration) {
+        self.ledger.mark_store_disturbed(duration + FAULT_MARGIN);
         self.store.set_mode(mode);
-        time::sleep(for_).await;
+        time::sleep(duration).await;
         self.store.set_mode(Mode::Up);
-        self.ledger.disturb_store(AFTER);
+        self.ledger.mark_store_disturbed(FAULT_MARGIN);
     }
 
-    /// Entries lapse while the store is away, and come back after it.
-    async fn lapse(&self, for_: Duration) {
-        self.ledger.disturb_store(for_ + AFTER);
+    /// Deletes the servers' entries while the store does not answer, and registers the
+    /// servers again afterwards.
+    async fn lapse_entries(&self, duration: Duration) {
+        self.ledger.mark_store_disturbed(duration + FAULT_MARGIN);
         self.store.set_mode(Mode::Silent);
-        time::sleep(for_).await;
-        let lapsed: Vec<Identity> = {
+        time::sleep(duration).await;
+        let identities: Vec<Identity> = {
             let backends = self.backends.lock().await;
             backends.iter().map(|backend| backend.identity).collect()
         };
-        for identity in &lapsed {
-            self.store.remove(&key(identity));
+        for identity in &identities {
+            self.store.remove(&server_key(identity));
         }
         self.store.set_mode(Mode::Up);
         time::sleep(Duration::from_millis(1_200)).await;
         let backends = self.backends.lock().await;
         for backend in backends.iter() {
             let identity = &backend.identity;
-            self.store.put(&key(identity), &entry(identity, "ready"));
+            self.store
+                .put(&server_key(identity), &server_entry(identity, "ready"));
         }
-        self.ledger.disturb_store(AFTER);
+        self.ledger.mark_store_disturbed(FAULT_MARGIN);
     }
 
-    /// Who polls is behind when the history goes, and has to notice.
+    /// Drops the history while polling instances are behind; they must detect it and read
+    /// the entries again.
     async fn compact(&self) {
-        self.ledger.disturb_store(AFTER);
+        self.ledger.mark_store_disturbed(FAULT_MARGIN);
         self.store.set_mode(Mode::Silent);
-        self.configure();
+        self.write_config();
         time::sleep(Duration::from_secs(1)).await;
-        self.configure();
+        self.write_config();
         self.store.compact();
         self.store.set_mode(Mode::Up);
-        self.ledger.disturb_store(AFTER);
+        self.ledger.mark_store_disturbed(FAULT_MARGIN);
     }
 
-    /// Takes a server that may go: each route keeps one.
-    async fn take_server(&self, who: u8) -> Option<Backend> {
+    /// Removes a server from the list if another one remains: each route keeps a server,
+    /// in each zone if zones are evacuated.
+    async fn take_removable_server(&self, target: u8) -> Option<Backend> {
         let mut backends = self.backends.lock().await;
-        let index = usize::from(who) % backends.len();
+        let index = usize::from(target) % backends.len();
         let Identity { port, zone, .. } = backends[index].identity;
-        let may_be_alone = !self.options.evacuates;
-        let is_like =
-            |b: &&Backend| b.identity.port == port && (may_be_alone || b.identity.zone == zone);
-        let others = backends.iter().filter(is_like).count();
+        let ignores_zone = !self.options.evacuates;
+        let is_alternative =
+            |b: &&Backend| b.identity.port == port && (ignores_zone || b.identity.zone == zone);
+        let others = backends.iter().filter(is_alternative).count();
         (others > 1).then(|| backends.remove(index))
     }
 
-    async fn crash(&self, who: u8) {
-        let Some(backend) = self.take_server(who).await else {
+    async fn crash_server(&self, target: u8) {
+        let Some(backend) = self.take_removable_server(target).await else {
             return;
         };
         let identity = backend.identity;
         drop(backend);
-        time::sleep(ENTRY_LIFE).await;
-        self.store.remove(&key(&identity));
-        self.replace(identity).await;
+        time::sleep(ENTRY_TTL).await;
+        self.store.remove(&server_key(&identity));
+        self.start_replacement(identity).await;
     }
 
-    async fn drain(&self, who: u8) {
-        let Some(backend) = self.take_server(who).await else {
+    async fn drain_server(&self, target: u8) {
+        let Some(backend) = self.take_removable_server(target).await else {
             return;
         };
         let identity = backend.identity;
-        self.replace(identity).await;
+        self.start_replacement(identity).await;
         self.store
-            .put(&key(&identity), &entry(&identity, "draining"));
-        self.ledger.draining(identity.serial);
-        time::sleep(DRAIN).await;
-        self.store.remove(&key(&identity));
+            .put(&server_key(&identity), &server_entry(&identity, "draining"));
+        self.ledger.server_draining(identity.serial);
+        time::sleep(DRAIN_TIME).await;
+        self.store.remove(&server_key(&identity));
         drop(backend);
     }
 
-    async fn evacuate(&self, number: u8, for_: Duration) {
-        let order = format!("op/evacuate/{}", zone(number));
-        self.store.put(&order, &json!({}));
-        self.ledger.evacuate(number, true);
-        time::sleep(for_).await;
-        // Before the order is gone, since new flows may come the moment after.
-        self.ledger.evacuate(number, false);
-        self.store.remove(&order);
+    async fn evacuate_zone(&self, number: u8, duration: Duration) {
+        let evacuation_key = format!("op/evacuate/{}", zone_name(number));
+        self.store.put(&evacuation_key, &json!({}));
+        self.ledger.set_zone_evacuated(number, true);
+        time::sleep(duration).await;
+        // Recorded before the entry is deleted, since new flows may follow at once.
+        self.ledger.set_zone_evacuated(number, false);
+        self.store.remove(&evacuation_key);
     }
 
-    async fn replace(&self, former: Identity) {
-        let zone = self.options.evacuates.then_some(former.zone);
-        if let Err(error) = self.add_server(former.port, zone).await {
+    async fn start_replacement(&self, previous: Identity) {
+        let zone = self.options.evacuates.then_some(previous.zone);
+        if let Err(error) = self.add_server(previous.port, zone).await {
             self.ledger
-                .fault(format_args!("no server in its place: {error}"));
+                .record_fault(format_args!("no server in its place: {error}"));
         }
     }
 
-    async fn flip_route(&self) {
-        let had = self.has_extra.fetch_xor(true, Ordering::Relaxed);
-        self.configure();
-        if had {
+    async fn toggle_route(&self) {
+        let was_present = self.has_toggled_route.fetch_xor(true, Ordering::Relaxed);
+        self.write_config();
+        if was_present {
             time::sleep(Duration::from_secs(5)).await;
-            self.has_extra.store(true, Ordering::Relaxed);
-            self.configure();
+            self.has_toggled_route.store(true, Ordering::Relaxed);
+            self.write_config();
         }
     }
 
-    /// Adds what can only be said at the end.
-    fn judge(&self) -> Summary {
+    /// Checks that the system has recovered, and returns the results.
+    fn check_recovery(&self) -> Summary {
         let summary = self.ledger.summary();
-        let tail = JUDGED_TAIL.as_secs() as usize;
-        let seconds = &summary.seconds[summary.seconds.len().saturating_sub(tail)..];
+        let checked_seconds = RECOVERY_CHECK_WINDOW.as_secs() as usize;
+        let seconds = &summary.seconds[summary.seconds.len().saturating_sub(checked_seconds)..];
         let served: u32 = seconds.iter().map(|second| second.served).sum();
         let failed: u32 = seconds.iter().map(|second| second.failed).sum();
-        if served * 100 < (served + failed) * LEAST_SERVED || served == 0 {
+        if served * 100 < (served + failed) * MIN_SERVED_PERCENT || served == 0 {
             let detail = format!("{served} served, {failed} not");
-            self.ledger.breach("no recovery after the faults", detail);
+            self.ledger
+                .record_breach("no recovery after the faults", detail);
         }
         self.ledger.summary()
     }
 }
 
-/// Wait of an instance that starts for another one's copy.
+/// Longest wait of a starting instance for another instance's copy of the store.
 const COPY_WAIT: Duration = Duration::from_millis(60);
 
-/// Rate of the instances' links, in Mbit/s.
+/// Bandwidth of the instances' network links, in Mbit/s.
 const LINK_MBPS: f64 = 1_000.0;
 
-fn setup(options: &Options, number: u8) -> Setup {
+fn instance_setup(options: &Options, number: u8) -> Setup {
     let plan = options.plan;
     Setup {
         program: options.program.clone(),
@@ -493,11 +518,11 @@
         name: format!("entry-{number}"),
         address: plan.instance(number),
         packets: plan.port,
-        zone: zone(number).to_owned(),
+        zone: zone_name(number).to_owned(),
         store: plan.store_link(number),
         copy_wait: COPY_WAIT,
         link_mbps: LINK_MBPS,
-        bound: BOUND,
+        bound: PROPAGATION_BOUND,
         peers: plan.peer_link(number),
         seeds: (1..=options.size.instances.min(3))
             .map(|number| plan.peer_link(number))
@@ -505,8 +530,9 @@
     }
 }
 
-/// Zone of an instance or a caller; even and odd ones differ.
-fn zone(number: u8) -> &'static str {
+/// Name of the zone of an instance, a caller or a server, by its number. Even and odd
+/// numbers have different zones.
+fn zone_name(number: u8) -> &'static str {
     if number.is_multiple_of(2) {
         "zone-2"
     } else {
@@ -514,28 +540,28 @@
     }
 }
 
-fn service(port: u16) -> SocketAddrV4 {
+fn service_address(port: u16) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), port)
 }
 
-fn route(port: u16) -> Value {
+fn route_json(port: u16) -> Value {
     json!({
         "name": format!("route-{port}"),
-        "host": service(port).ip(),
+        "host": service_address(port).ip(),
         "prefix": format!("/{port}/"),
         "service": format!("service-{port}"),
     })
 }
 
-fn key(identity: &Identity) -> String {
+fn server_key(identity: &Identity) -> String {
     format!("servers/i-{:x}", identity.serial)
 }
 
-fn entry(identity: &Identity, state: &str) -> Value {
+fn server_entry(identity: &Identity, state: &str) -> Value {
     json!({
         "service": format!("service-{}", identity.port),
         "addr": identity.address.to_string(),
-        "zone": zone(identity.zone),
+        "zone": zone_name(identity.zone),
         "version": "v1",
         "slots": 4,
         "state": state,
