--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -7,7 +7,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use crate::link::Harm;
+use crate::link::LinkFault;
 use crate::store::Mode;
 
 /// A fault or change and its target. Indexes of instances, servers and links are taken
@@ -25,9 +25,9 @@
     /// An instance gets SIGHUP.
     Reload(u8),
     /// The link between an instance and the store is faulty for so many milliseconds.
-    Link(u8, Harm, u64),
+    Link(u8, LinkFault, u64),
     /// The link from the other instances to one is faulty for so many milliseconds.
-    Peers(u8, Harm, u64),
+    Peers(u8, LinkFault, u64),
     /// The store is faulty for so many milliseconds.
     Store(Mode, u64),
     /// The store does not answer for so many milliseconds, and the servers' entries are
@@ -190,13 +190,13 @@
     }
 }
 
-fn draw_link_fault(random: &mut SmallRng) -> Harm {
+fn draw_link_fault(random: &mut SmallRng) -> LinkFault {
     match random.random_range(0..5) {
-        0 => Harm::Cut,
-        1 => Harm::OneWay,
-        2 => Harm::Reset,
-        3 => Harm::Delay(random.random_range(20..400)),
-        _ => Harm::Forgotten,
+        0 => LinkFault::Cut,
+        1 => LinkFault::OneWay,
+        2 => LinkFault::Reset,
+        3 => LinkFault::Delay(random.random_range(20..400)),
+        _ => LinkFault::Forgotten,
     }
 }
 
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -16,7 +16,7 @@
 pub mod report;
 pub mod router;
 pub mod store;
-pub mod world;
+pub mod testbed;
 
 pub use error::Error;
 pub use error::Result;
--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -22,7 +22,7 @@
 
 /// Fault of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Harm {
+pub enum LinkFault {
     /// The link works.
     #[default]
     None,
@@ -42,7 +42,7 @@
 
 /// A link, which accepts connections and forwards them.
 pub struct Link {
-    harm: watch::Sender<Harm>,
+    fault: watch::Sender<LinkFault>,
     /// When the responses so far have been transmitted at the limited rate.
     rate_free_at: Mutex<Instant>,
 }
@@ -60,7 +60,7 @@
             source,
         })?;
         let link = Arc::new(Self {
-            harm: watch::Sender::default(),
+            fault: watch::Sender::default(),
             rate_free_at: Mutex::new(Instant::now()),
         });
         let accepting_link = Arc::clone(&link);
@@ -73,13 +73,13 @@
     }
 
     /// Sets the fault of the link; `None` ends it.
-    pub fn set(&self, harm: Harm) {
-        self.harm.send_replace(harm);
+    pub fn set(&self, fault: LinkFault) {
+        self.fault.send_replace(fault);
     }
 
     /// Waits until so many bytes of responses have been transmitted at the limited rate.
     async fn wait_for_rate(&self, bytes: usize) {
-        let Harm::Rate(rate) = *self.harm.borrow() else {
+        let LinkFault::Rate(rate) = *self.fault.borrow() else {
             return;
         };
         let transmission_time = Duration::from_secs_f64(bytes as f64 / rate.max(1) as f64);
@@ -96,10 +96,10 @@
 }
 
 async fn relay(client: TcpStream, to: SocketAddrV4, link: Arc<Link>) {
-    let harm = link.harm.subscribe();
+    let fault = link.fault.subscribe();
     // A connection opened during `Forgotten` is not affected by that fault.
-    let opened_during_fault = *harm.borrow() == Harm::Forgotten;
-    if *harm.borrow() == Harm::Reset {
+    let opened_during_fault = *fault.borrow() == LinkFault::Forgotten;
+    if *fault.borrow() == LinkFault::Reset {
         return;
     }
     let Ok(server) = TcpStream::connect(to).await else {
@@ -140,15 +140,15 @@
     direction: Direction,
     opened_during_fault: bool,
 ) {
-    let mut harm = link.harm.subscribe();
+    let mut fault = link.fault.subscribe();
     let mut buffer = vec![0; 16 << 10];
     loop {
         let read = tokio::select! {
             read = from.read(&mut buffer) => read,
-            () = wait_for_reset(&mut harm, opened_during_fault) => return,
+            () = wait_for_reset(&mut fault, opened_during_fault) => return,
         };
         let Ok(length @ 1..) = read else { return };
-        if !wait_to_forward(&mut harm, direction, opened_during_fault).await {
+        if !wait_to_forward(&mut fault, direction, opened_during_fault).await {
             return;
         }
         if direction == Direction::Responses {
@@ -162,15 +162,15 @@
 
 /// Returns when the link resets its connections. Never returns once the connection is
 /// affected by `Forgotten`, so that it stays open without forwarding anything.
-async fn wait_for_reset(harm: &mut watch::Receiver<Harm>, opened_during_fault: bool) {
+async fn wait_for_reset(fault: &mut watch::Receiver<LinkFault>, opened_during_fault: bool) {
     loop {
-        let current = *harm.borrow_and_update();
+        let current = *fault.borrow_and_update();
         match current {
-            Harm::Reset => return,
-            Harm::Forgotten if !opened_during_fault => std::future::pending::<()>().await,
+            LinkFault::Reset => return,
+            LinkFault::Forgotten if !opened_during_fault => std::future::pending::<()>().await,
             _ => {}
         }
-        if harm.changed().await.is_err() {
+        if fault.changed().await.is_err() {
             std::future::pending::<()>().await;
         }
     }
@@ -178,24 +178,24 @@
 
 /// Waits until bytes may be forwarded; `false` if the connection must be closed.
 async fn wait_to_forward(
-    harm: &mut watch::Receiver<Harm>,
+    fault: &mut watch::Receiver<LinkFault>,
     direction: Direction,
     opened_during_fault: bool,
 ) -> bool {
     loop {
-        let current = *harm.borrow_and_update();
+        let current = *fault.borrow_and_update();
         match current {
-            Harm::None | Harm::Rate(_) => return true,
-            Harm::OneWay if direction == Direction::Requests => return true,
-            Harm::Forgotten if opened_during_fault => return true,
-            Harm::Reset => return false,
-            Harm::Delay(ms) => {
+            LinkFault::None | LinkFault::Rate(_) => return true,
+            LinkFault::OneWay if direction == Direction::Requests => return true,
+            LinkFault::Forgotten if opened_during_fault => return true,
+            LinkFault::Reset => return false,
+            LinkFault::Delay(ms) => {
                 time::sleep(Duration::from_millis(ms)).await;
                 return true;
             }
-            Harm::Cut | Harm::OneWay | Harm::Forgotten => {}
+            LinkFault::Cut | LinkFault::OneWay | LinkFault::Forgotten => {}
         }
-        if harm.changed().await.is_err() {
+        if fault.changed().await.is_err() {
             return false;
         }
     }
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -12,11 +12,11 @@
 use bpaf::Bpaf;
 use soak::Error;
 use soak::Result;
-use soak::net::Plan;
+use soak::net::AddressPlan;
 use soak::report;
-use soak::world;
-use soak::world::Options;
-use soak::world::Size;
+use soak::testbed;
+use soak::testbed::Options;
+use soak::testbed::Size;
 use tokio::runtime::Runtime;
 
 /// Inclusive range of seeds
@@ -101,7 +101,7 @@
         },
         program: arguments.program.clone(),
         folder: folder.clone(),
-        plan: Plan {
+        plan: AddressPlan {
             block: arguments.block,
             port: 7_000,
         },
@@ -112,7 +112,7 @@
         name: "runtime".to_owned(),
         reason: error.to_string(),
     })?;
-    let summary = runtime.block_on(world::play(options))?;
+    let summary = runtime.block_on(testbed::run(options))?;
     drop(runtime);
     let text = report::text(seed, &summary);
     print!("{text}");
--- a/soak/src/net.rs
+++ b/soak/src/net.rs
@@ -27,14 +27,14 @@
 
 /// Addresses of one run; runs at the same time need different blocks.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub struct AddressPlan {
     /// Second byte of all addresses.
     pub block: u8,
     /// Port on all addresses for packets, the store and the links.
     pub port: u16,
 }
 
-impl Plan {
+impl AddressPlan {
     /// Address of an instance.
     pub fn instance(&self, number: u8) -> Ipv4Addr {
         Ipv4Addr::new(127, self.block, 1, number)
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -34,11 +34,11 @@
 const STOP_GRACE: Duration = Duration::from_secs(6);
 
 /// Port of the readiness endpoint, on each instance's address.
-pub const READY: u16 = 7_001;
+pub const READY_PORT: u16 = 7_001;
 /// Port of the metrics and status endpoints.
-pub const STATUS: u16 = 7_002;
+pub const STATUS_PORT: u16 = 7_002;
 /// Port on which other instances subscribe.
-pub const PEERS: u16 = 7_003;
+pub const PEER_PORT: u16 = 7_003;
 
 /// Parameters of an instance.
 #[derive(Clone, Debug)]
@@ -54,13 +54,13 @@
     /// Address of the instance.
     pub address: Ipv4Addr,
     /// Port for packets.
-    pub packets: u16,
+    pub packet_port: u16,
     /// Address of its link to the store.
-    pub store: SocketAddrV4,
+    pub store_address: SocketAddrV4,
     /// Address that it advertises to other instances.
-    pub peers: SocketAddrV4,
+    pub advertised_address: SocketAddrV4,
     /// Time within which changes of the store must be applied.
-    pub bound: Duration,
+    pub update_bound: Duration,
     /// Longest wait for another instance's copy of the store at the start.
     pub copy_wait: Duration,
     /// Bandwidth of its network link, in Mbit/s.
@@ -138,7 +138,7 @@
     /// # Errors
     ///
     /// Fails when the program cannot be restarted.
-    pub async fn watch(self: Arc<Self>, ledger: Arc<Ledger>) -> Result<()> {
+    pub async fn supervise(self: Arc<Self>, ledger: Arc<Ledger>) -> Result<()> {
         let mut stopping_for = Duration::ZERO;
         loop {
             time::sleep(POLL_INTERVAL).await;
@@ -211,15 +211,15 @@
     let settings = json!({
         "instance": setup.name,
         "zone": setup.zone,
-        "packets": at(setup.packets),
-        "ready": at(READY),
-        "metrics": at(STATUS),
-        "peers": at(PEERS),
-        "peers_advertised": setup.peers.to_string(),
+        "packets": at(setup.packet_port),
+        "ready": at(READY_PORT),
+        "metrics": at(STATUS_PORT),
+        "peers": at(PEER_PORT),
+        "peers_advertised": setup.advertised_address.to_string(),
         "seeds": seeds,
         "store": {
-            "addresses": [format!("http://{}", setup.store)],
-            "bounds_ms": [setup.bound.as_millis() as u64],
+            "addresses": [format!("http://{}", setup.store_address)],
+            "bounds_ms": [setup.update_bound.as_millis() as u64],
             "copy_wait_ms": setup.copy_wait.as_millis() as u64,
         },
         "link_mbps": setup.link_mbps,
--- a/soak/src/router.rs
+++ b/soak/src/router.rs
@@ -85,9 +85,10 @@
                 let router = Arc::clone(&self);
                 let ledger = Arc::clone(&ledger);
                 tokio::spawn(async move {
-                    let response = ask(SocketAddrV4::new(address, ready), "/ready").await;
+                    let response = http_get(SocketAddrV4::new(address, ready), "/ready").await;
                     router.record_probe(address, response.is_some_and(|a| a.contains(" 200 ")));
-                    let status_response = ask(SocketAddrV4::new(address, status), "/status").await;
+                    let status_response =
+                        http_get(SocketAddrV4::new(address, status), "/status").await;
                     if let Some(age) = status_response.as_deref().and_then(view_age) {
                         ledger.record_view_age(age);
                     }
@@ -114,7 +115,7 @@
 
 /// Sends a GET request; returns the response with its head, or `None` on failure or
 /// timeout.
-pub async fn ask(address: SocketAddrV4, path: &str) -> Option<String> {
+pub async fn http_get(address: SocketAddrV4, path: &str) -> Option<String> {
     let exchange = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
         let head = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n");
--- a/soak/src/world.rs
+++ b/soak/src/testbed.rs
@@ -30,9 +30,9 @@
 use crate::ledger::Ledger;
 use crate::ledger::PROPAGATION_BOUND;
 use crate::ledger::Summary;
-use crate::link::Harm;
 use crate::link::Link;
-use crate::net::Plan;
+use crate::link::LinkFault;
+use crate::net::AddressPlan;
 use crate::process;
 use crate::process::Instance;
 use crate::process::Setup;
@@ -95,12 +95,12 @@
     /// Folder for settings and logs.
     pub folder: PathBuf,
     /// Addresses of the run.
-    pub plan: Plan,
+    pub plan: AddressPlan,
     /// Whether zones are evacuated in addition to the faults.
     pub evacuates: bool,
 }
 
-struct World {
+struct Testbed {
     options: Options,
     store: Arc<Store>,
     ledger: Arc<Ledger>,
@@ -126,48 +126,48 @@
 /// # Errors
 ///
 /// Fails when an address is in use or a process cannot be started.
-pub async fn play(options: Options) -> Result<Summary> {
-    let world = Arc::new(World::start(options).await?);
-    for instance in &world.instances {
-        let ledger = Arc::clone(&world.ledger);
-        let watching = Arc::clone(instance).watch(Arc::clone(&ledger));
+pub async fn run(options: Options) -> Result<Summary> {
+    let testbed = Arc::new(Testbed::start(options).await?);
+    for instance in &testbed.instances {
+        let ledger = Arc::clone(&testbed.ledger);
+        let supervising = Arc::clone(instance).supervise(Arc::clone(&ledger));
         tokio::spawn(async move {
-            if let Err(error) = watching.await {
+            if let Err(error) = supervising.await {
                 ledger.record_breach("process not started again", error);
             }
         });
     }
-    world.start_callers().await?;
+    testbed.start_callers().await?;
     time::sleep(Duration::from_secs(2)).await;
-    let fault_period = world.options.size.faults_for;
-    let mut faults = fault::draw(world.options.seed, fault_period);
-    if world.options.evacuates {
-        faults.extend(fault::draw_evacuations(world.options.seed, fault_period));
+    let fault_period = testbed.options.size.faults_for;
+    let mut faults = fault::draw(testbed.options.seed, fault_period);
+    if testbed.options.evacuates {
+        faults.extend(fault::draw_evacuations(testbed.options.seed, fault_period));
         faults.sort_by_key(|fault| fault.at);
     }
     let begin = Instant::now();
     for fault in faults {
         let until = begin + fault.at;
         time::sleep_until(until.into()).await;
-        let world = Arc::clone(&world);
-        tokio::spawn(world.inject(fault));
+        let testbed = Arc::clone(&testbed);
+        tokio::spawn(testbed.inject(fault));
     }
     // Waits for the last faults, which end by themselves.
     time::sleep(Duration::from_secs(5)).await;
     time::sleep(FINAL_CHANGES_AFTER).await;
     for kind in [Kind::Drain(0), Kind::Route] {
         let at = Duration::ZERO;
-        tokio::spawn(Arc::clone(&world).inject(Fault { at, kind }));
+        tokio::spawn(Arc::clone(&testbed).inject(Fault { at, kind }));
     }
     time::sleep(FAULT_FREE_TAIL - FINAL_CHANGES_AFTER).await;
-    let summary = world.check_recovery();
-    for instance in &world.instances {
+    let summary = testbed.check_recovery();
+    for instance in &testbed.instances {
         instance.end();
     }
     Ok(summary)
 }
 
-impl World {
+impl Testbed {
     async fn start(options: Options) -> Result<Self> {
         let plan = options.plan;
         let store = Arc::new(Store::default());
@@ -179,12 +179,12 @@
         let mut peer_links = Vec::new();
         let mut instances = Vec::new();
         for number in 1..=options.size.instances {
-            let peers = SocketAddrV4::new(plan.instance(number), process::PEERS);
+            let peers = SocketAddrV4::new(plan.instance(number), process::PEER_PORT);
             store_links.push(Link::open(plan.store_link(number), address).await?);
             peer_links.push(Link::open(plan.peer_link(number), peers).await?);
             instances.push(Instance::start(instance_setup(&options, number))?);
         }
-        let world = Self {
+        let testbed = Self {
             ledger: Arc::new(Ledger::default()),
             backends: Mutex::default(),
             next_server_number: AtomicU64::new(1),
@@ -196,18 +196,18 @@
             store_links,
             peer_links,
         };
-        world.write_config();
-        for index in 0..world.options.size.servers {
-            let zone = world.options.evacuates.then_some(index % 2);
-            world.add_server(IDEMPOTENT_PORT, zone).await?;
-            world.add_server(NON_IDEMPOTENT_PORT, zone).await?;
+        testbed.write_config();
+        for index in 0..testbed.options.size.servers {
+            let zone = testbed.options.evacuates.then_some(index % 2);
+            testbed.add_server(IDEMPOTENT_PORT, zone).await?;
+            testbed.add_server(NON_IDEMPOTENT_PORT, zone).await?;
         }
-        let zone = world.options.evacuates.then_some(0);
-        world.add_server(TOGGLED_PORT, zone).await?;
-        if world.options.evacuates {
-            world.add_server(TOGGLED_PORT, Some(1)).await?;
+        let zone = testbed.options.evacuates.then_some(0);
+        testbed.add_server(TOGGLED_PORT, zone).await?;
+        if testbed.options.evacuates {
+            testbed.add_server(TOGGLED_PORT, Some(1)).await?;
         }
-        Ok(world)
+        Ok(testbed)
     }
 
     async fn start_callers(&self) -> Result<()> {
@@ -250,8 +250,8 @@
         let router = Router::new(&addresses, self.options.plan.port);
         let probing_router = Arc::clone(&router);
         tokio::spawn(probing_router.probe(
-            process::READY,
-            process::STATUS,
+            process::READY_PORT,
+            process::STATUS_PORT,
             Arc::clone(&self.ledger),
         ));
         Arc::new(caller::CallerContext {
@@ -313,12 +313,12 @@
             }
             Kind::Reload(target) => self.signal(target, Signal::SIGHUP, Duration::ZERO),
             Kind::Freeze(target, ms) => self.freeze(target, Duration::from_millis(ms)).await,
-            Kind::Link(target, harm, ms) => {
-                self.fault_link(target, harm, Duration::from_millis(ms))
+            Kind::Link(target, link_fault, ms) => {
+                self.fault_link(target, link_fault, Duration::from_millis(ms))
                     .await
             }
-            Kind::Peers(target, harm, ms) => {
-                self.fault_peer_link(target, harm, Duration::from_millis(ms))
+            Kind::Peers(target, link_fault, ms) => {
+                self.fault_peer_link(target, link_fault, Duration::from_millis(ms))
                     .await;
             }
             Kind::Store(mode, ms) => self.fault_store(mode, Duration::from_millis(ms)).await,
@@ -357,24 +357,24 @@
         instance.signal(Signal::SIGCONT);
     }
 
-    async fn fault_link(&self, target: u8, harm: Harm, duration: Duration) {
+    async fn fault_link(&self, target: u8, link_fault: LinkFault, duration: Duration) {
         let instance = self.instance(target);
         let link = &self.store_links[usize::from(target) % self.store_links.len()];
         self.ledger
             .mark_disturbed(instance.address(), duration + FAULT_MARGIN);
-        link.set(harm);
+        link.set(link_fault);
         time::sleep(duration).await;
-        link.set(Harm::None);
+        link.set(LinkFault::None);
         self.ledger.mark_disturbed(instance.address(), FAULT_MARGIN);
     }
 
     /// Sets a fault on the link by which other instances reach this one. Instances that
     /// subscribe to it still reach the store, so none of their guarantees is suspended.
-    async fn fault_peer_link(&self, target: u8, harm: Harm, duration: Duration) {
+    async fn fault_peer_link(&self, target: u8, link_fault: LinkFault, duration: Duration) {
         let link = &self.peer_links[usize::from(target) % self.peer_links.len()];
-        link.set(harm);
+        link.set(link_fault);
         time::sleep(duration).await;
-        link.set(Harm::None);
+        link.set(LinkFault::None);
     }
 
     async fn fault_store(&self, mode: Mode, duration: Duration) {
@@ -517,13 +517,13 @@
         folder: options.folder.clone(),
         name: format!("entry-{number}"),
         address: plan.instance(number),
-        packets: plan.port,
+        packet_port: plan.port,
         zone: zone_name(number).to_owned(),
-        store: plan.store_link(number),
+        store_address: plan.store_link(number),
         copy_wait: COPY_WAIT,
         link_mbps: LINK_MBPS,
-        bound: PROPAGATION_BOUND,
-        peers: plan.peer_link(number),
+        update_bound: PROPAGATION_BOUND,
+        advertised_address: plan.peer_link(number),
         seeds: (1..=options.size.instances.min(3))
             .map(|number| plan.peer_link(number))
             .collect(),
