--- a/soak/src/caller.rs
+++ b/soak/src/caller.rs
@@ -35,9 +35,9 @@
 use crate::net::SYN;
 use crate::router::Router;
 
-/// Delays after each opening packet: the packet is retransmitted after all but the
-/// last one, which ends the attempt.
-const OPENING_RETRANSMIT_DELAYS: [Duration; 3] = [
+/// Timeout of each transmission of an opening packet. After the last one the attempt to
+/// open the flow fails.
+const OPENING_TIMEOUTS: [Duration; 3] = [
     Duration::from_millis(200),
     Duration::from_millis(400),
     Duration::from_millis(800),
@@ -67,15 +67,15 @@
 /// Sending half of the queue of packets received for one flow.
 type Inbox = mpsc::UnboundedSender<(Segment, Vec<u8>, Author)>;
 
-/// A caller with its socket. Each of its flows has a port of its own in the packets'
-/// headers.
+/// A caller with its socket. In the packets' headers each of its flows has a port of its
+/// own.
 pub struct Host {
     socket: UdpSocket,
     /// Queues of the open flows, by the port of the caller.
     inboxes: Mutex<HashMap<u16, Inbox>>,
     context: Arc<CallerContext>,
     address: SocketAddrV4,
-    next_port: AtomicU64,
+    next_flow_number: AtomicU64,
 }
 
 impl Host {
@@ -90,7 +90,7 @@
             inboxes: Mutex::default(),
             context,
             address,
-            next_port: AtomicU64::new(1_024),
+            next_flow_number: AtomicU64::new(1_024),
         });
         tokio::spawn(receive(Arc::clone(&host)));
         Ok(host)
@@ -240,7 +240,7 @@
         service: SocketAddrV4,
         deadline: Instant,
     ) -> std::result::Result<Self, Outcome> {
-        let flow_number = host.next_port.fetch_add(1, Ordering::Relaxed);
+        let flow_number = host.next_flow_number.fetch_add(1, Ordering::Relaxed);
         let port = 1_024 + (flow_number % 60_000) as u16;
         let (sender, inbox) = mpsc::unbounded_channel();
         host.inboxes().insert(port, sender);
@@ -257,7 +257,7 @@
             server: None,
             request_count: 0,
         };
-        for (attempt, pause) in OPENING_RETRANSMIT_DELAYS.into_iter().enumerate() {
+        for (attempt, pause) in OPENING_TIMEOUTS.into_iter().enumerate() {
             flow.ack = attempt as u32;
             flow.send(SYN, b"").await;
             let until = (Instant::now() + pause).min(deadline);
--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -59,7 +59,7 @@
 /// A fault and its start time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Time since the first fault could begin.
+    /// Time since the start of fault injection.
     pub at: Duration,
     /// The fault and its target.
     pub kind: Kind,
@@ -77,9 +77,9 @@
 /// Draws the faults of a run, ordered by time.
 ///
 /// With an odd seed the run is calm: it has fewer faults, and none that make the store
-/// unavailable or drop its history.
-/// Guarantees with a bound are suspended for seconds after each fault of an instance or
-/// of the store, so they are hardly checked in the other runs.
+/// unavailable or drop its history. Guarantees with a bound are suspended for seconds
+/// after each fault of an instance or of the store, so they are hardly checked in the
+/// other runs.
 pub fn draw(seed: u64, length: Duration) -> Vec<Fault> {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut faults = Vec::new();
--- a/soak/src/testbed.rs
+++ b/soak/src/testbed.rs
@@ -51,8 +51,9 @@
 /// Time without faults at the end of a run, in which the system must recover.
 pub const FAULT_FREE_TAIL: Duration = Duration::from_secs(14);
 
-/// Time after which a server drains and a route is withdrawn in the fault-free tail. No
-/// fault suspends the bounds there, so an instance whose view is stuck is detected.
+/// Time from the start of the fault-free tail until a server drains and a route is
+/// withdrawn. No fault suspends the bounds by then, so these changes reveal an instance
+/// whose copy of the store has stopped following.
 const FINAL_CHANGES_AFTER: Duration = Duration::from_secs(5);
 
 /// Last part of the fault-free tail, in which requests must be served.
@@ -113,11 +114,13 @@
     /// Number of the next backend server; its address and serial are derived from it.
     next_server_number: AtomicU64,
     config_version: AtomicU64,
+    /// Whether the configuration contains the toggled route.
     has_toggled_route: AtomicBool,
 }
 
 struct Backend {
     identity: Identity,
+    /// Keeps the server running; dropping it simulates a crash.
     _running_backend: RunningBackend,
 }
 
@@ -261,8 +264,8 @@
         })
     }
 
-    /// Starts a server and registers it. Without a zone, the server's number determines
-    /// it.
+    /// Starts a server and registers it in the store. If no zone is given, the server's
+    /// number determines the zone.
     async fn add_server(&self, port: u16, zone: Option<u8>) -> Result<()> {
         let number = self.next_server_number.fetch_add(1, Ordering::Relaxed);
         let identity = Identity {
@@ -474,7 +477,7 @@
         let zone = self.options.evacuates.then_some(previous.zone);
         if let Err(error) = self.add_server(previous.port, zone).await {
             self.ledger
-                .record_fault(format_args!("no server in its place: {error}"));
+                .record_fault(format_args!("replacement server not started: {error}"));
         }
     }
 
