--- a/src/command/history.rs
+++ b/src/command/history.rs
@@ -60,7 +60,7 @@
     let mut revisions: Vec<u64> = listing
         .entries
         .iter()
-        .filter_map(|entry| path::last_part(&entry.key).parse().ok())
+        .filter_map(|entry| path::last_segment(&entry.key).parse().ok())
         .collect();
     revisions.sort_unstable_by(|a, b| b.cmp(a));
     for revision in revisions.into_iter().skip(KEPT) {
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -131,8 +131,8 @@
         outputs,
         link,
         metrics,
-        ring,
-        ledger,
+        traces: ring,
+        burn_counter: ledger,
         control,
     }));
     let (told, tells) = mpsc::unbounded_channel();
--- a/src/edge.rs
+++ b/src/edge.rs
@@ -49,7 +49,11 @@
 }
 
 /// Starts receiving from callers of one service.
-pub(crate) fn listen(shared: Arc<Shared>, service: id::Service, socket: &UdpSocket) -> Result<()> {
+pub(crate) fn receive_from_callers(
+    shared: Arc<Shared>,
+    service: id::Service,
+    socket: &UdpSocket,
+) -> Result<()> {
     let socket = receiver(socket)?;
     let task = Arc::clone(&shared);
     task.spawn(async move {
@@ -191,7 +195,7 @@
         }
         PeerMessage::TakeoverRequest(message) => {
             let slices = message.slices;
-            let _ = told.send(ControlEvent::Yield { from, slices });
+            let _ = told.send(ControlEvent::TakeoverRequested { from, slices });
         }
         body @ (PeerMessage::ReplicationStep(_)
         | PeerMessage::ReplicationAck(_)
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -5,7 +5,7 @@
 //! no answer is always named; leaving it out would make a part look like the
 //! whole.
 
-pub(crate) mod asker;
+pub(crate) mod status_client;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 
 use crate::control::Registration;
 use crate::error::Result;
-use crate::fleet::asker::Asker;
+use crate::fleet::status_client::StatusClient;
 use crate::id;
 use crate::path;
 use crate::platform::Client;
@@ -28,7 +28,7 @@
 
 /// An instance that was not heard from.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Silence {
+pub struct UnansweredInstance {
     /// Its name.
     pub instance: String,
     /// What was seen in place of an answer.
@@ -41,24 +41,24 @@
     /// Status address by name.
     pub addresses: BTreeMap<id::Instance, id::Endpoint>,
     /// Registrations that cannot be read.
-    pub unreadable: Vec<Silence>,
+    pub unreadable: Vec<UnansweredInstance>,
     /// Why the platform's list could not be read, if so.
     pub unlisted: Option<String>,
 }
 
 /// What the instances answered.
 #[derive(Clone, Debug, Serialize)]
-pub struct Gathered<T> {
+pub struct FleetAnswers<T> {
     /// Answers by instance.
     pub heard: BTreeMap<id::Instance, T>,
     /// Who gave none.
-    pub silent: Vec<Silence>,
+    pub silent: Vec<UnansweredInstance>,
     /// Why the platform's list could not be read, if so: there may then be
     /// instances that nobody asked.
     pub unlisted: Option<String>,
 }
 
-impl<T> Gathered<T> {
+impl<T> FleetAnswers<T> {
     /// Whether every instance was heard, as far as the platform's list goes.
     pub fn is_whole(&self) -> bool {
         self.silent.is_empty() && self.unlisted.is_none()
@@ -69,7 +69,7 @@
 #[derive(Clone)]
 pub struct Fleet {
     platform: Client,
-    asker: Asker,
+    status_client: StatusClient,
     known: BTreeMap<id::Instance, id::Endpoint>,
 }
 
@@ -86,7 +86,7 @@
     ) -> Result<Self> {
         Ok(Self {
             platform,
-            asker: Asker::new(timeout)?,
+            status_client: StatusClient::new(timeout)?,
             known,
         })
     }
@@ -114,16 +114,16 @@
     }
 
     /// Asks every member for the same path.
-    pub async fn ask<T: DeserializeOwned>(&self, members: &Members, path: &str) -> Gathered<T> {
+    pub async fn ask<T: DeserializeOwned>(&self, members: &Members, path: &str) -> FleetAnswers<T> {
         let asking = members.addresses.iter().map(async |(instance, address)| {
-            let answer = self.asker.get(*address, path).await;
+            let answer = self.status_client.get(*address, path).await;
             (instance.clone(), answer)
         });
         let answers: Vec<_> = stream::iter(asking)
             .buffer_unordered(MAX_ASKED)
             .collect()
             .await;
-        let mut gathered = Gathered {
+        let mut gathered = FleetAnswers {
             heard: BTreeMap::new(),
             silent: members.unreadable.clone(),
             unlisted: members.unlisted.clone(),
@@ -133,7 +133,7 @@
                 Ok(answer) => {
                     gathered.heard.insert(instance, answer);
                 }
-                Err(error) => gathered.silent.push(Silence {
+                Err(error) => gathered.silent.push(UnansweredInstance {
                     instance: instance.to_string(),
                     reason: error.to_string(),
                 }),
@@ -151,8 +151,8 @@
                 let instance = registration.holder.instance;
                 self.addresses.insert(instance, registration.status);
             }
-            Err(error) => self.unreadable.push(Silence {
-                instance: path::last_part(&entry.key).to_owned(),
+            Err(error) => self.unreadable.push(UnansweredInstance {
+                instance: path::last_segment(&entry.key).to_owned(),
                 reason: format!("registration cannot be read: {error}"),
             }),
         }
--- a/src/fleet/asker.rs
+++ b/src/fleet/status_client.rs
@@ -17,12 +17,12 @@
 
 /// Asks instances at their status addresses.
 #[derive(Clone)]
-pub(crate) struct Asker {
+pub(crate) struct StatusClient {
     http: reqwest::Client,
     timeout: Duration,
 }
 
-impl Asker {
+impl StatusClient {
     /// One that waits so long for an answer.
     pub(crate) fn new(timeout: Duration) -> Result<Self> {
         let http = reqwest::Client::builder()
--- a/src/http.rs
+++ b/src/http.rs
@@ -61,7 +61,7 @@
 
 async fn burn(State(shared): Instance) -> impl IntoResponse {
     let mut ledger = shared
-        .ledger
+        .burn_counter
         .lock()
         .unwrap_or_else(|lock| lock.into_inner());
     Json(ledger.sample(Instant::now()))
@@ -78,5 +78,5 @@
         service: asked.service,
         caller: asked.caller,
     };
-    Json(shared.ring.traces(Instant::now(), &flow))
+    Json(shared.traces.traces(Instant::now(), &flow))
 }
--- a/src/inbox.rs
+++ b/src/inbox.rs
@@ -16,9 +16,9 @@
         message: peer::Heartbeat,
     },
     /// A home wants its backup to take over.
-    Yield { from: id::Holder, slices: Vec<u32> },
+    TakeoverRequested { from: id::Holder, slices: Vec<u32> },
     /// A write of the slice table has ended.
-    Written { document: u32, written: WriteResult },
+    WriteFinished { document: u32, result: WriteResult },
     /// A peer's copies.
     PulledEntries(peer::ConfigResponse),
 }
--- a/src/path.rs
+++ b/src/path.rs
@@ -68,6 +68,6 @@
 }
 
 /// What follows the last `/`.
-pub(crate) fn last_part(key: &str) -> &str {
+pub(crate) fn last_segment(key: &str) -> &str {
     key.rsplit_once('/').map_or(key, |(_, name)| name)
 }
--- a/src/query/departure.rs
+++ b/src/query/departure.rs
@@ -10,7 +10,7 @@
 use crate::error::Error;
 use crate::error::Result;
 use crate::fleet::Fleet;
-use crate::fleet::Gathered;
+use crate::fleet::FleetAnswers;
 use crate::fleet::Members;
 use crate::id;
 use crate::query::rollout::POLL_EVERY;
@@ -111,7 +111,7 @@
 /// slices.
 fn judge(
     members: &Members,
-    gathered: &Gathered<Status>,
+    gathered: &FleetAnswers<Status>,
     instance: &id::Instance,
     goal: Goal,
 ) -> Option<(bool, String)> {
--- a/src/query/evacuation.rs
+++ b/src/query/evacuation.rs
@@ -7,8 +7,8 @@
 use tokio::time::Instant;
 
 use crate::fleet::Fleet;
-use crate::fleet::Gathered;
-use crate::fleet::Silence;
+use crate::fleet::FleetAnswers;
+use crate::fleet::UnansweredInstance;
 use crate::id;
 use crate::query::rollout::POLL_EVERY;
 use crate::query::status;
@@ -26,13 +26,13 @@
     /// Instances that do not yet.
     pub behind: Vec<id::Instance>,
     /// Instances that gave no answer.
-    pub silent: Vec<Silence>,
+    pub silent: Vec<UnansweredInstance>,
     /// Why the platform's list of instances could not be read, if so.
     pub unlisted: Option<String>,
 }
 
 impl Evacuation {
-    fn new(zone: &id::Zone, is_evacuated: bool, gathered: Gathered<Status>) -> Self {
+    fn new(zone: &id::Zone, is_evacuated: bool, gathered: FleetAnswers<Status>) -> Self {
         let mut evacuation = Self {
             zone: zone.clone(),
             is_evacuated,
--- a/src/query/explain.rs
+++ b/src/query/explain.rs
@@ -4,7 +4,7 @@
 
 use crate::error::Result;
 use crate::fleet::Fleet;
-use crate::fleet::Silence;
+use crate::fleet::UnansweredInstance;
 use crate::id;
 use crate::query::status;
 use crate::status::Trace;
@@ -25,7 +25,7 @@
     /// The steps, newest first.
     pub steps: Vec<Step>,
     /// Who was not heard from.
-    pub silent: Vec<Silence>,
+    pub silent: Vec<UnansweredInstance>,
     /// Why the platform's list could not be read, if so.
     pub unlisted: Option<String>,
 }
--- a/src/query/rollout.rs
+++ b/src/query/rollout.rs
@@ -12,9 +12,9 @@
 use tokio::time::Instant;
 
 use crate::fleet::Fleet;
-use crate::fleet::Gathered;
+use crate::fleet::FleetAnswers;
 use crate::fleet::Members;
-use crate::fleet::Silence;
+use crate::fleet::UnansweredInstance;
 use crate::id;
 use crate::query::status;
 use crate::status::Status;
@@ -45,7 +45,7 @@
     /// Where it is not.
     pub behind: Vec<Behind>,
     /// Who was not heard from.
-    pub silent: Vec<Silence>,
+    pub silent: Vec<UnansweredInstance>,
     /// Why the platform's list could not be read, if so.
     pub unlisted: Option<String>,
 }
@@ -57,7 +57,7 @@
         complete && self.unlisted.is_none() && !self.in_force.is_empty()
     }
 
-    fn new(document: &str, revision: id::Revision, gathered: Gathered<Status>) -> Self {
+    fn new(document: &str, revision: id::Revision, gathered: FleetAnswers<Status>) -> Self {
         let mut rollout = Self {
             document: document.to_owned(),
             revision,
--- a/src/query/status.rs
+++ b/src/query/status.rs
@@ -5,9 +5,9 @@
 use crate::error::Error;
 use crate::error::Result;
 use crate::fleet::Fleet;
-use crate::fleet::Gathered;
+use crate::fleet::FleetAnswers;
 use crate::fleet::Members;
-use crate::fleet::Silence;
+use crate::fleet::UnansweredInstance;
 use crate::status::Status;
 
 /// Asks every instance for its state.
@@ -15,7 +15,7 @@
 /// # Errors
 ///
 /// Fails when no instance is known, since the platform gives no list.
-pub async fn status(fleet: &Fleet) -> Result<Gathered<Status>> {
+pub async fn status(fleet: &Fleet) -> Result<FleetAnswers<Status>> {
     let members = known(fleet).await?;
     Ok(ask(fleet, &members).await)
 }
@@ -47,17 +47,19 @@
 ///
 /// An address may have passed to another instance since it was written down.
 /// Its answer would be taken for that of an instance that is in fact silent.
-pub(crate) async fn ask(fleet: &Fleet, members: &Members) -> Gathered<Status> {
-    let mut gathered: Gathered<Status> = fleet.ask(members, "/status").await;
+pub(crate) async fn ask(fleet: &Fleet, members: &Members) -> FleetAnswers<Status> {
+    let mut gathered: FleetAnswers<Status> = fleet.ask(members, "/status").await;
     let (heard, foreign): (BTreeMap<_, _>, BTreeMap<_, _>) = gathered
         .heard
         .into_iter()
         .partition(|(instance, status)| status.holder.instance == *instance);
     gathered.heard = heard;
-    let foreign = foreign.into_iter().map(|(instance, status)| Silence {
-        instance: instance.to_string(),
-        reason: format!("{} answered at its address", status.holder),
-    });
+    let foreign = foreign
+        .into_iter()
+        .map(|(instance, status)| UnansweredInstance {
+            instance: instance.to_string(),
+            reason: format!("{} answered at its address", status.holder),
+        });
     gathered.silent.extend(foreign);
     gathered
 }
--- a/src/query/stored.rs
+++ b/src/query/stored.rs
@@ -66,7 +66,7 @@
 fn line<T: DeserializeOwned>(entry: &Entry) -> Line<T> {
     let decoded = decode(entry);
     Line {
-        name: path::last_part(&entry.key).to_owned(),
+        name: path::last_segment(&entry.key).to_owned(),
         unreadable: decoded.as_ref().err().map(ToString::to_string),
         document: decoded.ok().map(|stored| stored.envelope),
     }
--- a/src/query/view.rs
+++ b/src/query/view.rs
@@ -4,7 +4,7 @@
 
 use crate::entry::Status;
 use crate::error::Result;
-use crate::fleet::asker::Asker;
+use crate::fleet::status_client::StatusClient;
 use crate::id;
 
 /// Asks an entry instance, at its status address, what it believes.
@@ -14,5 +14,5 @@
 /// [`crate::Error::Unanswered`] when it gives no answer within `timeout`,
 /// [`crate::Error::Decode`] when the answer is of something else.
 pub async fn view(address: id::Endpoint, timeout: Duration) -> Result<Status> {
-    Asker::new(timeout)?.get(address, "/status").await
+    StatusClient::new(timeout)?.get(address, "/status").await
 }
--- a/src/render.rs
+++ b/src/render.rs
@@ -20,8 +20,8 @@
 use crate::entry;
 use crate::error::Error;
 use crate::error::Result;
-use crate::fleet::Gathered;
-use crate::fleet::Silence;
+use crate::fleet::FleetAnswers;
+use crate::fleet::UnansweredInstance;
 use crate::id;
 use crate::query::departure::Departure;
 use crate::query::evacuation::Evacuation;
@@ -371,7 +371,7 @@
 }
 
 /// State of every instance.
-pub fn status(gathered: &Gathered<Status>) -> String {
+pub fn status(gathered: &FleetAnswers<Status>) -> String {
     let mut table = new([
         "instance", "zone", "ready", "leaving", "homes", "backups", "alone", "requests", "feeds",
         "platform",
@@ -400,7 +400,7 @@
 }
 
 /// What the instances together have at each backend server.
-fn servers(gathered: &Gathered<Status>) -> String {
+fn servers(gathered: &FleetAnswers<Status>) -> String {
     let mut places: BTreeMap<&id::Server, Place<'_>> = BTreeMap::new();
     let seen = gathered.heard.values().flat_map(|status| &status.servers);
     for server in seen {
@@ -455,7 +455,7 @@
 }
 
 /// Revisions in force and refused, a row for each document and instance.
-fn documents(gathered: &Gathered<Status>) -> String {
+fn documents(gathered: &FleetAnswers<Status>) -> String {
     let mut table = new(["instance", "document", "revision", "refused"]);
     for (instance, status) in &gathered.heard {
         let refused_only = status.refused.keys();
@@ -499,7 +499,7 @@
     join([table.to_string(), absent])
 }
 
-fn absent(silent: &[Silence], reason: Option<&str>) -> String {
+fn absent(silent: &[UnansweredInstance], reason: Option<&str>) -> String {
     let silent = silent
         .iter()
         .map(|silence| format!("not heard: {}: {}", silence.instance, silence.reason));
--- a/src/steer.rs
+++ b/src/steer.rs
@@ -108,12 +108,12 @@
         match told {
             ControlEvent::Platform(prefix, update) => self.take_update(now, prefix, update),
             ControlEvent::Heartbeat { from, message } => self.take_heartbeat(now, &from, message),
-            ControlEvent::Yield { from, slices } => self
+            ControlEvent::TakeoverRequested { from, slices } => self
                 .shared
                 .control()
                 .takeover_requested(now, &from, &slices),
-            ControlEvent::Written { document, written } => {
-                self.shared.control().write_finished(now, document, written);
+            ControlEvent::WriteFinished { document, result } => {
+                self.shared.control().write_finished(now, document, result);
                 self.plan();
             }
             ControlEvent::PulledEntries(push) => self.take_copies(now, push),
@@ -262,7 +262,7 @@
             .collect();
         let mut ledger = self
             .shared
-            .ledger
+            .burn_counter
             .lock()
             .unwrap_or_else(|lock| lock.into_inner());
         ledger.configure(&objectives);
@@ -277,7 +277,7 @@
         let local = self.shared.settings.listeners.get(&service);
         let address = local.copied().unwrap_or(public);
         let bound = edge::bind(address.0).and_then(|socket| {
-            edge::listen(Arc::clone(&self.shared), service.clone(), &socket)?;
+            edge::receive_from_callers(Arc::clone(&self.shared), service.clone(), &socket)?;
             Ok(socket)
         });
         match bound {
@@ -343,13 +343,13 @@
             let value = serde_json::to_vec(&value).unwrap_or_default();
             let resolved = client.compare_and_swap_resolved(&key, expected, &value, None).await;
             debug!(log, "slice table written"; "document" => document, "result" => ?resolved.as_ref().map(outcome));
-            let written = match resolved {
+            let result = match resolved {
                 Ok(ResolvedWrite::Done(version)) => WriteResult::Done(version),
                 Ok(ResolvedWrite::Lost(entry) | ResolvedWrite::Superseded(entry)) => WriteResult::Lost(entry),
                 Ok(ResolvedWrite::Unknown) => WriteResult::Unknown,
                 Err(_) => WriteResult::Lost(None),
             };
-            let _ = told.send(ControlEvent::Written { document, written });
+            let _ = told.send(ControlEvent::WriteFinished { document, result });
         });
     }
 }
