--- a/src/config.rs
+++ b/src/config.rs
@@ -1,8 +1,8 @@
-//! From the platform's documents to the configuration in force.
+//! Builds the configuration in force from the platform's documents.
 //!
 //! Documents arrive from the platform or from a peer, in any order and more than
-//! once. Only a greater revision is applied, and a document that cannot be read
-//! or is at odds with itself leaves the one before in force.
+//! once. Only a greater revision is applied. A document that cannot be decoded or
+//! has invalid values is refused, and the document before it stays in force.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -25,7 +25,7 @@
 use crate::snapshot::Service;
 use crate::snapshot::Snapshot;
 
-/// Everything of ours in the platform.
+/// Prefix of all keys of this system in the platform.
 pub const KEY_PREFIX: &str = "godwitreel/";
 
 /// The platform's own list of backend servers.
@@ -36,8 +36,8 @@
 const DRAINED_SERVERS: &str = "godwitreel/drain/servers/";
 const DRAINED_INSTANCES: &str = "godwitreel/drain/instances/";
 
-/// Prefixes of which peers give each other copies.
-const SHARED: [&str; 5] = [
+/// Prefixes of the keys that peers copy from each other.
+const SHARED_PREFIXES: [&str; 5] = [
     PROFILES,
     SERVICES,
     "godwitreel/drain/",
@@ -47,31 +47,33 @@
 
 /// A document in force.
 #[derive(Clone, Debug)]
-struct InForce<T> {
+struct DocumentInForce<T> {
     revision: id::Revision,
     body: Arc<T>,
 }
 
-/// All documents that this instance knows.
+/// All documents that this instance has received.
 #[derive(Debug, Default)]
 pub struct Config {
     entries: BTreeMap<String, Entry>,
-    profiles: BTreeMap<id::Profile, InForce<Profile>>,
-    services: BTreeMap<id::Service, InForce<document::Service>>,
+    profiles: BTreeMap<id::Profile, DocumentInForce<Profile>>,
+    services: BTreeMap<id::Service, DocumentInForce<document::Service>>,
     servers: BTreeMap<id::Server, Arc<Server>>,
     drained: BTreeSet<String>,
     evacuated: BTreeSet<id::Zone>,
-    /// Revision of the store up to which the platform has told everything, by prefix.
-    horizons: BTreeMap<String, u64>,
-    /// Keys that a peer knows to be gone, with the revision up to which they are.
-    gone: BTreeMap<String, u64>,
+    /// Store revision up to which all changes were received from the platform, by
+    /// prefix.
+    synced_revisions: BTreeMap<String, u64>,
+    /// Keys that a peer reported as deleted, with the revision at which they did not
+    /// exist.
+    deleted: BTreeMap<String, u64>,
     refused: BTreeMap<String, String>,
-    /// Sum of the entries' digests; it must follow every change of `entries`.
+    /// Sum of the entries' digests; updated with every change of `entries`.
     digest: u64,
 }
 
 impl Config {
-    /// Takes one entry; tells whether it is newer than what was known.
+    /// Applies an entry; returns false if the known version is at least as new.
     pub fn put(&mut self, entry: &Entry) -> bool {
         let known = self.entries.get(&entry.key);
         if known.is_some_and(|known| known.mod_revision >= entry.mod_revision) {
@@ -86,49 +88,57 @@
         true
     }
 
-    /// The platform has told everything of a prefix up to this revision.
+    /// Records that all changes of a prefix up to this revision were received from
+    /// the platform.
     pub fn mark_synced(&mut self, prefix: &str, revision: u64) {
-        let horizon = self.horizons.entry(prefix.to_owned()).or_default();
-        *horizon = revision.max(*horizon);
-        let horizon = *horizon;
-        let newer = |key: &String, gone: &mut u64| !key.starts_with(prefix) || *gone > horizon;
-        self.gone.retain(newer);
+        let synced = self.synced_revisions.entry(prefix.to_owned()).or_default();
+        *synced = revision.max(*synced);
+        let synced = *synced;
+        let is_newer =
+            |key: &String, deleted: &mut u64| !key.starts_with(prefix) || *deleted > synced;
+        self.deleted.retain(is_newer);
     }
 
-    /// Revision up to which a key's absence here proves that it does not exist.
-    fn horizon(&self, key: &str) -> u64 {
+    /// Greatest revision for which a key's absence from `entries` proves that the key
+    /// does not exist in the platform.
+    fn absence_revision(&self, key: &str) -> u64 {
         let of_key = |(prefix, _): &(&String, &u64)| key.starts_with(prefix.as_str());
-        let told = self.horizons.iter().filter(of_key).map(|(_, told)| *told);
-        let gone = self.gone.get(key).copied();
-        told.chain(gone).max().unwrap_or(0)
+        let synced = self
+            .synced_revisions
+            .iter()
+            .filter(of_key)
+            .map(|(_, revision)| *revision);
+        let deleted = self.deleted.get(key).copied();
+        synced.chain(deleted).max().unwrap_or(0)
     }
 
-    /// Takes a peer's copy of an entry; tells whether it is newer than what was known.
+    /// Applies a peer's copy of an entry; returns false if it is not newer than the
+    /// known version or deletion.
     pub fn put_copy(&mut self, entry: &Entry) -> bool {
-        // A peer that is cut off from the platform still has what was deleted
-        // meanwhile, and would bring back what an operator has withdrawn.
-        entry.mod_revision > self.horizon(&entry.key) && self.put(entry)
+        // A peer that is disconnected from the platform still has entries that were
+        // deleted meanwhile. Taking them would restore what an operator has removed.
+        entry.mod_revision > self.absence_revision(&entry.key) && self.put(entry)
     }
 
-    /// Takes a peer's word that a key was gone at this revision; tells whether it
-    /// was known.
+    /// Applies a peer's report that a key did not exist at this revision; returns
+    /// whether an entry was removed.
     pub fn remove_copy(&mut self, key: &str, revision: u64) -> bool {
         let known = self.entries.get(key);
-        let outdated = known.is_some_and(|known| known.mod_revision <= revision);
-        if outdated {
+        let is_outdated = known.is_some_and(|known| known.mod_revision <= revision);
+        if is_outdated {
             self.remove(key);
-            self.gone.insert(key.to_owned(), revision);
+            self.deleted.insert(key.to_owned(), revision);
         }
-        outdated
+        is_outdated
     }
 
-    /// Revision at which a key is known not to exist, if that is newer than `than`.
+    /// Revision at which a key is known not to exist, if it is at least `than`.
     pub fn deleted_since(&self, key: &str, than: u64) -> Option<u64> {
-        let horizon = self.horizon(key);
-        (horizon >= than && !self.entries.contains_key(key)).then_some(horizon)
+        let absent_at = self.absence_revision(key);
+        (absent_at >= than && !self.entries.contains_key(key)).then_some(absent_at)
     }
 
-    /// Takes the removal of a key.
+    /// Applies the deletion of a key.
     pub fn remove(&mut self, key: &str) {
         if let Some(removed) = self.entries.remove(key) {
             self.digest = self.digest.wrapping_sub(digest(&removed));
@@ -140,7 +150,7 @@
             self.servers.remove(&id);
         }
         if let Some(name) = key.strip_prefix(DRAINED_SERVERS) {
-            self.drain(name, false);
+            self.set_drained(name, false);
         }
         if let Some(name) = key.strip_prefix(SERVICES)
             && let Ok(id) = name.parse::<id::Service>()
@@ -151,19 +161,23 @@
         if let Some(zone) = evacuated_zone(key)
             && self.evacuated.remove(&zone)
         {
-            self.evacuate(&zone, false);
+            self.set_evacuated(&zone, false);
         }
     }
 
-    /// Drops what is not among the platform's keys any more. What a peer gave and
-    /// is newer than the listing stays.
-    pub fn retain(&mut self, prefix: &str, keep: &BTreeSet<&str>) {
-        let horizon = self.horizons.get(prefix).copied().unwrap_or(u64::MAX);
-        let gone = |(key, entry): (&String, &Entry)| {
-            let listed = !key.starts_with(prefix) || keep.contains(key.as_str());
-            (!listed && entry.mod_revision <= horizon).then(|| key.clone())
+    /// Removes the entries of a prefix that the platform no longer lists. Entries from
+    /// a peer that are newer than the listing stay.
+    pub fn retain(&mut self, prefix: &str, listed: &BTreeSet<&str>) {
+        let synced = self
+            .synced_revisions
+            .get(prefix)
+            .copied()
+            .unwrap_or(u64::MAX);
+        let deleted = |(key, entry): (&String, &Entry)| {
+            let is_kept = !key.starts_with(prefix) || listed.contains(key.as_str());
+            (!is_kept && entry.mod_revision <= synced).then(|| key.clone())
         };
-        let keys: Vec<String> = self.entries.iter().filter_map(gone).collect();
+        let keys: Vec<String> = self.entries.iter().filter_map(deleted).collect();
         for key in keys {
             self.remove(&key);
         }
@@ -187,45 +201,46 @@
     }
 
     fn apply_profile(&mut self, name: &str, value: &Bytes) -> Result<(), String> {
-        let id: id::Profile = name.parse().map_err(text)?;
-        let envelope: Envelope<Profile> = read(value)?;
+        let id: id::Profile = name.parse().map_err(error_text)?;
+        let envelope: Envelope<Profile> = parse(value)?;
         if let Some(conflict) = envelope.body.conflict() {
             return Err(format!(
                 "{}: {}: want {}",
                 conflict.field, conflict.value, conflict.allowed
             ));
         }
-        advance(&mut self.profiles, id, envelope);
+        replace_if_newer(&mut self.profiles, id, envelope);
         Ok(())
     }
 
     fn apply_service(&mut self, name: &str, value: &Bytes) -> Result<(), String> {
-        let id: id::Service = name.parse().map_err(text)?;
-        let envelope: Envelope<document::Service> = read(value)?;
-        advance(&mut self.services, id, envelope);
+        let id: id::Service = name.parse().map_err(error_text)?;
+        let envelope: Envelope<document::Service> = parse(value)?;
+        replace_if_newer(&mut self.services, id, envelope);
         Ok(())
     }
 
     fn apply_server(&mut self, name: &str, value: &Bytes) -> Result<(), String> {
-        let id: id::Server = name.parse().map_err(text)?;
-        let listed: document::Server = read(value)?;
+        let id: id::Server = name.parse().map_err(error_text)?;
+        let listed: document::Server = parse(value)?;
         let known = self.servers.get(&id);
-        let same = known.filter(|known| {
+        let unchanged = known.filter(|known| {
             known.service == listed.service
                 && known.address == listed.address
                 && known.health == listed.health
                 && known.slots == listed.slots.max(1)
         });
-        match same {
+        match unchanged {
             Some(server) => server.state().listed = listed.state,
-            // What is known of another process under the same name is worthless.
+            // Another process runs under this name now: counts and health of the one
+            // before do not apply to it.
             None => {
                 let server = Arc::new(Server::new(id.clone(), &listed));
                 self.servers.insert(id.clone(), server);
             }
         }
         if self.drained.contains(&format!("{DRAINED_SERVERS}{name}")) {
-            self.drain(name, true);
+            self.set_drained(name, true);
         }
         if let Some(server) = self.servers.get(&id) {
             server.state().evacuated = self.evacuated.contains(&server.zone);
@@ -238,42 +253,42 @@
             self.drained.insert(key.to_owned());
         } else if let Some(name) = key.strip_prefix(DRAINED_SERVERS) {
             self.drained.insert(key.to_owned());
-            self.drain(name, true);
+            self.set_drained(name, true);
         } else if let Some(zone) = evacuated_zone(key) {
-            self.evacuate(&zone, true);
+            self.set_evacuated(&zone, true);
             self.evacuated.insert(zone);
         }
     }
 
-    fn evacuate(&self, zone: &id::Zone, is_evacuated: bool) {
+    fn set_evacuated(&self, zone: &id::Zone, is_evacuated: bool) {
         let servers = self.servers.values();
         for server in servers.filter(|server| server.zone == *zone) {
             server.state().evacuated = is_evacuated;
         }
     }
 
-    /// Zones whose servers get no new work, as operators ordered.
+    /// Zones that operators have evacuated: their servers get no new work.
     pub fn evacuated(&self) -> &BTreeSet<id::Zone> {
         &self.evacuated
     }
 
-    fn drain(&self, name: &str, drained: bool) {
+    fn set_drained(&self, name: &str, is_drained: bool) {
         let server = name
             .parse()
             .ok()
             .and_then(|id: id::Server| self.servers.get(&id));
         if let Some(server) = server {
-            server.state().drained = drained;
+            server.state().drained = is_drained;
         }
     }
 
-    /// Whether an operator wants this instance to hand its slices over.
+    /// Whether an operator drains this instance, so that it hands its slices over.
     pub fn is_drained(&self, instance: &id::Instance) -> bool {
         self.drained
             .contains(&format!("{DRAINED_INSTANCES}{instance}"))
     }
 
-    /// The configuration in force.
+    /// The configuration in force, for the workers.
     pub fn snapshot(&self) -> Snapshot {
         let mut listed = self.servers_by_service();
         let services = self.services.iter().filter_map(|(id, service)| {
@@ -292,8 +307,9 @@
         }
     }
 
-    /// The listed servers of each service, in order of their names. One pass over
-    /// all servers: a search for each service would multiply the two counts.
+    /// The listed servers of each service, in order of their names. This is one pass
+    /// over all servers, since filtering them once per service would cost the product
+    /// of the two counts.
     fn servers_by_service(&self) -> HashMap<&id::Service, Vec<Arc<Server>>> {
         let mut listed: HashMap<&id::Service, Vec<Arc<Server>>> = HashMap::new();
         for server in self.servers.values() {
@@ -303,9 +319,9 @@
         listed
     }
 
-    /// Addresses of the services.
+    /// Address of each service.
     pub fn addresses(&self) -> BTreeMap<id::Service, id::Endpoint> {
-        let service = |(id, service): (&id::Service, &InForce<document::Service>)| {
+        let service = |(id, service): (&id::Service, &DocumentInForce<document::Service>)| {
             (id.clone(), service.body.address)
         };
         self.services.iter().map(service).collect()
@@ -325,28 +341,31 @@
         profiles.chain(services).collect()
     }
 
-    /// Documents that were refused, with the reason.
+    /// Keys of refused documents, each with the reason.
     pub fn refused(&self) -> &BTreeMap<String, String> {
         &self.refused
     }
 
-    /// Entries that peers give each other.
+    /// Entries that peers copy from each other.
     pub fn shared(&self) -> impl Iterator<Item = &Entry> {
         self.entries.values().filter(|entry| is_shared(entry))
     }
 
-    /// Digest of what peers give each other: equal if all versions are.
+    /// Digest of the entries that peers copy from each other; two instances with the
+    /// same versions have the same digest.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 }
 
 fn is_shared(entry: &Entry) -> bool {
-    SHARED.iter().any(|prefix| entry.key.starts_with(prefix))
+    SHARED_PREFIXES
+        .iter()
+        .any(|prefix| entry.key.starts_with(prefix))
 }
 
-/// An entry's part of the digest. The parts are added up, so that a change costs
-/// one hash however many entries there are.
+/// An entry's contribution to the digest. The digest is the sum of all of them, so
+/// that a change costs one hash, regardless of the number of entries.
 fn digest(entry: &Entry) -> u64 {
     if !is_shared(entry) {
         return 0;
@@ -357,30 +376,34 @@
     hasher.finish()
 }
 
-fn text(error: crate::error::Error) -> String {
+fn error_text(error: crate::error::Error) -> String {
     error.to_string()
 }
 
-fn read<T: DeserializeOwned>(value: &Bytes) -> Result<T, String> {
+fn parse<T: DeserializeOwned>(value: &Bytes) -> Result<T, String> {
     serde_json::from_slice(value).map_err(|error| error.to_string())
 }
 
-/// Puts a document in force if its revision is greater.
-fn advance<I: Ord, T>(known: &mut BTreeMap<I, InForce<T>>, id: I, envelope: Envelope<T>) {
+/// Replaces a document in force if the revision of the new one is greater.
+fn replace_if_newer<I: Ord, T>(
+    known: &mut BTreeMap<I, DocumentInForce<T>>,
+    id: I,
+    envelope: Envelope<T>,
+) {
     let current = known.get(&id).map(|known| known.revision);
-    // A late watch event, a stale read or an old peer must not take an accepted
-    // change back.
+    // A late watch event, a stale read or an outdated peer must not revert an
+    // accepted change.
     if current.is_some_and(|current| current >= envelope.revision) {
         return;
     }
-    let document = InForce {
+    let document = DocumentInForce {
         revision: envelope.revision,
         body: Arc::new(envelope.body),
     };
     known.insert(id, document);
 }
 
-/// The zone that a key evacuates; `None` for other keys.
+/// The zone that an evacuation key names; `None` for other keys.
 fn evacuated_zone(key: &str) -> Option<id::Zone> {
     key.strip_prefix(path::EVACUATIONS)?.parse().ok()
 }
--- a/src/document.rs
+++ b/src/document.rs
@@ -1,8 +1,8 @@
-//! Operators' documents: profiles and services.
+//! Documents that operators write: profiles and services.
 //!
-//! A document is stored in the platform inside an [`Envelope`] that carries its
-//! revision. An instance applies only a greater revision than the one it has, so
-//! that a late or stale copy never reverts an accepted change.
+//! A document is stored in the platform inside an [`Envelope`] with its revision.
+//! An instance applies only a revision greater than the one in force, so that a
+//! late or stale copy never reverts an accepted change.
 
 use std::time::Duration;
 
@@ -11,15 +11,16 @@
 
 use crate::id;
 
-/// One stored document with its history marks.
+/// A stored document with its revision and author.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Envelope<T> {
-    /// Version; each accepted change raises it by one.
+    /// Version; raised by one with each accepted change.
     pub revision: id::Revision,
-    /// Who made the change.
+    /// The operator who made the change.
     pub operator: id::Operator,
-    /// Random mark of this write, to find out by reading back whether it took effect.
+    /// Random identifier of this write. Reading it back shows whether an unanswered
+    /// write took effect.
     pub write_id: String,
     /// The document itself.
     pub body: T,
@@ -29,7 +30,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
-    /// Weighted rendezvous hashing by caller, whatever the load.
+    /// Weighted rendezvous hashing by caller, regardless of load.
     Rendezvous,
     /// Rendezvous hashing that skips servers above the bounded load.
     BoundedLoad,
@@ -40,11 +41,11 @@
     LeastLoaded,
 }
 
-/// What is promised to the callers of a service, for the burn report.
+/// Service level objective of a service, used by the burn report.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Objective {
-    /// Share of good events, in percent, over 50 and under 100.
+    /// Target share of good events, in percent: at least 50 and less than 100.
     pub good_percent: f64,
     /// A request answered later than this counts as bad, in milliseconds.
     pub latency_ms: u64,
@@ -59,48 +60,52 @@
     }
 }
 
-/// How traffic of the services that choose this profile is treated.
+/// Traffic policy of the services that use this profile.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Profile {
-    /// Time from the first copy of a request to its final answer, in milliseconds.
+    /// Longest time from the first copy of a request to its final answer, in
+    /// milliseconds.
     pub deadline_ms: u64,
-    /// Time one backend server gets for an idempotent request, in milliseconds.
+    /// Time limit of one attempt of an idempotent request at a backend server, in
+    /// milliseconds.
     pub attempt_timeout_ms: u64,
-    /// Servers that an idempotent request may be sent to, the first included.
+    /// Most servers that an idempotent request is sent to, including the first.
     pub max_attempts: u32,
-    /// Retries allowed, in percent of first attempts.
+    /// Retry budget, in percent of first attempts.
     pub retry_budget_percent: u32,
-    /// How long after its first sending a copy of a request may still arrive, in seconds.
+    /// How long after a request was first sent a duplicate may still arrive, in seconds.
     pub copy_lifetime_s: u64,
-    /// A feed with no notification for this long is checked, in seconds.
+    /// Time without a notification after which a feed is checked, in seconds.
     pub feed_silence_s: u64,
     /// How servers are chosen for new work.
     pub policy: Policy,
-    /// Weight of even load against keeping flows where they are: 0 keeps every
-    /// feed in place, 100 moves feeds whenever load is uneven.
+    /// How much even load matters compared with keeping feeds at their server: 0 never
+    /// moves a feed for balance, 100 moves feeds whenever load is uneven.
     pub balance_weight: u32,
-    /// Requests waiting at one server before it counts as full, per slot.
+    /// Requests per slot that may wait at a server before it counts as full.
     pub queue_per_slot: u32,
-    /// Requests in progress for the service at one entry instance.
+    /// Limit of requests in progress for the service at one entry instance.
     pub max_in_progress: u32,
-    /// Requests in progress for one caller.
+    /// Limit of requests in progress for one caller.
     pub max_per_caller: u32,
-    /// Feeds held open for the service at one entry instance.
+    /// Limit of open feeds for the service at one entry instance.
     pub max_feeds: u32,
-    /// What a refused caller is told to wait, in seconds.
+    /// Delay before a retry that is sent to a refused caller, in seconds.
     pub retry_after_s: u32,
-    /// Time over which a new server is given its full share, in seconds.
+    /// Time over which a new server's share of the load grows to its full share, in
+    /// seconds.
     pub slow_start_s: u64,
-    /// Failures in a row after which a server is ejected.
+    /// Consecutive failures after which a server is ejected.
     pub eject_after: u32,
-    /// How long an ejected server rests, in seconds.
+    /// How long an ejected server gets no new work, in seconds.
     pub eject_rest_s: u64,
-    /// Share of servers that are never ejected, in percent.
+    /// Share of a service's servers that must stay in use despite failures, in percent.
     pub eject_floor_percent: u32,
-    /// Share of local slots in use above which other zones' servers are used, in percent.
+    /// Utilization of the local zone's slots above which servers of other zones are used,
+    /// in percent.
     pub spill_percent: u32,
-    /// What is promised.
+    /// Service level objective.
     pub objective: Objective,
 }
 
@@ -131,62 +136,62 @@
 }
 
 impl Profile {
-    /// Time from the first copy to the final answer.
+    /// Longest time from the first copy of a request to its final answer.
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.deadline_ms)
     }
 
-    /// Time for one attempt.
+    /// Time limit of one attempt.
     pub fn attempt_timeout(&self) -> Duration {
         Duration::from_millis(self.attempt_timeout_ms)
     }
 
-    /// How long a copy may still arrive.
+    /// How long duplicates of a request may arrive.
     pub fn copy_lifetime(&self) -> Duration {
         Duration::from_secs(self.copy_lifetime_s)
     }
 
-    /// How long a feed may be silent.
+    /// Time without a notification after which a feed is checked.
     pub fn feed_silence(&self) -> Duration {
         Duration::from_secs(self.feed_silence_s)
     }
 
-    /// The first field out of range: its name, its value and what is allowed.
+    /// The first field whose value is out of range, if any.
     pub fn conflict(&self) -> Option<Conflict> {
         let checks = [
-            range("deadline_ms", self.deadline_ms, 100, 120_000),
-            range(
+            check_range("deadline_ms", self.deadline_ms, 100, 120_000),
+            check_range(
                 "attempt_timeout_ms",
                 self.attempt_timeout_ms,
                 20,
                 self.deadline_ms,
             ),
-            range("max_attempts", self.max_attempts.into(), 1, 10),
-            range(
+            check_range("max_attempts", self.max_attempts.into(), 1, 10),
+            check_range(
                 "retry_budget_percent",
                 self.retry_budget_percent.into(),
                 0,
                 100,
             ),
-            range("copy_lifetime_s", self.copy_lifetime_s, 1, 600),
-            range("feed_silence_s", self.feed_silence_s, 1, 3_600),
-            range("balance_weight", self.balance_weight.into(), 0, 100),
-            range("queue_per_slot", self.queue_per_slot.into(), 0, 1_000),
-            range("max_in_progress", self.max_in_progress.into(), 1, 1_000_000),
-            range("max_per_caller", self.max_per_caller.into(), 1, 100_000),
-            range("max_feeds", self.max_feeds.into(), 0, 1_000_000),
-            range("retry_after_s", self.retry_after_s.into(), 1, 600),
-            range("slow_start_s", self.slow_start_s, 0, 600),
-            range("eject_after", self.eject_after.into(), 1, 1_000),
-            range("eject_rest_s", self.eject_rest_s, 1, 600),
-            range(
+            check_range("copy_lifetime_s", self.copy_lifetime_s, 1, 600),
+            check_range("feed_silence_s", self.feed_silence_s, 1, 3_600),
+            check_range("balance_weight", self.balance_weight.into(), 0, 100),
+            check_range("queue_per_slot", self.queue_per_slot.into(), 0, 1_000),
+            check_range("max_in_progress", self.max_in_progress.into(), 1, 1_000_000),
+            check_range("max_per_caller", self.max_per_caller.into(), 1, 100_000),
+            check_range("max_feeds", self.max_feeds.into(), 0, 1_000_000),
+            check_range("retry_after_s", self.retry_after_s.into(), 1, 600),
+            check_range("slow_start_s", self.slow_start_s, 0, 600),
+            check_range("eject_after", self.eject_after.into(), 1, 1_000),
+            check_range("eject_rest_s", self.eject_rest_s, 1, 600),
+            check_range(
                 "eject_floor_percent",
                 self.eject_floor_percent.into(),
                 0,
                 100,
             ),
-            range("spill_percent", self.spill_percent.into(), 1, 100),
-            range(
+            check_range("spill_percent", self.spill_percent.into(), 1, 100),
+            check_range(
                 "objective.latency_ms",
                 self.objective.latency_ms,
                 1,
@@ -197,37 +202,37 @@
         let objective = (!(50.0..100.0).contains(&good)).then(|| Conflict {
             field: "objective.good_percent",
             value: good.to_string(),
-            allowed: "50 or more and under 100".to_owned(),
+            allowed: "at least 50 and less than 100".to_owned(),
         });
         checks.into_iter().flatten().next().or(objective)
     }
 }
 
-/// A field whose value is out of range or at odds with another field.
+/// A field whose value is out of range or conflicts with another field.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Conflict {
-    /// Name of the field, dotted.
+    /// Dotted path of the field.
     pub field: &'static str,
-    /// Its value.
+    /// The refused value.
     pub value: String,
-    /// What is allowed.
+    /// The allowed values.
     pub allowed: String,
 }
 
-fn range(field: &'static str, value: u64, least: u64, most: u64) -> Option<Conflict> {
-    let inside = (least..=most).contains(&value);
-    (!inside).then(|| Conflict {
+fn check_range(field: &'static str, value: u64, min: u64, max: u64) -> Option<Conflict> {
+    let is_allowed = (min..=max).contains(&value);
+    (!is_allowed).then(|| Conflict {
         field,
         value: value.to_string(),
-        allowed: format!("{least} to {most}"),
+        allowed: format!("{min} to {max}"),
     })
 }
 
-/// One service: where callers reach it and which profile it has chosen.
+/// A service: its address for callers and its profile.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The chosen profile.
+    /// The service's profile.
     pub profile: id::Profile,
     /// The address that callers use.
     pub address: id::Endpoint,
@@ -237,29 +242,29 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// Started, perhaps not warm yet.
+    /// Started, possibly not ready for requests yet.
     Starting,
     /// In service.
     #[default]
     Up,
-    /// Leaving: it takes no new work.
+    /// Leaving: takes no new work.
     Leaving,
 }
 
-/// A backend server as the platform lists it; the list lags behind reality.
+/// A backend server as the platform lists it. The list may be outdated.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Server {
-    /// The service that it ran when it was listed.
+    /// The service that the server ran when it was listed.
     pub service: id::Service,
     /// Its availability zone.
     pub zone: id::Zone,
-    /// Where it takes requests (CoAP over UDP).
+    /// Address for requests (CoAP over UDP).
     pub address: id::Endpoint,
-    /// Where it answers health checks (HTTP).
+    /// Address for health checks (HTTP).
     pub health: id::Endpoint,
-    /// Requests that it runs at once.
+    /// Number of requests that the server runs concurrently.
     pub slots: u32,
-    /// What the platform believes.
+    /// The server's state according to the platform.
     #[serde(default)]
     pub state: State,
 }
--- a/src/id.rs
+++ b/src/id.rs
@@ -1,7 +1,7 @@
-//! Identities used everywhere.
+//! Identifiers of instances, zones, services, servers, slices and so on.
 //!
-//! Every identity is an opaque newtype: the decision modules compare and print
-//! them and never look inside. Names are shared strings, so that a clone costs
+//! Every identifier is an opaque newtype: the decision modules only compare and
+//! print identifiers. Names are reference-counted strings, so that a clone costs
 //! one counter increment.
 
 use std::fmt;
@@ -15,7 +15,7 @@
 use crate::error::Error;
 use crate::error::Result;
 
-/// Longest name accepted for any identity, in bytes.
+/// Longest accepted name, in bytes.
 pub const MAX_NAME: usize = 64;
 
 fn check_name(kind: &'static str, name: &str) -> Result<()> {
@@ -81,7 +81,7 @@
 }
 
 name!(
-    /// Name of an entry instance, kept across its restarts.
+    /// Name of an entry instance; the same after a restart.
     Instance,
     "instance"
 );
@@ -146,37 +146,39 @@
     "slice"
 );
 number!(
-    /// Version of one slice's ownership; every change of owner or backup raises it.
+    /// Version of a slice's ownership; raised by every change of home or backup.
     Epoch,
     u64,
     "epoch"
 );
 number!(
-    /// Version of one configuration document; only a greater one is applied.
+    /// Version of a configuration document; only a greater version is applied.
     Revision,
     u64,
     "revision"
 );
 number!(
-    /// One life of an entry instance: a restart under the same name gets a greater one.
+    /// Number of one run of an entry instance; greater after each restart under the
+    /// same name.
     Incarnation,
     u64,
     "incarnation"
 );
 number!(
-    /// One sending of a request to one backend server, unique within an instance's life.
+    /// Number of an attempt to send a request to a backend server; unique within an
+    /// incarnation of the instance.
     Attempt,
     u64,
     "attempt"
 );
 
-/// One life of one entry instance, as it stands in the slice table.
+/// One incarnation of an entry instance, as written in the slice table.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Holder {
     /// The instance's name.
     pub instance: Instance,
-    /// Which of its lives.
+    /// The instance's incarnation.
     pub incarnation: Incarnation,
 }
 
@@ -215,7 +217,7 @@
     }
 }
 
-/// Address of a caller or a backend server, opaque to every decision.
+/// Socket address of a caller, server or instance; decisions only compare it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Endpoint(pub SocketAddr);
--- a/src/key.rs
+++ b/src/key.rs
@@ -8,10 +8,10 @@
 use crate::error::Error;
 use crate::error::Result;
 
-/// Shortest key for the peers' MAC, in bytes.
-const MIN_KEY: usize = 16;
+/// Shortest accepted key, in bytes.
+const MIN_KEY_LEN: usize = 16;
 
-/// What is allowed as a key.
+/// Allowed form of a key, for error messages.
 pub(crate) const FORM: &str = "at least 32 hexadecimal digits, an even number of them";
 
 /// Key for the MAC on messages between instances.
@@ -30,7 +30,7 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self> {
-        let refuse = || Error::Decode {
+        let invalid_key = || Error::Decode {
             step: "key",
             peer: "settings".to_owned(),
             reason: format!("want {FORM}"),
@@ -39,9 +39,9 @@
             .chars()
             .map(|c| c.to_digit(16).and_then(|digit| u8::try_from(digit).ok()))
             .collect();
-        let digits = digits.ok_or_else(refuse)?;
-        if digits.len() % 2 != 0 || digits.len() < 2 * MIN_KEY {
-            return Err(refuse());
+        let digits = digits.ok_or_else(invalid_key)?;
+        if digits.len() % 2 != 0 || digits.len() < 2 * MIN_KEY_LEN {
+            return Err(invalid_key());
         }
         let bytes = digits.chunks(2).map(|pair| pair[0] << 4 | pair[1]);
         Ok(Self(bytes.collect()))
@@ -56,7 +56,7 @@
     }
 }
 
-/// Shows no key, since settings are logged at the start.
+/// Hides the key, since settings are logged at the start.
 impl fmt::Debug for Key {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Key(hidden)")
--- a/src/path.rs
+++ b/src/path.rs
@@ -1,19 +1,19 @@
-//! Names of the platform's keys that the operators' tool reads and writes.
+//! Keys in the platform that the operators' tool reads and writes.
 //!
-//! They stand in one place, since a key that is written under one name and read
-//! under another loses a change without any error.
+//! They are defined in one place: if a key were written under one name and read
+//! under another, a change would be lost without any error.
 
 use crate::id;
 
-/// Before every key of this system; without it, a document's key is the name
-/// by which instances report its revision.
+/// Prefix of all keys of this system. Without it, a document's key is the name by
+/// which instances report the document's revision.
 const ROOT: &str = "godwitreel/";
 
-/// Before the name of a profile.
+/// Key prefix of profiles.
 pub const PROFILES: &str = "godwitreel/profiles/";
-/// Before the name of a service.
+/// Key prefix of services.
 pub const SERVICES: &str = "godwitreel/services/";
-/// Before the name of an entry instance.
+/// Key prefix of the entry instances' registrations.
 pub const INSTANCES: &str = "godwitreel/instances/";
 
 /// Key of a profile.
@@ -31,7 +31,7 @@
     format!("{INSTANCES}{name}")
 }
 
-/// Before the name of a backend server in the platform's own list.
+/// Key prefix of the platform's own list of backend servers.
 pub const SERVERS: &str = "platform/servers/";
 
 /// Key of a backend server in the platform's own list.
@@ -39,35 +39,35 @@
     format!("{SERVERS}{name}")
 }
 
-/// Key of the wish that an instance leaves.
+/// Key that drains an instance.
 pub fn instance_drain(name: &id::Instance) -> String {
     format!("godwitreel/drain/instances/{name}")
 }
 
-/// Key of the wish that a backend server leaves.
+/// Key that drains a backend server.
 pub fn server_drain(name: &id::Server) -> String {
     format!("godwitreel/drain/servers/{name}")
 }
 
-/// Before the names of evacuated zones.
+/// Key prefix of evacuated zones.
 pub const EVACUATIONS: &str = "godwitreel/drain/zones/";
 
-/// Key of the order to evacuate an availability zone.
+/// Key that evacuates an availability zone.
 pub fn evacuation(zone: &id::Zone) -> String {
     format!("{EVACUATIONS}{zone}")
 }
 
-/// Before the revisions in a profile's history.
+/// Key prefix of the revisions in a profile's history.
 pub fn history(name: &id::Profile) -> String {
     format!("godwitreel/history/profiles/{name}/")
 }
 
-/// Name by which instances report a document, as in `profiles/NAME`.
+/// Name by which instances report a document, such as `profiles/NAME`.
 pub fn document(key: &str) -> &str {
     key.strip_prefix(ROOT).unwrap_or(key)
 }
 
-/// What follows the last `/`.
+/// The part of a key after the last `/`.
 pub(crate) fn last_segment(key: &str) -> &str {
     key.rsplit_once('/').map_or(key, |(_, name)| name)
 }
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -1,7 +1,7 @@
-//! The configuration in force at this instance, as one immutable value.
+//! An immutable snapshot of the configuration in force at this instance.
 //!
-//! Workers hold an `Arc` of it and swap it whole; servers inside are shared with
-//! the snapshot before, so that their counts survive a change.
+//! Workers hold an `Arc` of the snapshot and replace it as a whole. Servers are shared
+//! with the previous snapshot, so that their counts survive a change.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,28 +10,28 @@
 use crate::id;
 use crate::server::Server;
 
-/// One service with its chosen profile and its backend servers.
+/// A service with its profile and its backend servers.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub id: id::Service,
-    /// Name of the chosen profile.
+    /// Name of the service's profile.
     pub profile_id: id::Profile,
     /// Revision of the profile in force.
     pub revision: id::Revision,
     /// The profile in force.
     pub profile: Arc<Profile>,
-    /// The servers that may be used, in order of their names.
+    /// The listed servers, sorted by name.
     pub servers: Vec<Arc<Server>>,
 }
 
 impl Service {
-    /// The server of this name.
+    /// The server with this name.
     pub fn server(&self, id: &id::Server) -> Option<&Arc<Server>> {
         self.servers
             .binary_search_by(|server| server.id.cmp(id))
             .ok()
-            .map(|place| &self.servers[place])
+            .map(|index| &self.servers[index])
     }
 }
 
--- a/src/status.rs
+++ b/src/status.rs
@@ -1,9 +1,9 @@
-//! What an instance tells over HTTP; shared by the daemon and the tool.
+//! Answers of an instance's status port; used by the daemon and the operators' tool.
 //!
 //! | path | answer |
 //! |---|---|
 //! | `GET /status` | [`Status`] |
-//! | `GET /ready` | 200 if it takes callers' datagrams, else 503 |
+//! | `GET /ready` | 200 if the instance accepts callers' datagrams, else 503 |
 //! | `GET /metrics` | Prometheus text (OpenMetrics) |
 //! | `GET /explain?service=S&caller=A` | list of [`Trace`], newest first |
 //! | `GET /burn` | the burn counts |
@@ -19,77 +19,77 @@
 /// State of one instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// Which instance, in which of its lives.
+    /// The instance and its incarnation.
     pub holder: id::Holder,
     /// Its availability zone.
     pub zone: id::Zone,
-    /// Whether it takes callers' datagrams.
+    /// Whether the instance accepts callers' datagrams.
     pub ready: bool,
-    /// Whether it is handing its slices over.
+    /// Whether the instance is handing its slices over.
     pub leaving: bool,
-    /// Milliseconds since the platform last answered; none if it never did.
+    /// Milliseconds since the platform last answered; `None` if it never did.
     pub platform_silent_ms: Option<u64>,
     /// Revision in force of each document, by `profiles/NAME` and `services/NAME`.
     pub revisions: BTreeMap<String, id::Revision>,
-    /// Documents that were refused, with the reason.
+    /// Keys of refused documents, each with the reason.
     pub refused: BTreeMap<String, String>,
-    /// Slices that it is home of.
+    /// Number of slices whose home is this instance.
     pub homes: u32,
-    /// Slices that it is backup of.
+    /// Number of slices whose backup is this instance.
     pub backups: u32,
-    /// Slices that it is home of without a backup.
+    /// Number of slices whose home is this instance and that have no backup.
     pub alone: u32,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub in_progress: u64,
-    /// Feeds open or kept as copies.
+    /// Number of feeds that are open or kept as copies.
     pub feeds: u64,
-    /// The other instances that it knows.
+    /// The other known instances.
     pub peers: Vec<Peer>,
-    /// Zones whose servers get no new work, as operators ordered.
+    /// Zones that operators have evacuated: their servers get no new work.
     #[serde(default)]
     pub evacuated: BTreeSet<id::Zone>,
     /// The backend servers.
     pub servers: Vec<Server>,
 }
 
-/// Another instance as this one sees it.
+/// Another instance, as seen by this one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Peer {
-    /// Which instance.
+    /// The instance and its incarnation.
     pub holder: id::Holder,
     /// Its availability zone.
     pub zone: id::Zone,
-    /// Whether it was heard recently.
+    /// Whether a heartbeat was received recently.
     pub live: bool,
-    /// Whether it is handing its slices over.
+    /// Whether the instance is handing its slices over.
     pub leaving: bool,
-    /// Milliseconds since it was last heard.
+    /// Milliseconds since the last heartbeat.
     pub silent_ms: u64,
 }
 
-/// A backend server as this instance sees it.
+/// A backend server, as seen by this instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Server {
-    /// Its name.
+    /// Name of the server.
     pub id: id::Server,
-    /// Its service.
+    /// Service of the server.
     pub service: id::Service,
     /// Its availability zone.
     pub zone: id::Zone,
-    /// Whether it takes new work.
+    /// Whether the server takes new work.
     pub takes_work: bool,
-    /// Whether it is leaving.
+    /// Whether the server is leaving.
     pub leaving: bool,
-    /// Requests of this instance in progress there.
+    /// Requests of this instance in progress at the server.
     pub outstanding: u32,
-    /// Feeds of this instance open there.
+    /// Feeds of this instance open at the server.
     pub feeds: u32,
 }
 
-/// One thing that was done for a flow, and why.
+/// A decision or event of a flow, with its reason.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Trace {
-    /// Milliseconds ago.
+    /// Time since the event, in milliseconds.
     pub age_ms: u64,
     /// The reason code.
     pub reason: String,
@@ -97,16 +97,16 @@
     pub service: String,
     /// The caller.
     pub caller: String,
-    /// The request's identity, if one was concerned.
+    /// Identifier of the request, if the event concerns one.
     pub request: Option<String>,
     /// The slice.
     pub slice: Option<u32>,
-    /// The slice's epoch when it happened.
+    /// The slice's epoch at the time of the event.
     pub epoch: Option<u64>,
-    /// Revision of the profile in force.
+    /// Revision of the profile in force at the time of the event.
     pub revision: Option<u64>,
     /// The backend server.
     pub server: Option<String>,
-    /// How long it took, in milliseconds.
+    /// Duration of the request, in milliseconds.
     pub elapsed_ms: Option<u64>,
 }
--- a/src/table.rs
+++ b/src/table.rs
@@ -1,7 +1,7 @@
-//! The slice table: who is home and who is backup for each slice.
+//! The slice table: the home and the backup of each slice.
 //!
-//! Rows live in the platform, [`ROWS_PER_DOCUMENT`] to a document, and change by
-//! compare-and-swap only. Every change of a row raises its epoch.
+//! Rows are stored in the platform, [`ROWS_PER_DOCUMENT`] to a document, and are
+//! changed by compare-and-swap only. Every change of a row raises its epoch.
 
 use std::hash::Hash;
 use std::hash::Hasher;
@@ -13,20 +13,20 @@
 use crate::id;
 use crate::request::Flow;
 
-/// Rows kept in one platform document.
+/// Number of rows in a platform document.
 pub const ROWS_PER_DOCUMENT: u32 = 256;
 
 /// Ownership of one slice.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Row {
-    /// Raised by each change.
+    /// Version of the row; raised by each change.
     #[serde(rename = "e")]
     pub epoch: id::Epoch,
-    /// Keeps the slice's requests and feeds.
+    /// Holder that processes the slice's requests and feeds.
     #[serde(rename = "h", default, skip_serializing_if = "Option::is_none")]
     pub home: Option<id::Holder>,
-    /// Keeps a copy of what must survive the home.
+    /// Holder that keeps a copy of the records that must survive a loss of the home.
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
     pub backup: Option<id::Holder>,
     /// Whether the home took the slice over without its records.
@@ -35,36 +35,38 @@
 }
 
 impl Row {
-    /// Whether this instance's life is home.
+    /// Whether this holder is the slice's home.
     pub fn is_home(&self, holder: &id::Holder) -> bool {
         self.home.as_ref() == Some(holder)
     }
 
-    /// Whether this instance's life is backup.
+    /// Whether this holder is the slice's backup.
     pub fn is_backup(&self, holder: &id::Holder) -> bool {
         self.backup.as_ref() == Some(holder)
     }
 
-    /// Whether the home of this row has the records of the one before: it was
-    /// home or backup there, and no row came in between.
+    /// Whether the home of this row has the records of the row `before`: it was home or
+    /// backup in that row, and there was no row in between.
     pub fn continues(&self, before: &Self) -> bool {
-        let next = self.epoch.0 == before.epoch.0 + 1;
-        let held = self.home == before.home || self.home == before.backup;
-        next && self.home.is_some() && held
+        let is_next = self.epoch.0 == before.epoch.0 + 1;
+        let had_records = self.home == before.home || self.home == before.backup;
+        is_next && self.home.is_some() && had_records
     }
 }
 
-/// A part of the table as it is stored in the platform.
+/// A document in the platform with a part of the table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// Random mark of this write, to find out by reading back whether it took effect.
+    /// Random identifier of this write. Reading it back shows whether an unanswered
+    /// write took effect.
     pub write_id: String,
-    /// Rows, from the slice that is the document's number times [`ROWS_PER_DOCUMENT`].
+    /// Rows of consecutive slices. The first slice is the document's number times
+    /// [`ROWS_PER_DOCUMENT`].
     pub rows: Vec<Row>,
 }
 
-/// All rows, as last seen.
+/// All rows, in their newest known version.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Table {
     rows: Vec<Row>,
@@ -102,13 +104,14 @@
         self.rows.get(slice.0 as usize)
     }
 
-    /// Takes a row if its epoch is greater; tells whether it did.
+    /// Replaces a row if the epoch of the new one is greater. Returns whether it was
+    /// replaced.
     pub fn update_if_newer(&mut self, slice: id::Slice, row: Row) -> bool {
         let Some(known) = self.rows.get_mut(slice.0 as usize) else {
             return false;
         };
-        // A stale platform or peer may serve an old row: taking it would give the
-        // slice back to a home that has already been replaced.
+        // A stale platform or peer may serve an old row. Taking it would return the
+        // slice to a home that has already been replaced.
         if row.epoch <= known.epoch {
             return false;
         }
@@ -130,8 +133,8 @@
     }
 }
 
-/// The slice of a flow among `count`, by a hash that the fleet's key makes
-/// unpredictable.
+/// The slice of a flow among `count` slices, by a hash with the fleet's secret key, so
+/// that callers cannot predict it.
 pub fn slice(count: u32, key: u64, flow: &Flow) -> id::Slice {
     let mut hasher = SipHasher13::new_with_keys(key, !key);
     flow.service.as_str().hash(&mut hasher);
