--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -43,21 +43,21 @@
 use crate::reason::Reason;
 use crate::registration;
 use crate::settings;
-use crate::shared::Parts;
 use crate::shared::Shared;
+use crate::shared::SharedParts;
 use crate::steer;
 use crate::steer::ControlTask;
 use crate::worker::Observe;
 use crate::worker::Outputs;
 use crate::worker::WorkerPool;
 
-/// How long a stopping instance passes datagrams on after it has handed its
-/// slices over: the fabric learns late that it has gone, and the registrations
-/// at backend servers are kept for a while.
-const LINGER: Duration = Duration::from_secs(3);
+/// How long a stopping instance keeps relaying datagrams after it has handed over
+/// its slices: the network fabric goes on sending it datagrams until it notices the
+/// stop, and backend servers keep its feed registrations for a while.
+const RELAY_PERIOD: Duration = Duration::from_secs(3);
 
-/// Time between two looks at whether a stop is complete.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Interval at which a stopping instance checks whether the stop is complete.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A running entry instance.
 pub struct Handle {
@@ -69,7 +69,7 @@
 /// How a stop ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stopped {
-    /// Requests that were cut off.
+    /// Requests that were still in progress and got no answer.
     pub cut: u64,
     /// Slices that were not handed over.
     pub kept: u32,
@@ -88,11 +88,11 @@
     info!(log, "starting"; "holder" => %me, "zone" => %settings.zone);
     let keys = Keys::new(settings.keys.iter().map(settings::Key::as_bytes))?;
     let socket = edge::bind(settings.peer.0)?;
-    let copies = listen_tcp(settings.peer).await?;
-    let status = listen_tcp(settings.status).await?;
-    let receiving = socket
+    let config_listener = listen_tcp(settings.peer).await?;
+    let status_listener = listen_tcp(settings.status).await?;
+    let peer_receiver = socket
         .try_clone()
-        .map_err(|source| io(settings.peer, source))?;
+        .map_err(|source| bind_error(settings.peer, source))?;
     let options = platform::Options {
         seed: me.incarnation.0,
         ..platform::Options::default()
@@ -106,24 +106,24 @@
         settings.peer_bytes_per_second,
         Arc::clone(&metrics),
     ));
-    let ring = Arc::new(explain::TraceBuffer::default());
-    let ledger = Arc::new(Mutex::new(BurnCounter::new(me.clone(), Instant::now())));
-    let (joined, joins) = mpsc::unbounded_channel();
-    let paths: Result<Vec<_>> = (0..SERVER_SOCKETS)
+    let traces = Arc::new(explain::TraceBuffer::default());
+    let burn_counter = Arc::new(Mutex::new(BurnCounter::new(me.clone(), Instant::now())));
+    let (synced_backups, synced_backups_receiver) = mpsc::unbounded_channel();
+    let server_sockets: Result<Vec<_>> = (0..SERVER_SOCKETS)
         .map(|_| edge::bind((settings.backend_bind, 0).into()))
         .collect();
     let outputs = Arc::new(Outputs {
         listeners: RwLock::default(),
-        server_sockets: paths?,
+        server_sockets: server_sockets?,
         link: Arc::clone(&link),
-        synced_backups: joined,
-        observe: observer(&metrics, &ring, &ledger, &log),
+        synced_backups,
+        observe: observer(&metrics, &traces, &burn_counter, &log),
         next_message: AtomicUsize::new(me.incarnation.0 as usize),
     });
     let engines = engines(&settings, &me);
     let pool = WorkerPool::start(engines, &outputs, settings.slices, settings.hash_key)?;
     let control = SlicePlanner::new(control_settings(&settings, &me), Instant::now());
-    let shared = Arc::new(Shared::new(Parts {
+    let shared = Arc::new(Shared::new(SharedParts {
         settings,
         me,
         log,
@@ -131,27 +131,36 @@
         outputs,
         link,
         metrics,
-        traces: ring,
-        burn_counter: ledger,
+        traces,
+        burn_counter,
         control,
     }));
-    let (told, tells) = mpsc::unbounded_channel();
-    edge::peers(Arc::clone(&shared), &receiving, told.clone())?;
-    edge::copies(Arc::clone(&shared), copies);
-    for path in 0..SERVER_SOCKETS as usize {
-        edge::answers(Arc::clone(&shared), path)?;
+    let (control_events, control_events_receiver) = mpsc::unbounded_channel();
+    edge::receive_from_peers(Arc::clone(&shared), &peer_receiver, control_events.clone())?;
+    edge::serve_config(Arc::clone(&shared), config_listener);
+    for server_socket in 0..SERVER_SOCKETS as usize {
+        edge::receive_answers(Arc::clone(&shared), server_socket)?;
     }
     let (stop, stopping) = watch::channel(false);
-    let (wanted, registered) = watch::channel(registration_of(&shared));
-    let registration = tokio::spawn(registration::keep(client.clone(), registered));
+    let (registrations, registrations_receiver) = watch::channel(registration_of(&shared));
+    let registration = tokio::spawn(registration::maintain(
+        client.clone(),
+        registrations_receiver,
+    ));
     for prefix in steer::WATCHED_PREFIXES {
-        let follow = steer::follow(client.clone(), prefix, told.clone());
+        let follow = steer::follow(client.clone(), prefix, control_events.clone());
         shared.spawn(follow);
     }
-    let steer = ControlTask::new(Arc::clone(&shared), client, told, wanted, stopping);
-    shared.spawn(steer.run(tells, joins));
+    let control_task = ControlTask::new(
+        Arc::clone(&shared),
+        client,
+        control_events,
+        registrations,
+        stopping,
+    );
+    shared.spawn(control_task.run(control_events_receiver, synced_backups_receiver));
     shared.spawn(check_health(Arc::clone(&shared)));
-    shared.spawn(serve(Arc::clone(&shared), status));
+    shared.spawn(serve(Arc::clone(&shared), status_listener));
     Ok(Handle {
         shared,
         stop,
@@ -160,48 +169,52 @@
 }
 
 impl Handle {
-    /// Stops gracefully: hands the slices over, finishes what is in progress, and
-    /// returns at the latest when the grace time of the settings is over.
+    /// Stops gracefully: hands the slices over and finishes the requests in progress.
+    /// Returns at the latest when the grace time of the settings is over.
     pub async fn stop(&mut self) -> Stopped {
         info!(self.shared.log, "stopping");
         let _ = self.stop.send(true);
-        let begun = Instant::now();
-        let grace = begun + self.shared.settings.stop_grace();
-        let mut empty_since = None;
-        let mut closing = false;
-        while Instant::now() < grace {
+        let started = Instant::now();
+        let stop_deadline = started + self.shared.settings.stop_grace();
+        let mut idle_since = None;
+        let mut refuses_work = false;
+        while Instant::now() < stop_deadline {
             let now = Instant::now();
-            let tight = now + self.longest_deadline() + LINGER >= grace;
-            if !closing && tight && now - begun >= self.shared.settings.stop_grace() / 2 {
-                // Slices that nobody could take over go on getting requests, and
-                // the end would cut off whatever came last.
-                closing = true;
+            let is_near_end = now + self.longest_deadline() + RELAY_PERIOD >= stop_deadline;
+            if !refuses_work
+                && is_near_end
+                && now - started >= self.shared.settings.stop_grace() / 2
+            {
+                // Slices that no other instance could take over still get requests.
+                // Those that arrive last would get no answer before the process ends.
+                refuses_work = true;
                 info!(self.shared.log, "refusing new work");
                 self.shared.pool.broadcast(&Event::Stopping);
             }
-            if closing && self.in_progress() == 0 {
+            if refuses_work && self.in_progress() == 0 {
                 break;
             }
-            if self.is_empty(now) {
-                let since = *empty_since.get_or_insert(now);
-                if now >= since + LINGER {
+            if self.is_handed_over(now) {
+                let since = *idle_since.get_or_insert(now);
+                if now >= since + RELAY_PERIOD {
                     break;
                 }
             } else {
-                empty_since = None;
+                idle_since = None;
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(STOP_CHECK_INTERVAL).await;
         }
         self.end().await
     }
 
-    /// Requests in progress now, those that wait for a home included.
+    /// Number of requests in progress, including those that wait for their slice to get
+    /// a home.
     pub fn in_progress(&self) -> u64 {
         let pool = &self.shared.pool;
         pool.sum(|gauge| &gauge.in_progress) + pool.sum(|gauge| &gauge.parked)
     }
 
-    /// Ends at once.
+    /// Stops immediately, without handing over slices or finishing requests.
     pub fn abort(self) -> Stopped {
         let stopped = self.stopped();
         self.shared.close();
@@ -209,7 +222,8 @@
         stopped
     }
 
-    /// Longest time that a request which has come may still take.
+    /// Longest time that a request received now may take: the longest deadline of all
+    /// profiles in use.
     fn longest_deadline(&self) -> Duration {
         let snapshot = self.shared.config().snapshot();
         let services = snapshot.services.values();
@@ -224,37 +238,40 @@
         }
     }
 
-    /// Whether everything is handed over and finished. Without the platform
-    /// nothing can be handed over, so only the work in progress counts.
-    fn is_empty(&self, now: Instant) -> bool {
-        const SILENT: Duration = Duration::from_secs(5);
+    /// Whether all slices are handed over and all requests finished. If the platform
+    /// does not answer, no slice can be handed over, and only requests in progress
+    /// count.
+    fn is_handed_over(&self, now: Instant) -> bool {
+        const PLATFORM_TIMEOUT: Duration = Duration::from_secs(5);
         let control = self.shared.control();
         let (homes, backups, _) = control.holdings();
         let contact = control.last_contact();
         drop(control);
-        let silent = contact.is_none_or(|contact| now > contact + SILENT);
-        (homes + backups == 0 || silent) && self.in_progress() == 0
+        let is_unreachable = contact.is_none_or(|contact| now > contact + PLATFORM_TIMEOUT);
+        (homes + backups == 0 || is_unreachable) && self.in_progress() == 0
     }
 
     async fn end(&mut self) -> Stopped {
         let stopped = self.stopped();
         self.shared.close();
-        // The control task held the sender, so the registration is withdrawn now.
-        let withdraw = tokio::time::timeout(LINGER, &mut self.registration);
+        // Closing drops the control task and with it the sender of registrations. The
+        // registration task then revokes its lease and ends.
+        let withdraw = tokio::time::timeout(RELAY_PERIOD, &mut self.registration);
         let _ = withdraw.await;
-        // Whoever starts an instance anew in this process needs its addresses.
-        let _ = tokio::time::timeout(LINGER, self.shared.closed()).await;
+        // An instance that is started again in this process binds the same addresses,
+        // so the tasks must have released their sockets.
+        let _ = tokio::time::timeout(RELAY_PERIOD, self.shared.closed()).await;
         info!(self.shared.log, "stopped"; "cut" => stopped.cut, "kept" => stopped.kept);
         stopped
     }
 }
 
 fn now_micros() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |since| since.as_micros() as u64)
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map_or(0, |elapsed| elapsed.as_micros() as u64)
 }
 
-fn io(peer: id::Endpoint, source: std::io::Error) -> Error {
+fn bind_error(peer: id::Endpoint, source: std::io::Error) -> Error {
     Error::Io {
         step: "bind",
         peer: peer.to_string(),
@@ -264,7 +281,7 @@
 
 async fn listen_tcp(address: id::Endpoint) -> Result<TcpListener> {
     let listener = TcpListener::bind(address.0).await;
-    listener.map_err(|source| io(address, source))
+    listener.map_err(|source| bind_error(address, source))
 }
 
 fn engines(settings: &settings::Daemon, me: &id::Holder) -> Vec<Engine> {
@@ -308,36 +325,37 @@
 
 fn observer(
     metrics: &Arc<Metrics>,
-    ring: &Arc<explain::TraceBuffer>,
-    ledger: &Arc<Mutex<BurnCounter>>,
+    traces: &Arc<explain::TraceBuffer>,
+    burn_counter: &Arc<Mutex<BurnCounter>>,
     log: &Logger,
 ) -> Observe {
-    let (metrics, ring, log) = (Arc::clone(metrics), Arc::clone(ring), log.clone());
-    let ledger = Arc::clone(ledger);
-    Box::new(move |now, note| {
-        metrics.note(note);
-        count(&ledger, now, note);
-        debug!(log, "note"; "reason" => note.reason.code(),
-            "flow" => FnValue(|_| note.flow.as_ref().map(ToString::to_string)),
-            "server" => FnValue(|_| note.server.as_ref().map(ToString::to_string)));
+    let (metrics, traces, log) = (Arc::clone(metrics), Arc::clone(traces), log.clone());
+    let burn_counter = Arc::clone(burn_counter);
+    Box::new(move |now, event| {
+        metrics.note(event);
+        count_outcome(&burn_counter, now, event);
+        debug!(log, "note"; "reason" => event.reason.code(),
+            "flow" => FnValue(|_| event.flow.as_ref().map(ToString::to_string)),
+            "server" => FnValue(|_| event.server.as_ref().map(ToString::to_string)));
         let context = explain::Context {
-            epoch: note.epoch,
-            revision: note.revision,
+            epoch: event.epoch,
+            revision: event.revision,
         };
-        ring.record(now, note.clone(), context);
+        traces.record(now, event.clone(), context);
     })
 }
 
-/// Counts a final outcome for the burn report; a feed that was lost is a bad event.
-fn count(ledger: &Mutex<BurnCounter>, now: Instant, note: &TraceEvent) {
-    let Some(flow) = &note.flow else {
+/// Counts the final outcome of a request for the burn report. A lost feed counts as a
+/// bad event.
+fn count_outcome(burn_counter: &Mutex<BurnCounter>, now: Instant, event: &TraceEvent) {
+    let Some(flow) = &event.flow else {
         return;
     };
-    let mut ledger = ledger.lock().unwrap_or_else(|lock| lock.into_inner());
-    match (note.reason, note.elapsed) {
-        (Reason::Answered, Some(elapsed)) => ledger.answered(now, &flow.service, elapsed),
+    let mut burn_counter = burn_counter.lock().unwrap_or_else(|lock| lock.into_inner());
+    match (event.reason, event.elapsed) {
+        (Reason::Answered, Some(elapsed)) => burn_counter.answered(now, &flow.service, elapsed),
         (reason, _) if reason.is_failure() || reason == Reason::FeedLost => {
-            ledger.bad(now, &flow.service);
+            burn_counter.bad(now, &flow.service);
         }
         _ => {}
     }
@@ -348,7 +366,7 @@
     let prober = match probe::Prober::new(settings) {
         Ok(prober) => prober,
         Err(error) => {
-            error!(shared.log, "no health checks"; "error" => %error);
+            error!(shared.log, "health checks disabled: cannot create the HTTP client"; "error" => %error);
             return;
         }
     };
@@ -356,16 +374,16 @@
     loop {
         tokio::select! {
             _ = rounds.tick() => {}
-            () = prober.lost() => {}
+            () = prober.connection_lost() => {}
         }
         let servers = shared.config().servers().map(Arc::clone).collect();
-        prober.round(servers).await;
+        prober.check_all(servers).await;
     }
 }
 
 async fn serve(shared: Arc<Shared>, listener: TcpListener) {
     let router = http::router(Arc::clone(&shared));
     if let Err(error) = axum::serve(listener, router).await {
-        info!(shared.log, "status port closed"; "error" => %error);
+        info!(shared.log, "status server failed"; "error" => %error);
     }
 }
--- a/src/edge.rs
+++ b/src/edge.rs
@@ -1,4 +1,4 @@
-//! Receiving sockets: callers, backend servers, peers.
+//! Receives datagrams from callers, backend servers and peers.
 
 use std::net::SocketAddr;
 use std::net::UdpSocket;
@@ -24,10 +24,10 @@
 use crate::shared::Shared;
 use crate::worker::Input;
 
-/// Largest datagram that UDP can carry, in bytes.
-const MAX_UDP: usize = 65_535;
+/// Size of a receive buffer, in bytes: no UDP datagram is larger.
+const MAX_UDP_DATAGRAM: usize = 65_535;
 
-/// Binds a UDP socket that both threads and tasks can use.
+/// Binds a non-blocking UDP socket, usable by threads and by tasks.
 pub(crate) fn bind(address: SocketAddr) -> Result<UdpSocket> {
     let io = |source| Error::Io {
         step: "bind",
@@ -39,7 +39,7 @@
     Ok(socket)
 }
 
-fn receiver(socket: &UdpSocket) -> Result<tokio::net::UdpSocket> {
+fn async_socket(socket: &UdpSocket) -> Result<tokio::net::UdpSocket> {
     let io = |source| Error::Io {
         step: "receive",
         peer: "socket".to_owned(),
@@ -54,10 +54,10 @@
     service: id::Service,
     socket: &UdpSocket,
 ) -> Result<()> {
-    let socket = receiver(socket)?;
+    let socket = async_socket(socket)?;
     let task = Arc::clone(&shared);
     task.spawn(async move {
-        let mut buffer = vec![0; MAX_UDP];
+        let mut buffer = vec![0; MAX_UDP_DATAGRAM];
         loop {
             let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
                 continue;
@@ -67,7 +67,7 @@
                 caller: id::Endpoint(from),
             };
             let datagram = Bytes::copy_from_slice(&buffer[..length]);
-            if let Some(message) = from_caller(&shared, flow, datagram, 0) {
+            if let Some(message) = handle_caller_datagram(&shared, flow, datagram, 0) {
                 let _ = socket.send_to(&codec::write_rejection(message), from).await;
             }
         }
@@ -75,10 +75,11 @@
     Ok(())
 }
 
-/// Gives a caller's datagram to its worker; returns the number of a ping.
-fn from_caller(shared: &Shared, flow: Flow, datagram: Bytes, hops: u32) -> Option<u16> {
+/// Queues a caller's datagram for the worker of its slice. For a ping, returns its
+/// message number, which has to be answered with a reset.
+fn handle_caller_datagram(shared: &Shared, flow: Flow, datagram: Bytes, hops: u32) -> Option<u16> {
     if datagram.len() > shared.settings.limits.max_datagram as usize {
-        note(shared, Reason::BadDatagram);
+        record_reason(shared, Reason::BadDatagram);
         return None;
     }
     let slice = shared.pool.slice(&flow);
@@ -97,34 +98,39 @@
             shared.pool.enqueue(slice, event);
         }
         Ok(Inbound::Ping { message }) => return Some(message),
-        Err(_) => note(shared, Reason::BadDatagram),
+        Err(_) => record_reason(shared, Reason::BadDatagram),
     }
     None
 }
 
-fn note(shared: &Shared, reason: Reason) {
+fn record_reason(shared: &Shared, reason: Reason) {
     (shared.outputs.observe)(tokio::time::Instant::now(), &TraceEvent::new(reason));
 }
 
-/// Starts receiving from backend servers on one path.
-pub(crate) fn answers(shared: Arc<Shared>, path: usize) -> Result<()> {
-    let socket = receiver(&shared.outputs.server_sockets[path])?;
+/// Starts receiving from backend servers on the socket with this index.
+pub(crate) fn receive_answers(shared: Arc<Shared>, server_socket: usize) -> Result<()> {
+    let socket = async_socket(&shared.outputs.server_sockets[server_socket])?;
     let task = Arc::clone(&shared);
     task.spawn(async move {
-        let mut buffer = vec![0; MAX_UDP];
+        let mut buffer = vec![0; MAX_UDP_DATAGRAM];
         loop {
-            // An error here is an ICMP message about an earlier datagram.
+            // An error here is an ICMP error caused by an earlier datagram.
             let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
                 continue;
             };
             let datagram = Bytes::copy_from_slice(&buffer[..length]);
-            from_server(&shared, id::Endpoint(from), path, &datagram);
+            handle_server_datagram(&shared, id::Endpoint(from), server_socket, &datagram);
         }
     });
     Ok(())
 }
 
-fn from_server(shared: &Shared, from: id::Endpoint, path: usize, datagram: &Bytes) {
+fn handle_server_datagram(
+    shared: &Shared,
+    from: id::Endpoint,
+    server_socket: usize,
+    datagram: &Bytes,
+) {
     match codec::read_server(from, datagram) {
         Ok(Reply::Answer {
             attempt,
@@ -139,45 +145,45 @@
             let input = Input::Answer {
                 event,
                 from,
-                server_socket: path,
+                server_socket,
                 acknowledge,
             };
             if !shared.pool.enqueue_answer(attempt, input) {
-                note(shared, Reason::ForeignAnswer);
+                record_reason(shared, Reason::ForeignAnswer);
             }
         }
         Ok(Reply::Empty) => {}
-        Err(_) => note(shared, Reason::BadDatagram),
+        Err(_) => record_reason(shared, Reason::BadDatagram),
     }
 }
 
-/// Starts receiving from peers.
-pub(crate) fn peers(
+/// Starts receiving datagrams from peers.
+pub(crate) fn receive_from_peers(
     shared: Arc<Shared>,
     socket: &UdpSocket,
-    told: UnboundedSender<ControlEvent>,
+    control_events: UnboundedSender<ControlEvent>,
 ) -> Result<()> {
-    let socket = receiver(socket)?;
+    let socket = async_socket(socket)?;
     let task = Arc::clone(&shared);
     task.spawn(async move {
-        let mut buffer = vec![0; MAX_UDP];
+        let mut buffer = vec![0; MAX_UDP_DATAGRAM];
         loop {
             let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
                 continue;
             };
-            if from_peer(&shared, from, &buffer[..length], &told).is_err() {
-                note(&shared, Reason::BadPeerMessage);
+            if handle_peer_frame(&shared, from, &buffer[..length], &control_events).is_err() {
+                record_reason(&shared, Reason::BadPeerMessage);
             }
         }
     });
     Ok(())
 }
 
-fn from_peer(
+fn handle_peer_frame(
     shared: &Shared,
     address: SocketAddr,
     bytes: &[u8],
-    told: &UnboundedSender<ControlEvent>,
+    control_events: &UnboundedSender<ControlEvent>,
 ) -> Result<()> {
     let frame = shared.link.verify_frame(address, bytes)?;
     let from = frame.from;
@@ -185,17 +191,17 @@
         PeerMessage::Relay(relay) => {
             let flow = peer::unpack_flow(relay.flow.as_ref())?;
             if relay.released {
-                take_released(shared, from, flow, &relay)?;
+                enqueue_released(shared, from, flow, &relay)?;
             } else {
-                from_caller(shared, flow, relay.datagram, relay.hops);
+                handle_caller_datagram(shared, flow, relay.datagram, relay.hops);
             }
         }
         PeerMessage::Heartbeat(message) => {
-            let _ = told.send(ControlEvent::Heartbeat { from, message });
+            let _ = control_events.send(ControlEvent::Heartbeat { from, message });
         }
         PeerMessage::TakeoverRequest(message) => {
             let slices = message.slices;
-            let _ = told.send(ControlEvent::TakeoverRequested { from, slices });
+            let _ = control_events.send(ControlEvent::TakeoverRequested { from, slices });
         }
         body @ (PeerMessage::ReplicationStep(_)
         | PeerMessage::ReplicationAck(_)
@@ -209,14 +215,19 @@
             return Err(Error::Decode {
                 step: "peer message",
                 peer: address.to_string(),
-                reason: "copies travel over TCP".to_owned(),
+                reason: "configuration messages are sent over TCP only".to_owned(),
             });
         }
     }
     Ok(())
 }
 
-fn take_released(shared: &Shared, from: id::Holder, flow: Flow, relay: &peer::Relay) -> Result<()> {
+fn enqueue_released(
+    shared: &Shared,
+    from: id::Holder,
+    flow: Flow,
+    relay: &peer::Relay,
+) -> Result<()> {
     if let Inbound::Request(request) = codec::read_caller(&flow, &relay.datagram)? {
         let slice = shared.pool.slice(&flow);
         let event = Event::ReleasedRequest {
@@ -239,8 +250,8 @@
     }
 }
 
-/// Starts serving copies of the configuration to peers.
-pub(crate) fn copies(shared: Arc<Shared>, listener: TcpListener) {
+/// Starts serving the configuration to peers that request it over TCP.
+pub(crate) fn serve_config(shared: Arc<Shared>, listener: TcpListener) {
     let task = Arc::clone(&shared);
     task.spawn(async move {
         loop {
@@ -251,39 +262,43 @@
             let shared = Arc::clone(&shared);
             task.spawn(async move {
                 let link = Arc::clone(&shared.link);
-                let served = link.serve(stream, from, |pull| newer(&shared, &pull)).await;
+                let served = link
+                    .serve(stream, from, |request| config_changes(&shared, &request))
+                    .await;
                 if served.is_err() {
-                    note(&shared, Reason::BadPeerMessage);
+                    record_reason(&shared, Reason::BadPeerMessage);
                 }
             });
         }
     });
 }
 
-/// Entries of ours that the peer does not have, and what it has but should not.
-fn newer(shared: &Shared, pull: &peer::ConfigRequest) -> peer::ConfigResponse {
-    let have: std::collections::HashMap<&str, u64> = pull
+/// Entries that are newer here than at the peer, and keys of the peer that have been
+/// deleted.
+fn config_changes(shared: &Shared, request: &peer::ConfigRequest) -> peer::ConfigResponse {
+    let known: std::collections::HashMap<&str, u64> = request
         .known_versions
         .iter()
         .map(|version| (version.key.as_str(), version.modified))
         .collect();
     let config = shared.config();
-    let missing = config.shared().filter(|entry| {
-        have.get(entry.key.as_str())
+    let newer = config.shared().filter(|entry| {
+        known
+            .get(entry.key.as_str())
             .is_none_or(|known| *known < entry.mod_revision)
     });
-    let entries = missing.map(|entry| peer::Entry {
+    let entries = newer.map(|entry| peer::Entry {
         key: entry.key.clone(),
         modified: entry.mod_revision,
         value: entry.value.clone(),
     });
-    let gone = pull.known_versions.iter().filter_map(|version| {
+    let deleted = request.known_versions.iter().filter_map(|version| {
         let modified = config.deleted_since(&version.key, version.modified)?;
         let key = version.key.clone();
         Some(peer::Version { key, modified })
     });
     peer::ConfigResponse {
         entries: entries.collect(),
-        deleted: gone.collect(),
+        deleted: deleted.collect(),
     }
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,4 +1,4 @@
-//! The status port: readiness, status, metrics, explain.
+//! HTTP server of the status port: readiness, status, metrics, explain, burn counts.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -19,9 +19,10 @@
 use crate::request::Flow;
 use crate::shared::Shared;
 
-const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+const OPEN_METRICS_CONTENT_TYPE: &str =
+    "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-type Instance = State<Arc<Shared>>;
+type SharedState = State<Arc<Shared>>;
 
 pub(crate) fn router(shared: Arc<Shared>) -> Router {
     Router::new()
@@ -33,11 +34,11 @@
         .with_state(shared)
 }
 
-async fn status(State(shared): Instance) -> impl IntoResponse {
+async fn status(State(shared): SharedState) -> impl IntoResponse {
     Json(shared.status(Instant::now()))
 }
 
-async fn ready(State(shared): Instance) -> StatusCode {
+async fn ready(State(shared): SharedState) -> StatusCode {
     if shared.ready.load(Ordering::Relaxed) {
         StatusCode::OK
     } else {
@@ -45,7 +46,7 @@
     }
 }
 
-async fn metrics(State(shared): Instance) -> impl IntoResponse {
+async fn metrics(State(shared): SharedState) -> impl IntoResponse {
     let (homes, backups, alone) = shared.control().holdings();
     shared.metrics.set(&metric::GaugeValues {
         homes,
@@ -56,27 +57,33 @@
         parked: shared.pool.sum(|gauge| &gauge.parked),
         ready: shared.ready.load(Ordering::Relaxed),
     });
-    ([(CONTENT_TYPE, OPEN_METRICS)], shared.metrics.encode())
+    (
+        [(CONTENT_TYPE, OPEN_METRICS_CONTENT_TYPE)],
+        shared.metrics.encode(),
+    )
 }
 
-async fn burn(State(shared): Instance) -> impl IntoResponse {
-    let mut ledger = shared
+async fn burn(State(shared): SharedState) -> impl IntoResponse {
+    let mut burn_counter = shared
         .burn_counter
         .lock()
         .unwrap_or_else(|lock| lock.into_inner());
-    Json(ledger.sample(Instant::now()))
+    Json(burn_counter.sample(Instant::now()))
 }
 
 #[derive(Deserialize)]
-struct Asked {
+struct ExplainQuery {
     service: id::Service,
     caller: id::Endpoint,
 }
 
-async fn explain(State(shared): Instance, Query(asked): Query<Asked>) -> impl IntoResponse {
+async fn explain(
+    State(shared): SharedState,
+    Query(query): Query<ExplainQuery>,
+) -> impl IntoResponse {
     let flow = Flow {
-        service: asked.service,
-        caller: asked.caller,
+        service: query.service,
+        caller: query.caller,
     };
     Json(shared.traces.traces(Instant::now(), &flow))
 }
--- a/src/inbox.rs
+++ b/src/inbox.rs
@@ -1,24 +1,24 @@
-//! What other tasks tell the control task.
+//! Messages from other tasks to the control task.
 
 use crate::control::WriteResult;
 use crate::id;
 use crate::peer;
 use crate::platform::Update;
 
-/// What the control task is told.
+/// A message to the control task.
 #[derive(Debug)]
 pub(crate) enum ControlEvent {
-    /// From the platform, about one prefix.
+    /// The platform's update of one key prefix.
     Platform(&'static str, Update),
-    /// A peer's sign of life.
+    /// A heartbeat of a peer.
     Heartbeat {
         from: id::Holder,
         message: peer::Heartbeat,
     },
-    /// A home wants its backup to take over.
+    /// The home of these slices asks this instance, their backup, to take them over.
     TakeoverRequested { from: id::Holder, slices: Vec<u32> },
-    /// A write of the slice table has ended.
+    /// A write of a document of the slice table has ended.
     WriteFinished { document: u32, result: WriteResult },
-    /// A peer's copies.
+    /// Configuration entries and deletions received from a peer.
     PulledEntries(peer::ConfigResponse),
 }
--- a/src/probe.rs
+++ b/src/probe.rs
@@ -1,15 +1,15 @@
 //! Health checks of the backend servers.
 //!
-//! A health answer does one thing that nothing else can: it names the service
-//! that runs at an address. No packet goes to an address whose last answer named
-//! another service, or that was never confirmed at all. Between health answers,
-//! those of the server itself prove as much, see [`Server::confirm_by_answer`]. Load figures
-//! in answers are not used: own observations are fresher and cannot be wrong in
-//! that way.
+//! A health response names the service that runs at an address, which nothing else
+//! does. No packet is sent to an address whose last response named another service,
+//! or that was never confirmed. Between health checks, the server's answers to
+//! requests confirm the address as well, see [`Server::confirm_by_answer`]. Load
+//! figures in health responses are not used: the instance's own observations are
+//! more recent and do not depend on what the server reports.
 //!
-//! An answer counts only while a second connection to the same port, opened
-//! before the question, stays open. A process that ends closes it, and whatever
-//! starts at its address later has to be asked first.
+//! A health response is valid only while a second connection to the same port, opened
+//! before the health request, stays open. The connection closes when the process
+//! ends, so that a process that starts at this address later is checked first.
 
 use std::sync::Arc;
 use std::sync::Weak;
@@ -29,29 +29,29 @@
 use crate::server::Server;
 use crate::settings;
 
-/// Checks at a time.
-const PARALLEL: usize = 64;
+/// Most health checks that run concurrently.
+const MAX_CONCURRENT_CHECKS: usize = 64;
 
-/// Wait before the servers are asked again after a connection was lost: one that
-/// closes every connection at once must not be asked without pause.
-const ASK_AGAIN_AFTER: Duration = Duration::from_millis(50);
+/// Delay before the servers are checked again after a connection was lost. Without
+/// it, a server that closes every connection at once would be checked in a busy loop.
+const RECHECK_DELAY: Duration = Duration::from_millis(50);
 
-/// Largest health answer, in bytes.
-const MAX_ANSWER: usize = 4096;
+/// Largest health response, in bytes.
+const MAX_RESPONSE_LEN: usize = 4096;
 
-/// What a backend server says of itself.
+/// Body of a health response.
 #[derive(Clone, Debug, Deserialize)]
 struct Health {
     service: String,
     #[serde(default)]
     server: Option<String>,
     #[serde(default)]
-    state: Reported,
+    state: HealthState,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-enum Reported {
+enum HealthState {
     Starting,
     #[default]
     Up,
@@ -60,7 +60,7 @@
     Other,
 }
 
-/// Asks backend servers for their health.
+/// Checks the health of backend servers.
 pub(crate) struct Prober {
     client: reqwest::Client,
     settings: settings::Probe,
@@ -68,8 +68,8 @@
 }
 
 impl Prober {
-    /// Prepares the client. Neither a proxy from the environment nor a redirect
-    /// may answer in a server's place: the answer vouches for its address.
+    /// Creates the HTTP client. It uses no proxy from the environment and follows no
+    /// redirect, since a response must come from the server's own address to confirm it.
     pub(crate) fn new(settings: settings::Probe) -> reqwest::Result<Self> {
         let client = reqwest::Client::builder()
             .no_proxy()
@@ -82,43 +82,43 @@
         })
     }
 
-    /// Waits until a server's connection was lost, which may mean nothing but an
-    /// idle timeout there.
-    pub(crate) async fn lost(&self) {
+    /// Waits until a watched connection is lost. The cause may be the end of the process,
+    /// or only an idle timeout of the server.
+    pub(crate) async fn connection_lost(&self) {
         self.lost.notified().await;
-        sleep(ASK_AGAIN_AFTER).await;
+        sleep(RECHECK_DELAY).await;
     }
 
-    /// Checks all servers once, within the probe's timeout.
-    pub(crate) async fn round(&self, servers: Vec<Arc<Server>>) {
+    /// Checks all servers once, each within the timeout of the settings.
+    pub(crate) async fn check_all(&self, servers: Vec<Arc<Server>>) {
         futures::stream::iter(servers)
-            .for_each_concurrent(PARALLEL, |server| self.check(server))
+            .for_each_concurrent(MAX_CONCURRENT_CHECKS, |server| self.check(server))
             .await;
     }
 
     async fn check(&self, server: Arc<Server>) {
-        if !self.witness(&server).await {
+        if !self.ensure_watched_connection(&server).await {
             return;
         }
-        let asked = Instant::now();
-        // Silence proves nothing by itself: the confirmation just runs out.
-        let Some(health) = self.ask(&server).await else {
+        let requested_at = Instant::now();
+        // A missing response does not revoke the confirmation, which expires by itself.
+        let Some(health) = self.request_health(&server).await else {
             return;
         };
-        let same = health.service == server.service.as_str()
+        let is_same_server = health.service == server.service.as_str()
             && health.server.is_none_or(|name| name == server.id.as_str());
-        if !same {
+        if !is_same_server {
             server.revoke_confirmation();
             return;
         }
-        server.state().draining = health.state == Reported::Draining;
-        if health.state != Reported::Starting && server.state().listed != State::Starting {
-            server.confirm_if_connected(asked, self.settings.confirm_for());
+        server.state().draining = health.state == HealthState::Draining;
+        if health.state != HealthState::Starting && server.state().listed != State::Starting {
+            server.confirm_if_connected(requested_at, self.settings.confirm_for());
         }
     }
 
-    /// Makes sure that a connection is open whose end tells of the process's end.
-    async fn witness(&self, server: &Arc<Server>) -> bool {
+    /// Opens the watched connection unless it is open. Returns whether it is open.
+    async fn ensure_watched_connection(&self, server: &Arc<Server>) -> bool {
         if server.state().is_connection_watched {
             return true;
         }
@@ -127,20 +127,20 @@
             return false;
         };
         server.state().is_connection_watched = true;
-        let watch = watch(stream, Arc::downgrade(server), Arc::clone(&self.lost));
+        let watch = watch_connection(stream, Arc::downgrade(server), Arc::clone(&self.lost));
         server.set_connection_watch(AbortOnDropHandle::new(tokio::spawn(watch)));
         true
     }
 
-    async fn ask(&self, server: &Server) -> Option<Health> {
+    async fn request_health(&self, server: &Server) -> Option<Health> {
         let url = format!("http://{}/health", server.health);
         let request = self.client.get(url).timeout(self.settings.timeout());
-        let answer = request.send().await.ok()?;
+        let response = request.send().await.ok()?;
         let mut body = Vec::new();
-        let mut chunks = answer.bytes_stream();
+        let mut chunks = response.bytes_stream();
         while let Some(chunk) = chunks.next().await {
             body.extend_from_slice(&chunk.ok()?);
-            if body.len() > MAX_ANSWER {
+            if body.len() > MAX_RESPONSE_LEN {
                 return None;
             }
         }
@@ -148,8 +148,8 @@
     }
 }
 
-/// Waits for the end of a connection on which nothing is asked.
-async fn watch(mut stream: TcpStream, server: Weak<Server>, lost: Arc<Notify>) {
+/// Waits for the end of a connection on which nothing is requested.
+async fn watch_connection(mut stream: TcpStream, server: Weak<Server>, lost: Arc<Notify>) {
     let mut byte = [0];
     let _ = stream.read(&mut byte).await;
     if let Some(server) = server.upgrade() {
--- a/src/registration.rs
+++ b/src/registration.rs
@@ -1,4 +1,4 @@
-//! This instance's registration in the platform, kept alive by a lease.
+//! Registers this instance in the platform, with a lease that is renewed.
 
 use std::time::Duration;
 
@@ -13,26 +13,26 @@
 use crate::platform::Lease;
 use crate::platform::ResolvedWrite;
 
-/// Life of the lease without renewal.
-const TTL: Duration = Duration::from_secs(30);
+/// Lifetime of the lease without renewal.
+const LEASE_TTL: Duration = Duration::from_secs(30);
 
-/// Time between two renewals.
-const RENEW_EVERY: Duration = Duration::from_secs(10);
+/// Interval between renewals of the lease.
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Wait after a failure.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Delay after a failure.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Keeps the newest registration in the platform until the sender is dropped,
-/// then withdraws it.
-pub(crate) async fn keep(client: Client, mut wanted: watch::Receiver<Registration>) {
+/// Writes the newest registration to the platform and renews its lease until the
+/// sender is dropped. Then the lease is revoked, which removes the registration.
+pub(crate) async fn maintain(client: Client, mut wanted: watch::Receiver<Registration>) {
     let mut lease = None;
     loop {
         let registration = wanted.borrow_and_update().clone();
-        let wait = match write(&client, &mut lease, &registration).await {
-            Ok(()) => RENEW_EVERY,
-            Err(_) => RETRY_AFTER,
+        let wait = match write_registration(&client, &mut lease, &registration).await {
+            Ok(()) => RENEWAL_INTERVAL,
+            Err(_) => RETRY_DELAY,
         };
-        if !pause(&client, &mut lease, &mut wanted, wait).await {
+        if !renew_until_change(&client, &mut lease, &mut wanted, wait).await {
             break;
         }
     }
@@ -41,59 +41,59 @@
     }
 }
 
-/// Renews until the registration changes or the lease is lost; tells whether to
-/// go on.
-async fn pause(
+/// Renews the lease until the registration changes or the lease is lost. Returns false
+/// when the sender of registrations was dropped.
+async fn renew_until_change(
     client: &Client,
     lease: &mut Option<Lease>,
     wanted: &mut watch::Receiver<Registration>,
     wait: Duration,
 ) -> bool {
-    let mut next = Instant::now() + wait;
+    let mut next_renewal = Instant::now() + wait;
     loop {
         tokio::select! {
             changed = wanted.changed() => return changed.is_ok(),
-            () = sleep(next.saturating_duration_since(Instant::now())) => {}
+            () = sleep(next_renewal.saturating_duration_since(Instant::now())) => {}
         }
-        let Some(held) = *lease else {
+        let Some(current) = *lease else {
             return true;
         };
-        match client.lease_keepalive(held).await {
-            Ok(left) if !left.is_zero() => next = Instant::now() + RENEW_EVERY,
+        match client.lease_keepalive(current).await {
+            Ok(left) if !left.is_zero() => next_renewal = Instant::now() + RENEWAL_INTERVAL,
             Ok(_) | Err(crate::Error::Refused { .. }) => {
-                // The lease lapsed while the platform or this process was away;
-                // the registration went with it and must be written anew.
+                // The lease expired while the platform or this process was unavailable.
+                // The registration was deleted with it and has to be written again.
                 *lease = None;
                 return true;
             }
-            Err(_) => next = Instant::now() + RETRY_AFTER,
+            Err(_) => next_renewal = Instant::now() + RETRY_DELAY,
         }
     }
 }
 
-async fn write(
+async fn write_registration(
     client: &Client,
     lease: &mut Option<Lease>,
     registration: &Registration,
 ) -> Result<()> {
-    let held = match *lease {
-        Some(held) => held,
-        None => client.lease_grant(TTL).await?,
+    let current = match *lease {
+        Some(current) => current,
+        None => client.lease_grant(LEASE_TTL).await?,
     };
-    *lease = Some(held);
+    *lease = Some(current);
     let key = format!("{INSTANCES}{}", registration.holder.instance);
     let found = client.get(&key).await?;
     let value = serde_json::to_vec(registration).unwrap_or_default();
     let expected = found.map(|entry| entry.mod_revision);
     let written = client
-        .compare_and_swap_resolved(&key, expected, &value, Some(held))
+        .compare_and_swap_resolved(&key, expected, &value, Some(current))
         .await?;
     match written {
         ResolvedWrite::Done(_) => Ok(()),
         _ => Err(crate::Error::Unanswered {
             step: "registration",
             peer: "platform".to_owned(),
-            reason: "another write came first".to_owned(),
+            reason: "another write changed the registration first".to_owned(),
         }),
     }
 }
--- a/src/shared.rs
+++ b/src/shared.rs
@@ -1,7 +1,8 @@
-//! What the tasks of one daemon share.
+//! State that the tasks of a daemon share.
 //!
-//! Lock order: `config`, then `control`; each is held for a lookup or one change,
-//! never across an await. Server states and the outlet's listeners are leaves.
+//! Lock order: `config`, then `control`. Each lock is held for a lookup or a single
+//! change, never across an await. No other lock is taken while holding the lock of a
+//! server's state or of the listeners in [`Outputs`].
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -28,7 +29,7 @@
 use crate::worker::Outputs;
 use crate::worker::WorkerPool;
 
-/// State of one daemon.
+/// State of a daemon, shared by its tasks.
 pub(crate) struct Shared {
     pub(crate) settings: settings::Daemon,
     pub(crate) me: id::Holder,
@@ -46,8 +47,8 @@
     control: Mutex<SlicePlanner>,
 }
 
-/// Parts that are made before the rest.
-pub(crate) struct Parts {
+/// Components from which [`Shared`] is built.
+pub(crate) struct SharedParts {
     pub(crate) settings: settings::Daemon,
     pub(crate) me: id::Holder,
     pub(crate) log: Logger,
@@ -61,7 +62,7 @@
 }
 
 impl Shared {
-    pub(crate) fn new(parts: Parts) -> Self {
+    pub(crate) fn new(parts: SharedParts) -> Self {
         Self {
             settings: parts.settings,
             me: parts.me,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Starts a task that ends with the daemon.
+    /// Starts a task that is cancelled when the daemon closes.
     pub(crate) fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         let closing = self.closing.clone();
         self.tasks.spawn(async move {
@@ -110,42 +111,42 @@
         self.control.lock().unwrap_or_else(|lock| lock.into_inner())
     }
 
-    /// What `GET /status` answers.
+    /// The answer to `GET /status`.
     pub(crate) fn status(&self, now: Instant) -> status::Status {
-        let configured = self.configured(now);
+        let config = self.config_status(now);
         let control = self.control();
         let (homes, backups, alone) = control.holdings();
-        let silent = |at: Instant| now.saturating_duration_since(at).as_millis() as u64;
+        let elapsed_ms = |at: Instant| now.saturating_duration_since(at).as_millis() as u64;
         let peers = control
             .peers()
             .into_iter()
-            .map(|(member, heard)| status::Peer {
+            .map(|(member, last_heard)| status::Peer {
                 live: control.is_live(now, &member.holder),
                 holder: member.holder,
                 zone: member.zone,
                 leaving: member.leaving,
-                silent_ms: heard.map_or(u64::MAX, silent),
+                silent_ms: last_heard.map_or(u64::MAX, elapsed_ms),
             });
         status::Status {
             holder: self.me.clone(),
             zone: self.settings.zone.clone(),
             ready: self.ready.load(Ordering::Relaxed),
             leaving: control.is_leaving(),
-            platform_silent_ms: control.last_contact().map(silent),
-            revisions: configured.revisions,
-            refused: configured.refused,
+            platform_silent_ms: control.last_contact().map(elapsed_ms),
+            revisions: config.revisions,
+            refused: config.refused,
             homes,
             backups,
             alone,
             in_progress: self.pool.sum(|gauge| &gauge.in_progress),
             feeds: self.pool.sum(|gauge| &gauge.feeds),
             peers: peers.collect(),
-            evacuated: configured.evacuated,
-            servers: configured.servers,
+            evacuated: config.evacuated,
+            servers: config.servers,
         }
     }
 
-    fn configured(&self, now: Instant) -> Configured {
+    fn config_status(&self, now: Instant) -> ConfigStatus {
         let config = self.config();
         let servers = config.servers().map(|server| {
             let state = server.state();
@@ -159,7 +160,7 @@
                 feeds: state.feeds,
             }
         });
-        Configured {
+        ConfigStatus {
             revisions: config.revisions(),
             refused: config.refused().clone(),
             evacuated: config.evacuated().clone(),
@@ -168,8 +169,8 @@
     }
 }
 
-/// The part of a status that the configuration tells, taken under its lock alone.
-struct Configured {
+/// The part of a status that comes from the configuration, read under its lock alone.
+struct ConfigStatus {
     revisions: BTreeMap<String, id::Revision>,
     refused: BTreeMap<String, String>,
     evacuated: BTreeSet<id::Zone>,
