--- a/src/codec.rs
+++ b/src/codec.rs
@@ -1,6 +1,6 @@
-//! CoAP at the edges: between datagrams and the types of [`crate::request`].
+//! Converts between CoAP datagrams and the types of [`crate::request`].
 //!
-//! This is the only module that knows the callers' protocol (RFC 7252, with
+//! This is the only module that depends on the callers' protocol (RFC 7252, with
 //! Observe of RFC 7641 and block-wise transfer of RFC 7959).
 
 use std::hash::Hash;
@@ -30,21 +30,23 @@
 use crate::request::Token;
 use crate::request::Verdict;
 
-/// Elective option that tells a backend server how many milliseconds are left.
-/// From the range for experiments (RFC 7252, section 12.2); even, so that a
-/// server that does not know it ignores it.
+/// Option with the milliseconds that are left until the request's deadline, sent
+/// to backend servers. The number is from the range for experimental use (RFC
+/// 7252, section 12.2). It is even, which makes the option elective: a server that
+/// does not know it ignores it.
 pub const DEADLINE_OPTION: u16 = 65_000;
 
-/// Bits of an [`Id`] below the message number.
+/// Number of bits of an [`Id`] that hold the packed token; the message number is
+/// above them.
 const TOKEN_BITS: u32 = 72;
 
 const OBSERVE_OPEN: u32 = 0;
 const OBSERVE_CLOSE: u32 = 1;
 const BLOCK_MORE: u32 = 0x8;
 const BLOCK_NUMBER_SHIFT: u32 = 4;
-const ATTEMPT_LENGTH: usize = 8;
+const ATTEMPT_TOKEN_LEN: usize = 8;
 
-/// Keeps the parts of two bodies to one resource apart (RFC 9175).
+/// Distinguishes the blocks of two bodies that are sent to one resource (RFC 9175).
 const REQUEST_TAG: CoapOption = CoapOption::Unknown(292);
 
 /// A datagram from a caller.
@@ -52,16 +54,16 @@
 pub enum Inbound {
     /// A request.
     Request(Request),
-    /// A receipt for one of our messages.
+    /// An acknowledgement or rejection of a message of this instance.
     Receipt {
         /// The message's number.
         message: u16,
-        /// What the caller says.
+        /// Whether the caller acknowledged or rejected the message.
         receipt: Receipt,
     },
-    /// A probe that wants any reply.
+    /// A CoAP ping (empty confirmable message), which is answered by a reset.
     Ping {
-        /// The probe's number.
+        /// The ping's message number.
         message: u16,
     },
 }
@@ -69,29 +71,30 @@
 /// A datagram from a backend server.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// An answer to one sending.
+    /// An answer to one attempt.
     Answer {
-        /// Which sending.
+        /// The attempt that is answered.
         attempt: id::Attempt,
         /// The answer.
         answer: Answer,
-        /// Number to acknowledge, if the server wants that.
+        /// Message number to acknowledge, if the answer is confirmable.
         acknowledge: Option<u16>,
     },
-    /// An empty message: the server has a request and will answer later, or
-    /// knows nothing of a message.
+    /// An empty message: the server acknowledges a request that it will answer
+    /// later, or rejects a message that it does not know.
     Empty,
 }
 
 fn decode(bytes: &[u8], peer: &dyn std::fmt::Display) -> Result<Packet> {
-    let packet = Packet::from_bytes(bytes).map_err(|error| refuse(peer, error.to_string()))?;
+    let packet =
+        Packet::from_bytes(bytes).map_err(|error| decode_error(peer, error.to_string()))?;
     if packet.header.get_version() != 1 {
-        return Err(refuse(peer, "version is not 1".to_owned()));
+        return Err(decode_error(peer, "version is not 1".to_owned()));
     }
     Ok(packet)
 }
 
-fn refuse(peer: &dyn std::fmt::Display, reason: String) -> Error {
+fn decode_error(peer: &dyn std::fmt::Display, reason: String) -> Error {
     Error::Decode {
         step: "CoAP datagram",
         peer: peer.to_string(),
@@ -116,32 +119,34 @@
     Id(u128::from(message) << TOKEN_BITS | token.0)
 }
 
-fn message_of(id: Id) -> u16 {
+fn message_number_of(id: Id) -> u16 {
     (id.0 >> TOKEN_BITS) as u16
 }
 
-fn option(packet: &Packet, option: CoapOption) -> Option<u32> {
-    const LONGEST: usize = 4;
+/// Value of an unsigned option; `None` if the option is absent or too long.
+fn uint_option(packet: &Packet, option: CoapOption) -> Option<u32> {
+    const MAX_LEN: usize = 4;
     let value = packet.get_first_option(option)?;
-    (value.len() <= LONGEST).then(|| {
+    (value.len() <= MAX_LEN).then(|| {
         value
             .iter()
             .fold(0, |number, byte| number << 8 | u32::from(*byte))
     })
 }
 
-/// An unsigned option value without leading zeros (RFC 7252, section 3.2).
-fn shorten(number: u32) -> Vec<u8> {
+/// Encodes an unsigned option value without leading zeros (RFC 7252, section 3.2).
+fn encode_uint(number: u32) -> Vec<u8> {
     let bytes = number.to_be_bytes();
     let skip = bytes.iter().take_while(|byte| **byte == 0).count();
     bytes[skip..].to_vec()
 }
 
-/// Reads a caller's datagram.
+/// Decodes a caller's datagram.
 ///
 /// # Errors
 ///
-/// [`Error::Decode`] if it is malformed or not a request or receipt.
+/// [`Error::Decode`] if the datagram is malformed, or neither a request nor an
+/// acknowledgement, reset or ping.
 pub fn read_caller(flow: &Flow, datagram: &Bytes) -> Result<Inbound> {
     let packet = decode(datagram, &flow.caller)?;
     let message = packet.header.message_id;
@@ -162,22 +167,22 @@
                 flow: flow.clone(),
                 id: pack_id(message, token),
                 token,
-                kind: kind_of(method, &packet)
-                    .ok_or_else(|| refuse(&flow.caller, "unknown method".to_owned()))?,
+                kind: request_kind(method, &packet)
+                    .ok_or_else(|| decode_error(&flow.caller, "unknown method".to_owned()))?,
                 confirmable: kind == MessageType::Confirmable,
-                block: part_of(method, &packet),
+                block: body_block(method, &packet),
                 datagram: datagram.clone(),
             }))
         }
-        _ => Err(refuse(
+        _ => Err(decode_error(
             &flow.caller,
-            "neither request nor receipt".to_owned(),
+            "neither a request nor an empty message".to_owned(),
         )),
     }
 }
 
-fn kind_of(method: RequestType, packet: &Packet) -> Option<Kind> {
-    let observe = option(packet, CoapOption::Observe);
+fn request_kind(method: RequestType, packet: &Packet) -> Option<Kind> {
+    let observe = uint_option(packet, CoapOption::Observe);
     match (method, observe) {
         (RequestType::Get | RequestType::Fetch, Some(OBSERVE_OPEN)) => Some(Kind::OpenFeed),
         (RequestType::Get | RequestType::Fetch, Some(OBSERVE_CLOSE)) => Some(Kind::CloseFeed),
@@ -194,21 +199,22 @@
     }
 }
 
-fn part_of(method: RequestType, packet: &Packet) -> BodyBlock {
-    let later = |block| {
-        let value = option(packet, block);
+fn body_block(method: RequestType, packet: &Packet) -> BodyBlock {
+    let has_earlier_blocks = |block| {
+        let value = uint_option(packet, block);
         value.is_some_and(|value| value >> BLOCK_NUMBER_SHIFT > 0)
     };
     BodyBlock {
-        body_id: body_of(method, packet),
-        is_continuation: later(CoapOption::Block1) || later(CoapOption::Block2),
+        body_id: hash_body_id(method, packet),
+        is_continuation: has_earlier_blocks(CoapOption::Block1)
+            || has_earlier_blocks(CoapOption::Block2),
         is_upload: packet.get_option(CoapOption::Block1).is_some(),
     }
 }
 
-/// Names a body by all that its parts have in common (RFC 7959, section 2.4, and
-/// the Request-Tag of RFC 9175).
-fn body_of(method: RequestType, packet: &Packet) -> u64 {
+/// Hashes everything that the blocks of one body have in common: method, path,
+/// query (RFC 7959, section 2.4) and Request-Tag (RFC 9175).
+fn hash_body_id(method: RequestType, packet: &Packet) -> u64 {
     let mut hasher = SipHasher13::new();
     std::mem::discriminant(&method).hash(&mut hasher);
     for option in [CoapOption::UriPath, CoapOption::UriQuery, REQUEST_TAG] {
@@ -217,13 +223,14 @@
             .into_iter()
             .flatten()
             .for_each(|value| value.hash(&mut hasher));
-        // Ends the list, so that a path's last segment is no first query.
+        // Separates the options' values: without it, the last path segment could not
+        // be told from the first query argument.
         hasher.write_u8(u8::MAX);
     }
     hasher.finish()
 }
 
-/// Rewrites a caller's datagram for a backend server.
+/// Rewrites a caller's datagram so that it can be sent to a backend server.
 ///
 /// # Errors
 ///
@@ -239,12 +246,12 @@
     packet.header.set_type(MessageType::Confirmable);
     packet.header.message_id = message;
     packet.set_token(attempt.0.to_be_bytes().to_vec());
-    // A server of another service that has taken over the address refuses on
-    // this name, whatever our tables say.
+    // If a server of another service has taken over the address, it refuses the
+    // request because of this name, even if the configuration here is outdated.
     packet.clear_option(CoapOption::UriHost);
     packet.add_option(CoapOption::UriHost, service.as_str().as_bytes().to_vec());
     let left = u32::try_from(remaining.as_millis()).unwrap_or(u32::MAX);
-    packet.add_option(CoapOption::Unknown(DEADLINE_OPTION), shorten(left));
+    packet.add_option(CoapOption::Unknown(DEADLINE_OPTION), encode_uint(left));
     encode(&packet, datagram)
 }
 
@@ -252,44 +259,46 @@
     const CODE: usize = 1;
     let mut bytes = packet
         .to_bytes_unlimited()
-        .map_err(|error| refuse(&"itself", error.to_string()))?;
-    // The library folds codes that it does not know into one: keep the original.
-    if let (Some(code), Some(kept)) = (bytes.get_mut(CODE), original.get(CODE)) {
-        *code = *kept;
+        .map_err(|error| decode_error(&"itself", error.to_string()))?;
+    // `coap_lite` maps all codes that it does not know to one value, so the original
+    // code is restored.
+    if let (Some(code), Some(original_code)) = (bytes.get_mut(CODE), original.get(CODE)) {
+        *code = *original_code;
     }
     Ok(bytes)
 }
 
-/// Reads a backend server's datagram.
+/// Decodes a backend server's datagram.
 ///
 /// # Errors
 ///
-/// [`Error::Decode`] if it is malformed, or no answer to a sending of ours.
+/// [`Error::Decode`] if the datagram is malformed, or not an answer to an attempt.
 pub fn read_server(from: id::Endpoint, datagram: &Bytes) -> Result<Reply> {
     let packet = decode(datagram, &from)?;
     let kind = packet.header.get_type();
     match packet.header.code {
         MessageClass::Empty => return Ok(Reply::Empty),
         MessageClass::Response(_) => {}
-        _ => return Err(refuse(&from, "not an answer".to_owned())),
+        _ => return Err(decode_error(&from, "not a response".to_owned())),
     }
-    let token: [u8; ATTEMPT_LENGTH] = packet
+    let token: [u8; ATTEMPT_TOKEN_LEN] = packet
         .get_token()
         .try_into()
-        .map_err(|_| refuse(&from, "not a token of ours".to_owned()))?;
+        .map_err(|_| decode_error(&from, "token is not an attempt number".to_owned()))?;
     let code = packet.header.code;
     let verdict = match code {
         MessageClass::Response(ResponseType::ServiceUnavailable) => Verdict::Refused,
         MessageClass::Response(ResponseType::NotFound) => Verdict::NotFound,
         _ => Verdict::Handled,
     };
-    let more = option(&packet, CoapOption::Block2).is_some_and(|block| block & BLOCK_MORE != 0)
+    let more = uint_option(&packet, CoapOption::Block2)
+        .is_some_and(|block| block & BLOCK_MORE != 0)
         || code == MessageClass::Response(ResponseType::Continue);
     let answer = Answer {
         verdict,
         keeps_feed_open: packet.get_option(CoapOption::Observe).is_some(),
         has_more_blocks: more,
-        retry_after: option(&packet, CoapOption::MaxAge),
+        retry_after: uint_option(&packet, CoapOption::MaxAge),
         datagram: datagram.clone(),
     };
     let confirmable = kind == MessageType::Confirmable;
@@ -300,34 +309,35 @@
     })
 }
 
-/// How an answer to a caller is addressed.
+/// CoAP header fields of an answer to a caller.
 #[derive(Clone, Copy, Debug)]
 pub struct AnswerHeader {
-    /// The request's identity.
+    /// Identifier of the request.
     pub id: Id,
     /// The caller's token.
     pub token: Token,
     /// Whether the request was confirmable.
     pub confirmable: bool,
-    /// Number of a message of its own; none to answer with the acknowledgement.
+    /// Message number of a separate response; `None` if the acknowledgement carries
+    /// the answer.
     pub separate: Option<u16>,
-    /// Number for a plain reply.
+    /// Message number of the answer to a non-confirmable request.
     pub message: u16,
-    /// Position in the feed that the answer opens.
+    /// Sequence number (Observe option) if the answer opens a feed.
     pub sequence: Option<u32>,
 }
 
-/// Writes the final outcome for a caller.
+/// Encodes the final outcome of a request for its caller.
 ///
 /// # Errors
 ///
 /// [`Error::Decode`] if the server's datagram is malformed.
-pub fn write_answer(address: &AnswerHeader, outcome: &Outcome) -> Result<Vec<u8>> {
+pub fn write_answer(header: &AnswerHeader, outcome: &Outcome) -> Result<Vec<u8>> {
     let (mut packet, original) = match outcome {
         Outcome::Answered(datagram) => (decode(datagram, &"server")?, datagram.clone()),
         Outcome::NotRun { retry_after } => {
             let mut packet = response(ResponseType::ServiceUnavailable);
-            packet.add_option(CoapOption::MaxAge, shorten(*retry_after));
+            packet.add_option(CoapOption::MaxAge, encode_uint(*retry_after));
             packet.payload = b"not run".to_vec();
             (packet, Bytes::new())
         }
@@ -337,19 +347,19 @@
             (packet, Bytes::new())
         }
     };
-    packet.set_token(token_bytes(address.token));
-    set_sequence(&mut packet, address.sequence);
-    let (kind, message) = match (address.separate, address.confirmable) {
+    packet.set_token(token_bytes(header.token));
+    set_sequence(&mut packet, header.sequence);
+    let (kind, message) = match (header.separate, header.confirmable) {
         (Some(message), _) => (MessageType::Confirmable, message),
-        (None, true) => (MessageType::Acknowledgement, message_of(address.id)),
-        (None, false) => (MessageType::NonConfirmable, address.message),
+        (None, true) => (MessageType::Acknowledgement, message_number_of(header.id)),
+        (None, false) => (MessageType::NonConfirmable, header.message),
     };
     packet.header.set_type(kind);
     packet.header.message_id = message;
     encode(&packet, &original)
 }
 
-/// Writes a notification; without a datagram it ends the feed.
+/// Encodes a notification; without a datagram, the notification ends the feed.
 ///
 /// # Errors
 ///
@@ -387,27 +397,27 @@
 fn set_sequence(packet: &mut Packet, sequence: Option<u32>) {
     packet.clear_option(CoapOption::Observe);
     if let Some(sequence) = sequence {
-        packet.add_option(CoapOption::Observe, shorten(sequence));
+        packet.add_option(CoapOption::Observe, encode_uint(sequence));
     }
 }
 
-/// Writes the acknowledgement of a request that is answered later.
+/// Encodes the acknowledgement of a request that is answered later.
 pub fn write_acknowledgement(id: Id) -> Vec<u8> {
-    write_empty(MessageType::Acknowledgement, message_of(id))
+    write_empty(MessageType::Acknowledgement, message_number_of(id))
 }
 
-/// Writes the acknowledgement of a server's message.
+/// Encodes the acknowledgement of a server's message.
 pub fn write_server_acknowledgement(message: u16) -> Vec<u8> {
     write_empty(MessageType::Acknowledgement, message)
 }
 
-/// Writes the rejection of a message: the reply to a ping, or to an answer that
-/// nobody waits for.
+/// Encodes the reset of a message: the reply to a ping, or to an answer that no
+/// request waits for.
 pub fn write_rejection(message: u16) -> Vec<u8> {
     write_empty(MessageType::Reset, message)
 }
 
-/// Number of a datagram that was read before.
+/// Message number of a datagram that has been decoded before.
 pub fn message_number(datagram: &[u8]) -> Option<u16> {
     let number = datagram.get(2..4)?;
     Some(u16::from_be_bytes([number[0], number[1]]))
--- a/src/reason.rs
+++ b/src/reason.rs
@@ -1,13 +1,14 @@
-//! Reason codes: why the system did what it did.
+//! Reason codes of decisions and events.
 //!
-//! Each code is a metric label, a word in the logs and a line of `explain`. The
-//! operators' page lists them all; a test compares the two.
+//! The codes are used as metric label, in the logs and in the output of `explain`.
+//! The operators' page lists all of them, and a test compares that list with this
+//! one.
 
 use std::fmt;
 
 macro_rules! reasons {
     ($($variant:ident $code:literal $text:literal;)*) => {
-        /// Why something was done or refused.
+        /// Why something was done, refused or dropped.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
         #[non_exhaustive]
         pub enum Reason {
@@ -15,8 +16,8 @@
         }
 
         impl Reason {
-            /// Whether it is the final outcome of a request and the request was not
-            /// answered.
+            /// Whether this is the final outcome of a request that got no answer from a
+            /// server.
             pub fn is_failure(self) -> bool {
                 matches!(
                     self,
@@ -34,17 +35,17 @@
                 )
             }
 
-            /// Every code, in the order of this list.
+            /// All reasons, in order of declaration.
             pub const ALL: &'static [Reason] = &[$(Reason::$variant,)*];
 
-            /// The code as it stands in metrics, logs and `explain`.
+            /// The code as written in metrics, logs and `explain`.
             pub fn code(self) -> &'static str {
                 match self {
                     $(Self::$variant => $code,)*
                 }
             }
 
-            /// What the code means, in a phrase.
+            /// Description of the code for operators.
             pub fn meaning(self) -> &'static str {
                 match self {
                     $(Self::$variant => $text,)*
--- a/src/record.rs
+++ b/src/record.rs
@@ -1,4 +1,4 @@
-//! What is kept of one request, of one feed and of one slice.
+//! State of requests, feeds and slices that the engine keeps.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -21,54 +21,56 @@
 use crate::request::Token;
 use crate::server::Server;
 
-/// What a claim leads to once the backup has it.
+/// What follows once the backup has acknowledged a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClaimFollowUp {
     Forward,
     Refuse { retry_after: u32, reason: Reason },
 }
 
-/// How far a request has come.
+/// Phase of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// Waiting for the backup to acknowledge the claim; not forwarded.
     Claiming(ClaimFollowUp),
-    /// At one or more servers.
+    /// Sent to one or more servers.
     Sent,
-    /// Has its final outcome, kept for copies.
+    /// Finished; the outcome is kept to answer duplicates.
     Settled(Outcome),
-    /// Claimed by an earlier home; it may have run.
+    /// Claimed by an earlier home; the request may have run.
     Claimed,
 }
 
-/// One request.
+/// State of a request.
 #[derive(Clone, Debug)]
 pub(crate) struct Record {
     pub(crate) phase: Phase,
-    /// As backup, and as its successor: whose claim it is.
+    /// At the backup, and at the home that succeeds it: the holder that claimed the
+    /// request.
     pub(crate) claimed_by: Option<id::Holder>,
-    /// Whether a copy of what another home claimed came here, whose sender is to be
-    /// told when that home has no time left.
+    /// Whether a duplicate of a request that another home claimed was received here. Its
+    /// sender gets an outcome when the time of that home has run out.
     pub(crate) has_waiting_sender: bool,
     pub(crate) kind: Kind,
     pub(crate) token: Token,
     pub(crate) confirmable: bool,
     pub(crate) block: BodyBlock,
     pub(crate) received_at: Instant,
-    /// Number of the separate answer, once receipt has been acknowledged.
+    /// Message number of the separate answer, once receipt of the request has been
+    /// acknowledged.
     pub(crate) separate: Option<u16>,
-    /// Separate answers sent so far without a receipt.
+    /// How often the separate answer was sent without being acknowledged.
     pub(crate) resends: u32,
     pub(crate) sequence: Option<u32>,
     pub(crate) attempts: Vec<id::Attempt>,
     pub(crate) tried_servers: Vec<id::Server>,
-    /// The caller's datagram, dropped when no sending can follow.
+    /// The caller's datagram; emptied when no further attempt can follow.
     pub(crate) datagram: Bytes,
 }
 
 impl Record {
-    /// What a backup keeps of a claim of a request that came at a time.
-    pub(crate) fn claimed(born: Instant, claimer: id::Holder) -> Self {
+    /// Record that a backup keeps of a claim, for a request received at `received_at`.
+    pub(crate) fn claimed(received_at: Instant, claimer: id::Holder) -> Self {
         Self {
             phase: Phase::Claimed,
             claimed_by: Some(claimer),
@@ -77,7 +79,7 @@
             token: Token(0),
             confirmable: true,
             block: BodyBlock::default(),
-            received_at: born,
+            received_at,
             separate: None,
             resends: 0,
             sequence: None,
@@ -87,32 +89,33 @@
         }
     }
 
-    /// Whether its final outcome is known.
+    /// Whether the final outcome is known.
     pub(crate) fn is_settled(&self) -> bool {
         matches!(self.phase, Phase::Settled(_))
     }
 
-    /// Whether it is kept after its outcome, to answer copies with the same. A
-    /// server forgets a body once it is whole: a copy of the last part, although
-    /// idempotent by its method, would be refused as incomplete.
+    /// Whether the record is kept after the outcome, to give duplicates of the request
+    /// the same answer. This includes uploads with an idempotent method: a server
+    /// discards the blocks of a body once it is complete, and would refuse a duplicate
+    /// of the last block as incomplete.
     pub(crate) fn is_kept(&self) -> bool {
         self.kind.is_non_idempotent() || self.block.is_upload
     }
 
-    /// Whether this instance works on it.
+    /// Whether this instance is processing the request.
     pub(crate) fn is_open(&self) -> bool {
         matches!(self.phase, Phase::Claiming(_) | Phase::Sent)
     }
 }
 
-/// Name of a feed.
+/// Identifies a feed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct FeedKey {
     pub(crate) flow: Flow,
     pub(crate) token: Token,
 }
 
-/// A registration under way beside the one in use.
+/// A new registration of a feed that is in progress while the current one stays in use.
 #[derive(Clone, Debug)]
 pub(crate) struct Renewal {
     pub(crate) attempt: id::Attempt,
@@ -120,31 +123,31 @@
     pub(crate) since: Instant,
 }
 
-/// One feed.
+/// State of a feed.
 #[derive(Clone, Debug)]
 pub(crate) struct Feed {
-    /// The caller's registration, on its own: a share of the received buffer would
-    /// keep more than its bytes for as long as the feed lives.
+    /// The caller's registration, copied: a slice of the receive buffer would keep the
+    /// whole buffer allocated for as long as the feed exists.
     pub(crate) datagram: Box<[u8]>,
     pub(crate) server: id::Server,
-    /// The registration in use; none while this instance only keeps a copy.
+    /// The registration in use; `None` while this instance only keeps a copy.
     pub(crate) attempt: Option<id::Attempt>,
     pub(crate) renewal: Option<Box<Renewal>>,
-    /// Servers that failed to take the feed since it was last heard.
+    /// Servers that did not accept the feed since its last notification.
     pub(crate) failed: Vec<id::Server>,
     pub(crate) sequence: u32,
     pub(crate) last_notification: Instant,
-    /// When the caller last showed that it is there.
+    /// When the caller last confirmed the feed.
     pub(crate) confirmed: Instant,
-    /// Confirmable notifications without a receipt.
+    /// Number of confirmable notifications that are not acknowledged.
     pub(crate) unconfirmed: u32,
-    /// When it is looked after next; a timer for another time is outdated.
+    /// Time of the next check; a timer for another time is outdated.
     pub(crate) next_check: Instant,
-    /// As a copy: number of the replication step that brought it.
+    /// If the feed is a copy: number of the replication step that it came with.
     pub(crate) replication_step: u64,
 }
 
-/// What this instance is for a slice.
+/// Role of this instance for a slice.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Role {
     #[default]
@@ -153,65 +156,65 @@
     Backup,
 }
 
-/// A replication step that is not acknowledged yet.
+/// A replication step that the backup has not acknowledged yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Pending {
     pub(crate) item: peer::ReplicationItem,
-    /// When it was last sent; none while it waits for room.
+    /// When the step was last sent; `None` while it waits for room in the send window.
     pub(crate) sent: Option<Instant>,
-    /// The request that waits for it.
+    /// The request that waits for the acknowledgement.
     pub(crate) waiter: Option<Key>,
 }
 
-/// A backup as its home sees it.
+/// Replication state of a backup, kept by the home.
 #[derive(Clone, Debug)]
 pub(crate) struct Replica {
     pub(crate) holder: id::Holder,
-    /// Whether the table names it.
+    /// Whether the slice table names this backup.
     pub(crate) is_in_table: bool,
-    /// Whether the control task was told that it has everything.
+    /// Whether the control task was notified that the backup has all records.
     pub(crate) complete: bool,
     pub(crate) pending: BTreeMap<u64, Pending>,
-    /// Number of the last step of the first copy.
+    /// Number of the last step of the initial full copy.
     pub(crate) initial_copy_end: u64,
 }
 
-/// The server that holds the parts of a larger body.
+/// The server that holds the blocks of a larger body.
 #[derive(Clone, Debug)]
 pub(crate) struct Pin {
     pub(crate) server: id::Server,
-    /// The sending of an earlier part, whose path the later ones share.
+    /// The attempt for an earlier block, whose server socket the later blocks also use.
     pub(crate) attempt: id::Attempt,
-    /// When a part was last sent.
+    /// When a block was last sent.
     pub(crate) used: Instant,
 }
 
-/// Everything kept for one slice.
+/// State of a slice.
 #[derive(Debug, Default)]
 pub(crate) struct Slice {
     pub(crate) role: Role,
     pub(crate) epoch: id::Epoch,
-    /// As backup: the greatest epoch under which a home has replicated to us.
+    /// At the backup: greatest epoch under which a home has replicated to this instance.
     pub(crate) replicated_epoch: id::Epoch,
     /// Since when the slice is known to have lost its records.
     pub(crate) records_lost_since: Option<Instant>,
     pub(crate) replica: Option<Replica>,
     pub(crate) records: HashMap<Key, Record>,
     pub(crate) feeds: BTreeMap<FeedKey, Feed>,
-    /// Servers that hold parts of larger bodies, by the bodies' names.
+    /// Servers that hold blocks of larger bodies, by flow and body id.
     pub(crate) pins: HashMap<(Flow, u64), Pin>,
     /// Open requests by flow.
     pub(crate) open_requests: HashMap<Flow, u32>,
 }
 
-/// What a sending was for.
+/// What an attempt was sent for.
 #[derive(Clone, Debug)]
 pub(crate) enum Purpose {
     Request(Key),
     Feed(FeedKey),
 }
 
-/// A sending whose answer is still of use.
+/// An attempt whose answer is still expected.
 #[derive(Clone, Debug)]
 pub(crate) struct SentAttempt {
     pub(crate) slice: id::Slice,
@@ -220,37 +223,37 @@
     pub(crate) since: Instant,
 }
 
-/// A request on its way to whoever decides for it.
+/// A request that the home of its slice has not taken yet.
 #[derive(Clone, Debug)]
 pub(crate) struct IncomingRequest {
     pub(crate) request: Request,
-    /// Relays so far.
+    /// Number of relays so far.
     pub(crate) hops: u32,
-    /// When this instance first had it.
+    /// When this instance received the request.
     pub(crate) since: Instant,
 }
 
-/// What waits for a point in time.
+/// A timer of the engine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// Acknowledge receipt if no answer came yet.
+    /// Acknowledge receipt if no answer has been received yet.
     Acknowledge(id::Slice, Key),
-    /// The attempt took too long.
+    /// The attempt has timed out.
     Attempt(id::Slice, Key, id::Attempt),
-    /// The request's time is over.
+    /// The request's deadline has passed.
     Deadline(id::Slice, Key),
-    /// The separate answer has no receipt.
+    /// The separate answer has not been acknowledged.
     Resend(id::Slice, Key),
-    /// The record is not needed any more.
+    /// The record is no longer needed.
     Expire(id::Slice, Key),
-    /// Look after the feed.
+    /// Check the feed.
     Feed(id::Slice, FeedKey),
-    /// Offer the slice's feeds to its home once more.
+    /// Offer the slice's feeds to its home again.
     OfferFeeds(id::Slice),
 }
 
 /// Non-idempotent requests that wait for their slices to get a home.
 pub(crate) type ParkedRequests = VecDeque<IncomingRequest>;
 
-/// A separate answer that waits for its receipt, by message number.
+/// Separate answers that wait for an acknowledgement, by flow and message number.
 pub(crate) type UnacknowledgedAnswers = HashMap<(Flow, u16), Id>;
