--- a/src/error.rs
+++ b/src/error.rs
@@ -1,142 +1,142 @@
 //! The library's error type.
 //!
-//! An error names the step that failed and, where another process took part,
-//! the peer at which it failed.
+//! An error names the operation that failed and, if another process was involved,
+//! that peer.
 
 use std::path::PathBuf;
 
 /// Result of the library's operations.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// What can go wrong, with the step and the peer.
+/// Error of an operation of the library.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum Error {
     /// A name is empty, too long or has characters other than `A-Za-z0-9._-`.
     #[error("{kind} name {value:?}: want 1 to 64 of A-Z a-z 0-9 . _ -")]
     Name {
-        /// What was being named.
+        /// Kind of the named object.
         kind: &'static str,
-        /// The refused text, cut to the longest name.
+        /// The refused name, truncated to the longest allowed length.
         value: String,
     },
 
-    /// A number cannot be read.
+    /// A number cannot be parsed.
     #[error("{kind} {value:?}: want a whole number")]
     Number {
-        /// What was being counted.
+        /// Kind of the number.
         kind: &'static str,
         /// The refused text.
         value: String,
     },
 
-    /// A field of a settings file or document is refused.
+    /// A field of a settings file or document has an invalid value.
     #[error("{file}:{line}: {field}: {value}: want {allowed}", file = file.display())]
     Field {
         /// The file.
         file: PathBuf,
-        /// Line number, from 1; 0 when not known.
+        /// Line number, from 1; 0 if unknown.
         line: usize,
-        /// Path of the field, dotted.
+        /// Dotted path of the field.
         field: String,
         /// The refused value.
         value: String,
-        /// What is allowed.
+        /// The allowed values.
         allowed: String,
     },
 
-    /// A name that nothing has; nothing was changed.
+    /// No object has this name; nothing was changed.
     #[error("no {kind} {name}: known are {known}")]
     Unknown {
-        /// What was named.
+        /// Kind of the named object.
         kind: &'static str,
-        /// The name.
+        /// The unknown name.
         name: String,
-        /// Names that something has, separated by commas.
+        /// The existing names, separated by commas.
         known: String,
     },
 
     /// Reading or writing failed.
     #[error("{step} ({peer}): {source}")]
     Io {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
         /// The file or peer.
         peer: String,
-        /// The system's error.
+        /// The operating system's error.
         source: std::io::Error,
     },
 
     /// A message cannot be decoded.
     #[error("{step} from {peer}: {reason}")]
     Decode {
-        /// What was being decoded.
+        /// Kind of the message.
         step: &'static str,
-        /// Who sent it.
+        /// The sender of the message.
         peer: String,
-        /// Why it was refused.
+        /// Why decoding failed.
         reason: String,
     },
 
     /// The platform or an instance refused a call; nothing was changed.
     #[error("{step} at {peer}: refused: {reason}")]
     Refused {
-        /// What was asked.
+        /// The refused call.
         step: &'static str,
-        /// Who refused.
+        /// The peer that refused the call.
         peer: String,
-        /// Its reason.
+        /// The peer's reason.
         reason: String,
     },
 
-    /// The platform serves no more calls at the moment; nothing was changed.
+    /// The platform refused a call because of too many calls; nothing was changed.
     #[error("{step} at {peer}: too many calls")]
     Busy {
-        /// What was asked.
+        /// The refused call.
         step: &'static str,
-        /// Who was asked.
+        /// The peer that refused the call.
         peer: String,
     },
 
-    /// The platform no longer has the history that was asked for.
+    /// The platform no longer keeps the requested history.
     #[error("{step} at {peer}: this history is no longer kept")]
     Compacted {
-        /// What was asked.
+        /// The call that failed.
         step: &'static str,
-        /// Who was asked.
+        /// The called peer.
         peer: String,
     },
 
     /// A call got no answer; a write may have taken effect.
     #[error("{step} at {peer}: no answer: {reason}")]
     Unanswered {
-        /// What was asked.
+        /// The unanswered call.
         step: &'static str,
-        /// Who did not answer.
+        /// The peer that did not answer.
         peer: String,
-        /// What was seen.
+        /// The transport error or status in place of an answer.
         reason: String,
     },
 
-    /// No connection could be made, so nothing was sent and nothing changed.
+    /// The connection failed, so nothing was sent and nothing changed.
     #[error("{step} at {peer}: no connection: {reason}")]
     Unreachable {
-        /// What was asked.
+        /// The call that was not sent.
         step: &'static str,
-        /// Who could not be reached.
+        /// The unreachable peer.
         peer: String,
-        /// What was seen.
+        /// The connection error.
         reason: String,
     },
 
-    /// The local allowance of calls is used up; nothing was sent.
-    #[error("{step} at {peer}: allowance of {rate} used up")]
+    /// The local rate limit for calls is exhausted; nothing was sent.
+    #[error("{step} at {peer}: local rate limit of {rate} exhausted")]
     Exhausted {
-        /// What was asked.
+        /// The call that was not sent.
         step: &'static str,
-        /// Who would have been asked.
+        /// The peer that would have been called.
         peer: String,
-        /// Calls allowed per second.
+        /// The rate limit.
         rate: crate::platform::rate_limit::Rate,
     },
 }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,9 +1,9 @@
-//! The entry instances as seen from outside: who they are, and what they answer.
+//! Discovery and queries of the entry instances, for the operators' tool.
 //!
-//! Instances are found by their registrations in the platform and, should the
-//! platform be down, by the addresses in the tool's own settings. One that gives
-//! no answer is always named; leaving it out would make a part look like the
-//! whole.
+//! Instances are found by their registrations in the platform and, in case the
+//! platform is down, by the addresses in the tool's own settings. Results always
+//! name the instances that did not answer: without them, a partial result would
+//! look complete.
 
 pub(crate) mod status_client;
 
@@ -23,43 +23,43 @@
 use crate::platform::Client;
 use crate::platform::Entry;
 
-/// Instances asked at the same time.
-const MAX_ASKED: usize = 32;
+/// Most instances that are queried concurrently.
+const MAX_CONCURRENT_REQUESTS: usize = 32;
 
-/// An instance that was not heard from.
+/// An instance that gave no usable answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct UnansweredInstance {
-    /// Its name.
+    /// The instance's name.
     pub instance: String,
-    /// What was seen in place of an answer.
+    /// The error in place of an answer.
     pub reason: String,
 }
 
-/// The instances that are to be asked.
+/// The known instances of the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
-    /// Status address by name.
+    /// Status address by instance.
     pub addresses: BTreeMap<id::Instance, id::Endpoint>,
-    /// Registrations that cannot be read.
+    /// Registrations that cannot be decoded.
     pub unreadable: Vec<UnansweredInstance>,
-    /// Why the platform's list could not be read, if so.
+    /// Error of reading the platform's list of instances, if any.
     pub unlisted: Option<String>,
 }
 
-/// What the instances answered.
+/// Answers of the instances to one query.
 #[derive(Clone, Debug, Serialize)]
 pub struct FleetAnswers<T> {
     /// Answers by instance.
     pub heard: BTreeMap<id::Instance, T>,
-    /// Who gave none.
+    /// Instances without an answer.
     pub silent: Vec<UnansweredInstance>,
-    /// Why the platform's list could not be read, if so: there may then be
-    /// instances that nobody asked.
+    /// Error of reading the platform's list of instances, if any: in that case,
+    /// instances may be missing from this result.
     pub unlisted: Option<String>,
 }
 
 impl<T> FleetAnswers<T> {
-    /// Whether every instance was heard, as far as the platform's list goes.
+    /// Whether the list of instances was read and every instance on it answered.
     pub fn is_whole(&self) -> bool {
         self.silent.is_empty() && self.unlisted.is_none()
     }
@@ -74,7 +74,7 @@
 }
 
 impl Fleet {
-    /// Access through this client, with status addresses known beforehand.
+    /// Creates access through this client, with the status addresses from the settings.
     ///
     /// # Errors
     ///
@@ -96,7 +96,7 @@
         &self.platform
     }
 
-    /// All instances that are registered or known from the settings.
+    /// All instances that are registered in the platform or named in the settings.
     pub async fn members(&self) -> Members {
         let mut members = Members {
             addresses: self.known.clone(),
@@ -113,14 +113,14 @@
         members
     }
 
-    /// Asks every member for the same path.
+    /// Requests this path from every member.
     pub async fn ask<T: DeserializeOwned>(&self, members: &Members, path: &str) -> FleetAnswers<T> {
-        let asking = members.addresses.iter().map(async |(instance, address)| {
+        let requests = members.addresses.iter().map(async |(instance, address)| {
             let answer = self.status_client.get(*address, path).await;
             (instance.clone(), answer)
         });
-        let answers: Vec<_> = stream::iter(asking)
-            .buffer_unordered(MAX_ASKED)
+        let answers: Vec<_> = stream::iter(requests)
+            .buffer_unordered(MAX_CONCURRENT_REQUESTS)
             .collect()
             .await;
         let mut gathered = FleetAnswers {
@@ -153,7 +153,7 @@
             }
             Err(error) => self.unreadable.push(UnansweredInstance {
                 instance: path::last_segment(&entry.key).to_owned(),
-                reason: format!("registration cannot be read: {error}"),
+                reason: format!("registration cannot be decoded: {error}"),
             }),
         }
     }
--- a/src/fleet/status_client.rs
+++ b/src/fleet/status_client.rs
@@ -1,4 +1,4 @@
-//! Asking one instance.
+//! HTTP client for the status port of an instance.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 use crate::id;
 use crate::platform::transport;
 
-/// Largest answer of an instance that is read, in bytes; a broken one must not
-/// fill the memory of the operator's machine.
-const MAX_ANSWER: usize = 4 << 20;
+/// Largest response body that is read, in bytes. Without a limit, a faulty instance
+/// could exhaust the memory of the operator's machine.
+const MAX_RESPONSE_LEN: usize = 4 << 20;
 
-/// Asks instances at their status addresses.
+/// Sends GET requests to the status addresses of instances.
 #[derive(Clone)]
 pub(crate) struct StatusClient {
     http: reqwest::Client,
@@ -23,7 +23,7 @@
 }
 
 impl StatusClient {
-    /// One that waits so long for an answer.
+    /// Creates a client that waits at most `timeout` for an answer.
     pub(crate) fn new(timeout: Duration) -> Result<Self> {
         let http = reqwest::Client::builder()
             .no_proxy()
@@ -37,17 +37,17 @@
         Ok(Self { http, timeout })
     }
 
-    /// What an instance answers at a path.
+    /// Requests a path from an instance and decodes the JSON answer.
     pub(crate) async fn get<T: DeserializeOwned>(
         &self,
         address: id::Endpoint,
         path: &str,
     ) -> Result<T> {
-        let whole = async {
+        let exchange = async {
             let response = self.http.get(format!("http://{address}{path}")).send();
             let response = response
                 .await
-                .map_err(|e| silent(address, transport::root_cause(&e)))?;
+                .map_err(|e| unanswered(address, transport::root_cause(&e)))?;
             let body = read_body(address, response).await?;
             serde_json::from_slice(&body).map_err(|e| Error::Decode {
                 step: "answer",
@@ -55,13 +55,13 @@
                 reason: e.to_string(),
             })
         };
-        tokio::time::timeout(self.timeout, whole)
+        tokio::time::timeout(self.timeout, exchange)
             .await
-            .unwrap_or_else(|_| Err(silent(address, "timed out")))
+            .unwrap_or_else(|_| Err(unanswered(address, "timed out")))
     }
 }
 
-fn silent(address: id::Endpoint, reason: impl ToString) -> Error {
+fn unanswered(address: id::Endpoint, reason: impl ToString) -> Error {
     Error::Unanswered {
         step: "ask instance",
         peer: address.to_string(),
@@ -72,8 +72,8 @@
 async fn read_body(address: id::Endpoint, response: Response) -> Result<Bytes> {
     let status = response.status();
     if !status.is_success() {
-        return Err(silent(address, status));
+        return Err(unanswered(address, status));
     }
-    let body = transport::read_limited(response, MAX_ANSWER).await;
-    body.map_err(|reason| silent(address, reason))
+    let body = transport::read_limited(response, MAX_RESPONSE_LEN).await;
+    body.map_err(|reason| unanswered(address, reason))
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! godwitreel: a layer-4 load balancer that keeps callers connected while
 //! services move.
 //!
-//! The library holds everything that decides; the programs `godwitreeld` and
-//! `godwitreel` only parse, call and report. See `docs/DESIGN.md`.
+//! All logic is in this library; the programs `godwitreeld` and `godwitreel` only
+//! parse arguments, call the library and print results. See `docs/DESIGN.md`.
 
 pub mod action;
 pub mod balance;
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,7 +1,7 @@
-//! The logger, as the settings want it.
+//! Builds the loggers according to the settings.
 //!
-//! Records go to the standard error stream from a thread of their own, so that
-//! a slow reader of the log holds up no packet.
+//! A separate thread writes the records, so that a slow reader of the log delays
+//! no packet.
 
 use std::io;
 use std::sync::Mutex;
@@ -22,15 +22,17 @@
 
 pub use crate::sink::Guard;
 
-/// Records that may wait for being written; more are dropped and counted.
-const QUEUE: usize = 4_096;
+/// Most records that wait to be written; further records are dropped and counted.
+const QUEUE_CAPACITY: usize = 4_096;
 
-/// Waits, when it is dropped, until all records are written. Worker threads keep
-/// clones of the logger to the end, so that without it the last lines would be
-/// lost, which are those that tell what a stop has cut off.
-pub struct LogGuard(#[expect(dead_code, reason = "it acts when it is dropped")] AsyncGuard);
+/// Waits until all records are written when it is dropped. Worker threads keep clones
+/// of the logger until the process ends, so that dropping the logger would not flush
+/// it. The last lines, which report the requests that a stop has cut off, would be
+/// lost.
+pub struct LogGuard(#[expect(dead_code, reason = "flushes the log when dropped")] AsyncGuard);
 
-/// Builds the logger and what completes its records.
+/// Builds a logger that writes to the standard error stream, and the guard that
+/// flushes it.
 pub fn logger(settings: &Log) -> (Logger, LogGuard) {
     match settings.format {
         Format::Json => {
@@ -38,17 +40,17 @@
                 .add_default_keys()
                 .add_key_value(o!("module" => FnValue(module)))
                 .build();
-            queued(json.ignore_res(), settings)
+            async_logger(json.ignore_res(), settings)
         }
         Format::Text => {
             let decorator = slog_term::TermDecorator::new().stderr().build();
             let text = slog_term::CompactFormat::new(decorator).build();
-            queued(text.ignore_res(), settings)
+            async_logger(text.ignore_res(), settings)
         }
     }
 }
 
-/// Builds a logger that writes JSON lines to the standard output, many at once.
+/// Builds a logger that writes JSON lines to the standard output in batches.
 ///
 /// # Errors
 ///
@@ -67,23 +69,23 @@
     Ok((Logger::root(drain.fuse(), o!()), guard))
 }
 
-/// The module is what levels are set by, so each record names its own.
+/// Module of a record. Records include it since levels are set by module.
 fn module(record: &Record<'_>) -> &'static str {
     record.module()
 }
 
-fn queued<D>(drain: D, settings: &Log) -> (Logger, LogGuard)
+fn async_logger<D>(drain: D, settings: &Log) -> (Logger, LogGuard)
 where
     D: Drain<Ok = (), Err = slog::Never> + Send + 'static,
 {
     let (queue, guard) = slog_async::Async::new(drain)
-        .chan_size(QUEUE)
+        .chan_size(QUEUE_CAPACITY)
         .build_with_guard();
     let logger = Logger::root(filtered(queue, settings.clone()).fuse(), o!());
     (logger, LogGuard(guard))
 }
 
-/// Passes on what the settings of a record's module allow.
+/// Filters records by the level that the settings give their module.
 pub fn filtered<D: Drain>(drain: D, settings: Log) -> impl Drain<Ok = Option<D::Ok>, Err = D::Err> {
     slog::Filter::new(drain, move |record: &Record<'_>| {
         let level = level_of(&settings, record.module());
@@ -91,9 +93,10 @@
     })
 }
 
-/// The level of the module, or of the longest path that holds it.
+/// Level of the longest module path in the settings that contains the module, or the
+/// default level.
 fn level_of(settings: &Log, module: &str) -> slog::Level {
-    let holds = |path: &str| {
+    let contains = |path: &str| {
         module
             .strip_prefix(path)
             .is_some_and(|rest| rest.is_empty() || rest.starts_with("::"))
@@ -101,7 +104,7 @@
     let longest = settings
         .modules
         .iter()
-        .filter(|(path, _)| holds(path))
+        .filter(|(path, _)| contains(path))
         .max_by_key(|(path, _)| path.len());
     longest.map_or(settings.level, |(_, level)| *level).into()
 }
--- a/src/pacing.rs
+++ b/src/pacing.rs
@@ -1,9 +1,9 @@
-//! Delays between tries: exponential backoff with full jitter, and tries that
-//! overlap.
+//! Delays between attempts: exponential backoff with full jitter, and hedged
+//! attempts that overlap.
 //!
-//! Full jitter draws each delay anywhere between nothing and the current bound.
-//! Many instances that lose the platform at the same moment thus come back
-//! spread over time and not in waves.
+//! Full jitter draws each delay uniformly between zero and the current bound.
+//! Instances that lose the platform at the same moment thus reconnect spread over
+//! time instead of all at once.
 
 use std::time::Duration;
 
@@ -19,11 +19,11 @@
 pub struct BackoffBounds {
     /// Bound of the first delay.
     pub first_delay: Duration,
-    /// Bound of every later delay.
+    /// Bound of all delays.
     pub max_delay: Duration,
 }
 
-/// State of one row of tries.
+/// State of a series of attempts.
 #[derive(Debug)]
 pub struct Backoff {
     bounds: BackoffBounds,
@@ -33,7 +33,7 @@
 }
 
 impl Backoff {
-    /// A fresh backoff whose delays depend on the seed only.
+    /// Creates a backoff whose delays are determined by the seed.
     pub fn new(bounds: BackoffBounds, seed: u64) -> Self {
         Self {
             bounds,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The delay before the next try; its bound doubles each time.
+    /// Returns the delay before the next attempt and doubles the bound.
     pub fn next_delay(&mut self) -> Duration {
         self.has_failed = true;
         let bound = self.current.min(self.bounds.max_delay);
@@ -51,27 +51,27 @@
         bound.mul_f64(self.random.random_range(0.0..=1.0))
     }
 
-    /// Starts again from the first bound, after a success.
+    /// Returns to the first bound, after a success.
     pub fn reset(&mut self) {
         self.current = self.bounds.first_delay;
         self.has_failed = false;
     }
 
-    /// Whether there was a delay since the last success.
+    /// Whether an attempt has failed since the last success.
     pub fn has_failed(&self) -> bool {
         self.has_failed
     }
 }
 
-/// Result of the first of several tries to end; each further one begins so long after
-/// the one before, while all of these still wait.
-pub async fn hedge<F: Future>(every: Duration, begin: impl Fn() -> F) -> F::Output {
-    let mut tries = FuturesUnordered::new();
+/// Result of the first of several overlapping attempts to end. Another attempt begins
+/// each `interval`, as long as none has ended.
+pub async fn hedge<F: Future>(interval: Duration, start_attempt: impl Fn() -> F) -> F::Output {
+    let mut attempts = FuturesUnordered::new();
     loop {
-        tries.push(begin());
+        attempts.push(start_attempt());
         tokio::select! {
-            Some(result) = tries.next() => return result,
-            () = time::sleep(every) => {}
+            Some(result) = attempts.next() => return result,
+            () = time::sleep(interval) => {}
         }
     }
 }
--- a/src/signal.rs
+++ b/src/signal.rs
@@ -1,4 +1,4 @@
-//! Signals that a program obeys.
+//! Signal handling of the programs.
 
 use tokio::signal::unix;
 use tokio::signal::unix::Signal;
@@ -7,11 +7,11 @@
 use crate::error::Error;
 use crate::error::Result;
 
-/// Listens for a signal; from then on it no longer ends the process.
+/// Installs a handler for a signal, which then no longer ends the process.
 ///
 /// # Errors
 ///
-/// Fails when the system does not let the process listen.
+/// Fails when the operating system refuses to install the handler.
 pub fn listen(kind: SignalKind) -> Result<Signal> {
     unix::signal(kind).map_err(|source| Error::Io {
         step: "signals",
