--- a/tests/blocks.rs
+++ b/tests/blocks.rs
@@ -1,4 +1,4 @@
-//! Block-wise transfers: every part of a body meets the same server.
+//! Block-wise transfers: all blocks of a body go to the same server.
 
 mod utils;
 
@@ -21,9 +21,9 @@
 use utils::Plan;
 
 const DEADLINE: Duration = Duration::from_secs(20);
-const BLOCK: usize = 64;
+const BLOCK_SIZE: usize = 64;
 
-fn sheet(name: &str) -> String {
+fn body_text(name: &str) -> String {
     format!("{name};weight;").repeat(40)
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// Requests of another caller that go on until they are told to stop.
+/// Requests of another caller, sent continuously until [`Traffic::end`].
 struct Traffic {
     stop: Arc<AtomicBool>,
     work: JoinHandle<u64>,
@@ -62,15 +62,20 @@
     }
 }
 
-/// Servers, with the sockets that they saw, which had requests for a resource.
-fn places(cluster: &Cluster, path: &str, since: Instant) -> BTreeSet<(String, SocketAddr)> {
-    let mut places = BTreeSet::new();
+/// The servers that received requests for a resource since then, each with the remote
+/// address of the requests.
+fn servers_of_requests(
+    cluster: &Cluster,
+    path: &str,
+    since: Instant,
+) -> BTreeSet<(String, SocketAddr)> {
+    let mut found = BTreeSet::new();
     for (name, server) in &cluster.servers {
         let seen = server.seen_since(since);
         let seen = seen.into_iter().filter(|seen| seen.path == path);
-        places.extend(seen.map(|seen| (name.clone(), seen.remote)));
+        found.extend(seen.map(|seen| (name.clone(), seen.remote)));
     }
-    places
+    found
 }
 
 async fn cluster() -> Cluster {
@@ -81,59 +86,64 @@
     .await
 }
 
-/// A server puts a body together by the endpoint that the blocks come from. Were
-/// one block to leave from another socket or to another server, the depot would
-/// be told that its sheet is incomplete, each time anew. Other traffic goes on,
-/// and a server that has none of the sheet drains meanwhile.
+/// A server assembles a body by the endpoint that its blocks come from. If a block were
+/// sent from another socket or to another server, every upload would be refused as
+/// incomplete. During the upload there is other traffic, and a server that has no block
+/// of the body drains.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_upload_meets_one_server_amid_other_traffic_and_a_drain() {
+async fn an_upload_uses_one_server_during_other_traffic_and_a_drain() {
     let cluster = cluster().await;
-    let depot = cluster.caller("ledger", 1).await;
+    let uploader = cluster.caller("ledger", 1).await;
     let traffic = Traffic::start(cluster.caller("ledger", 2).await);
     for (method, wanted) in [
         (RequestType::Put, ResponseType::Changed),
         (RequestType::Post, ResponseType::Created),
     ] {
         let since = Instant::now();
-        let body = sheet(&format!("{method:?}"));
-        let mut upload = depot.upload(method, "/sheet", body.clone(), BLOCK);
+        let body = body_text(&format!("{method:?}"));
+        let mut upload = uploader.upload(method, "/sheet", body.clone(), BLOCK_SIZE);
         for _ in 0..4 {
             let ended = upload.step(DEADLINE).await;
             assert!(ended.is_none(), "{ended:?}");
         }
-        let used = places(&cluster, "/sheet", since);
+        let used = servers_of_requests(&cluster, "/sheet", since);
         assert_eq!(used.len(), 1, "{used:?}");
         let idle = |name: &&String| used.iter().all(|(used, _)| used != *name);
-        let other = cluster.servers.keys().find(idle).expect("another").clone();
+        let other = cluster
+            .servers
+            .keys()
+            .find(idle)
+            .expect("another server")
+            .clone();
         cluster.servers[&other].drain(true);
         cluster.list_server(&other, "leaving");
         let outcome = upload.finish(DEADLINE).await;
         assert_eq!(code(&outcome), Some(wanted), "{outcome:?}");
         assert_eq!(cluster.starts(&body), 1);
-        assert_eq!(places(&cluster, "/sheet", since), used);
+        assert_eq!(servers_of_requests(&cluster, "/sheet", since), used);
         cluster.servers[&other].drain(false);
         cluster.list_server(&other, "up");
     }
     traffic.end().await;
 }
 
-/// The server that has the first half of a sheet drains: it takes no new work,
-/// but the sheet is work in progress and is finished there. The next sheet is new
-/// work and goes elsewhere, although the first one's server is still remembered.
+/// The server that has the first blocks of a body drains: it takes no new work, but the
+/// upload is in progress and is finished there. The next body is new work and goes to
+/// another server, although the server of the first body is still recorded.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_upload_is_finished_at_its_draining_server_and_the_next_goes_elsewhere() {
     let cluster = cluster().await;
-    let depot = cluster.caller("ledger", 1).await;
+    let uploader = cluster.caller("ledger", 1).await;
     let since = Instant::now();
-    let body = sheet("first");
-    let mut upload = depot.upload(RequestType::Put, "/sheet", body.clone(), BLOCK);
+    let body = body_text("first");
+    let mut upload = uploader.upload(RequestType::Put, "/sheet", body.clone(), BLOCK_SIZE);
     assert!(upload.step(DEADLINE).await.is_none());
-    let used = places(&cluster, "/sheet", since);
+    let used = servers_of_requests(&cluster, "/sheet", since);
     let (own, _) = used.first().expect("a server").clone();
     cluster.servers[&own].drain(true);
     cluster.list_server(&own, "leaving");
     cluster
-        .until("every instance knows of the drain", async || {
+        .until("every instance has received the drain", async || {
             for instance in &cluster.instances {
                 let status = instance.status().await;
                 let leaving = status.is_some_and(|status| {
@@ -149,33 +159,36 @@
         .await;
     let outcome = upload.finish(DEADLINE).await;
     assert_eq!(code(&outcome), Some(ResponseType::Changed), "{outcome:?}");
-    assert_eq!(places(&cluster, "/sheet", since), used);
+    assert_eq!(servers_of_requests(&cluster, "/sheet", since), used);
     let since = Instant::now();
-    let mut upload = depot.upload(RequestType::Put, "/sheet", sheet("second"), BLOCK);
+    let mut upload = uploader.upload(RequestType::Put, "/sheet", body_text("second"), BLOCK_SIZE);
     let outcome = upload.finish(DEADLINE).await;
     assert_eq!(code(&outcome), Some(ResponseType::Changed), "{outcome:?}");
-    let next = places(&cluster, "/sheet", since);
+    let next = servers_of_requests(&cluster, "/sheet", since);
     assert!(next.iter().all(|(name, _)| *name != own), "{next:?}");
 }
 
-/// One caller sends two sheets at once and loads a large answer. Each body keeps
-/// its own server; were there one memory for the caller, the later body would
-/// take the earlier one's blocks to its own server.
+/// One caller uploads two bodies and downloads a large answer at the same time. Each body
+/// keeps its own server. If the server were recorded per caller, the blocks of an earlier
+/// body would go to the server of a later one.
 #[tokio::test(flavor = "multi_thread")]
 async fn bodies_of_one_caller_do_not_disturb_each_other() {
     let cluster = cluster().await;
-    let depot = cluster.caller("ledger", 1).await;
+    let uploader = cluster.caller("ledger", 1).await;
     let traffic = Traffic::start(cluster.caller("ledger", 2).await);
     for round in 0..5 {
         let since = Instant::now();
-        let bodies = [sheet(&format!("a{round}")), sheet(&format!("b{round}"))];
+        let bodies = [
+            body_text(&format!("a{round}")),
+            body_text(&format!("b{round}")),
+        ];
         let paths = ["/a", "/b"];
         let mut uploads: Vec<_> = bodies
             .iter()
             .zip(paths)
-            .map(|(body, path)| depot.upload(RequestType::Put, path, body.clone(), BLOCK))
+            .map(|(body, path)| uploader.upload(RequestType::Put, path, body.clone(), BLOCK_SIZE))
             .collect();
-        let mut download = depot.download(LARGE_PATH);
+        let mut download = uploader.download(LARGE_PATH);
         for _ in 0..3 {
             for upload in &mut uploads {
                 assert!(upload.step(DEADLINE).await.is_none());
@@ -187,14 +200,14 @@
             assert_eq!(code(&outcome), Some(ResponseType::Changed), "{outcome:?}");
         }
         let Outcome::Answered { payload, .. } = download.finish(DEADLINE).await else {
-            panic!("no large answer");
+            panic!("download failed");
         };
         assert_eq!(payload.len(), LARGE_SIZE);
         for (body, path) in bodies.iter().zip(paths) {
             assert_eq!(cluster.starts(body), 1);
-            assert_eq!(places(&cluster, path, since).len(), 1);
+            assert_eq!(servers_of_requests(&cluster, path, since).len(), 1);
         }
-        let servers: BTreeSet<_> = places(&cluster, LARGE_PATH, since)
+        let servers: BTreeSet<_> = servers_of_requests(&cluster, LARGE_PATH, since)
             .into_iter()
             .map(|(name, _)| name)
             .collect();
--- a/tests/change.rs
+++ b/tests/change.rs
@@ -1,4 +1,4 @@
-//! An accepted change is in force everywhere within seconds and never reverts.
+//! An accepted change takes effect at all instances within seconds and never reverts.
 
 mod utils;
 
@@ -14,24 +14,24 @@
 use utils::Plan;
 use utils::quick;
 
-const PROFILE: &str = "profiles/standard";
-const DRAIN: &str = "godwitreel/drain/servers/dispatch-0";
+const PROFILE_NAME: &str = "profiles/standard";
+const DRAIN_KEY: &str = "godwitreel/drain/servers/dispatch-0";
 
-/// How long it is watched that nothing reverts.
-const WATCH: Duration = Duration::from_secs(6);
+/// How long the tests check that nothing reverts.
+const OBSERVATION_PERIOD: Duration = Duration::from_secs(6);
 
-async fn revision(cluster: &Cluster, place: usize) -> u64 {
-    let status = cluster.instances[place].status().await;
-    let revision = status.and_then(|status| status.revisions.get(PROFILE).copied());
+async fn revision(cluster: &Cluster, instance: usize) -> u64 {
+    let status = cluster.instances[instance].status().await;
+    let revision = status.and_then(|status| status.revisions.get(PROFILE_NAME).copied());
     revision.map_or(0, |revision| revision.0)
 }
 
-async fn in_force(cluster: &Cluster, places: &[usize], wanted: u64) -> Duration {
+async fn time_until_in_force(cluster: &Cluster, instances: &[usize], wanted: u64) -> Duration {
     let begun = Instant::now();
     cluster
         .until("the change is in force", async || {
-            for place in places {
-                if revision(cluster, *place).await != wanted {
+            for instance in instances {
+                if revision(cluster, *instance).await != wanted {
                     return false;
                 }
             }
@@ -41,19 +41,20 @@
     begun.elapsed()
 }
 
-/// Whether an instance takes the operator's wish to drain the server as standing.
-async fn drains(cluster: &Cluster, place: usize) -> Option<bool> {
-    let status = cluster.instances[place].status().await?;
+/// Whether an instance considers the server drained; `None` if it does not answer or does
+/// not know the server.
+async fn is_drained(cluster: &Cluster, instance: usize) -> Option<bool> {
+    let status = cluster.instances[instance].status().await?;
     let mut servers = status.servers.into_iter();
     let server = servers.find(|server| server.id.as_str() == "dispatch-0")?;
     Some(server.leaving)
 }
 
-async fn all_drain(cluster: &Cluster, places: &[usize], wanted: bool) {
+async fn wait_for_drained(cluster: &Cluster, instances: &[usize], wanted: bool) {
     cluster
-        .until("the wish to drain is known", async || {
-            for place in places {
-                if drains(cluster, *place).await != Some(wanted) {
+        .until("the drain or its removal has been received", async || {
+            for instance in instances {
+                if is_drained(cluster, *instance).await != Some(wanted) {
                     return false;
                 }
             }
@@ -62,7 +63,7 @@
         .await;
 }
 
-fn nine() -> Plan {
+fn nine_instances() -> Plan {
     Plan {
         zones: ["bole", "kality", "merkato"].repeat(3),
         services: vec![("dispatch", 3)],
@@ -72,74 +73,80 @@
     }
 }
 
-/// Nine instances get each change of the profile. One is cut off from the
-/// platform and learns from its peers, one is cut off from everything and learns
-/// once it is back; a platform that serves old values and an old revision written
-/// anew change nothing back.
+/// Nine instances receive each change of the profile. One is disconnected from the platform
+/// and receives the change from its peers; one is disconnected from all others and receives
+/// the change after it is connected again. Neither a platform that serves stale values nor
+/// an old revision that is written again reverts a change.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_reaches_all_and_never_reverts() {
     const ALL: [usize; 9] = [0, 1, 2, 3, 4, 5, 6, 7, 8];
-    let cluster = Cluster::start(nine()).await;
+    let cluster = Cluster::start(nine_instances()).await;
     cluster.change_profile(2, &json!({"retry_after_s": 3}));
-    let took = in_force(&cluster, &ALL, 2).await;
+    let took = time_until_in_force(&cluster, &ALL, 2).await;
     println!("nine instances: {took:?}");
 
     cluster.cut_platform(0, true);
     cluster.cut_platform(1, true);
     cluster.part(&[1]);
     cluster.change_profile(3, &json!({"retry_after_s": 4}));
-    let took = in_force(&cluster, &[0, 2, 3, 4, 5, 6, 7, 8], 3).await;
-    println!("one of them from its peers alone: {took:?}");
+    let took = time_until_in_force(&cluster, &[0, 2, 3, 4, 5, 6, 7, 8], 3).await;
+    println!("with one instance that has only its peers: {took:?}");
     assert_eq!(revision(&cluster, 1).await, 2);
     cluster.part(&[]);
     cluster.cut_platform(0, false);
     cluster.cut_platform(1, false);
-    let took = in_force(&cluster, &ALL, 3).await;
-    println!("one that was cut off from all: {took:?}");
+    let took = time_until_in_force(&cluster, &ALL, 3).await;
+    println!("with one instance that was disconnected from all others: {took:?}");
 
     cluster.platform.stale(true);
     cluster.change_profile(4, &json!({"retry_after_s": 5}));
     cluster.change_profile(1, &json!({"retry_after_s": 6}));
     cluster.platform.stale(false);
-    sleep(WATCH).await;
-    for place in ALL {
-        let known = revision(&cluster, place).await;
-        // A watch tells every change; who only lists sees the last one, which is
-        // older than what is in force.
-        assert!(known >= 3, "instance {place} went back to {known}");
+    sleep(OBSERVATION_PERIOD).await;
+    for instance in ALL {
+        let known = revision(&cluster, instance).await;
+        // A watch delivers every change. An instance that only lists reads the last write,
+        // whose revision is older than the one in force.
+        assert!(
+            known >= 3,
+            "instance {instance} reverted to revision {known}"
+        );
     }
 }
 
-/// The operator withdraws the wish to drain a server while one instance is cut
-/// off from the platform. That instance still has the old key and its peers see
-/// that their copies differ; neither may the key come back at the peers, nor may
-/// the cut off instance keep the server out of service.
+/// An operator ends the drain of a server while one instance is disconnected from the
+/// platform. That instance still has the deleted key, and its peers detect that the copies
+/// differ. The key must not return at the peers, and the disconnected instance must not
+/// keep the server out of service.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_withdrawn_wish_does_not_come_back_from_a_peer() {
+async fn a_removed_drain_is_not_restored_by_a_peer() {
     let cluster = Cluster::start(Plan {
         settings: quick(),
         proxied: true,
         ..Plan::default()
     })
     .await;
-    cluster.platform.put(DRAIN, "{}");
-    all_drain(&cluster, &[0, 1, 2], true).await;
+    cluster.platform.put(DRAIN_KEY, "{}");
+    wait_for_drained(&cluster, &[0, 1, 2], true).await;
     cluster.cut_platform(0, true);
-    cluster.platform.delete(DRAIN);
-    all_drain(&cluster, &[1, 2], false).await;
-    let end = Instant::now() + WATCH;
+    cluster.platform.delete(DRAIN_KEY);
+    wait_for_drained(&cluster, &[1, 2], false).await;
+    let end = Instant::now() + OBSERVATION_PERIOD;
     while Instant::now() < end {
-        for place in [1, 2] {
-            assert_eq!(drains(&cluster, place).await, Some(false), "{place}");
+        for instance in [1, 2] {
+            assert_eq!(
+                is_drained(&cluster, instance).await,
+                Some(false),
+                "{instance}"
+            );
         }
         sleep(Duration::from_millis(100)).await;
     }
-    all_drain(&cluster, &[0], false).await;
+    wait_for_drained(&cluster, &[0], false).await;
 }
 
-/// An instance starts while the platform is down. It has nothing but its seeds,
-/// gets configuration and slice table from them, and serves idempotent requests
-/// and feeds.
+/// An instance starts while the platform is down. It knows only its seeds, receives
+/// configuration and slice table from them, and serves idempotent requests and feeds.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_instance_started_without_the_platform_serves() {
     let mut cluster = Cluster::start(Plan {
@@ -148,18 +155,21 @@
     })
     .await;
     cluster.change_profile(2, &json!({"retry_after_s": 3}));
-    in_force(&cluster, &[0, 1, 2], 2).await;
+    time_until_in_force(&cluster, &[0, 1, 2], 2).await;
     cluster.platform.down(true);
-    let place = cluster.add("bole").await;
-    let took = in_force(&cluster, &[place], 2).await;
-    println!("configured by its seeds after {took:?}");
+    let instance = cluster.add("bole").await;
+    let took = time_until_in_force(&cluster, &[instance], 2).await;
+    println!("configured by the seeds after {took:?}");
     cluster
-        .until("it is ready and knows a server", async || {
-            let status = cluster.instances[place].status().await;
-            status.is_some_and(|s| s.ready && s.servers.iter().all(|server| server.takes_work))
-        })
+        .until(
+            "the instance is ready and every server takes work",
+            async || {
+                let status = cluster.instances[instance].status().await;
+                status.is_some_and(|s| s.ready && s.servers.iter().all(|server| server.takes_work))
+            },
+        )
         .await;
-    let caller = cluster.caller_at("dispatch", place, 1).await;
+    let caller = cluster.caller_at("dispatch", instance, 1).await;
     let outcome = caller
         .request(RequestType::Get, "/sheet", b"", PATIENCE)
         .await;
--- a/tests/decoders.rs
+++ b/tests/decoders.rs
@@ -1,4 +1,5 @@
-//! Whatever arrives from outside, decoders and engine neither panic nor miscount.
+//! Arbitrary input: decoders and engine do not panic, and the engine's counts stay
+//! correct.
 
 mod lab;
 
@@ -34,7 +35,7 @@
 use crate::lab::row;
 use crate::lab::secs;
 
-/// The same cases in each run.
+/// Test configuration with a fixed seed, so that each run has the same cases.
 fn config(cases: u32) -> Config {
     Config {
         cases,
@@ -48,7 +49,7 @@
     wire::Keys::new([key]).expect("a usable key")
 }
 
-fn sealed(keys: &wire::Keys, to: &str, sequence: u64) -> Vec<u8> {
+fn signed_frame(keys: &wire::Keys, to: &str, sequence: u64) -> Vec<u8> {
     let envelope = wire::Envelope {
         from: holder("a", 1).to_string(),
         to: to.to_owned(),
@@ -78,8 +79,7 @@
 
     #[test]
     fn no_signed_bytes_break_a_decoder(bytes in vec(any::<u8>(), 0..200)) {
-        // The MAC is right and the content is anything, as from a peer of another
-        // version.
+        // The MAC is valid and the content arbitrary, as from a peer of another version.
         let envelope = wire::Envelope {
             from: String::from_utf8_lossy(&bytes).into_owned(),
             to: String::new(),
@@ -100,7 +100,7 @@
     #[test]
     fn requests_that_can_be_read_can_be_written(bytes in vec(any::<u8>(), 4..80)) {
         let mut bytes = bytes;
-        // Version 1, no token, a request method: most of these can be read.
+        // Version 1, no token, a request method: most of these can be decoded.
         bytes[0] = 0x40;
         bytes[1] = 1 + bytes[1] % 7;
         let datagram = Bytes::from(bytes);
@@ -112,84 +112,84 @@
     }
 
     #[test]
-    fn a_changed_frame_is_refused(place in any::<prop::sample::Index>(), bit in 0..8u8) {
-        let mut frame = sealed(&keys(b"key"), "b", 1);
-        let place = place.index(frame.len());
-        frame[place] ^= 1 << bit;
+    fn a_changed_frame_is_refused(position in any::<prop::sample::Index>(), bit in 0..8u8) {
+        let mut frame = signed_frame(&keys(b"key"), "b", 1);
+        let index = position.index(frame.len());
+        frame[index] ^= 1 << bit;
         prop_assert!(wire::verify_frame(&keys(b"key"), &me(), "peer", &frame).is_err());
     }
 }
 
-/// Frames with another key, for another instance, or cut short are refused.
+/// Frames with another key, for another instance, or truncated are refused.
 #[test]
 fn frames_that_are_not_ours_are_refused() {
-    let frame = sealed(&keys(b"key"), "b", 1);
+    let frame = signed_frame(&keys(b"key"), "b", 1);
     assert!(wire::verify_frame(&keys(b"key"), &me(), "peer", &frame).is_ok());
     assert!(wire::verify_frame(&keys(b"other"), &me(), "peer", &frame).is_err());
-    let elsewhere = sealed(&keys(b"key"), "c", 1);
-    assert!(wire::verify_frame(&keys(b"key"), &me(), "peer", &elsewhere).is_err());
+    let misdirected = signed_frame(&keys(b"key"), "c", 1);
+    assert!(wire::verify_frame(&keys(b"key"), &me(), "peer", &misdirected).is_err());
     for length in 0..frame.len() {
         assert!(wire::verify_frame(&keys(b"key"), &me(), "peer", &frame[..length]).is_err());
     }
 }
 
-/// A frame is taken once; frames of an earlier life, and those too far behind, are
-/// not taken at all.
+/// A frame is accepted once. Frames of an earlier incarnation, and those with a sequence
+/// number too far behind, are never accepted.
 #[test]
 fn replayed_frames_are_refused() {
     let mut guard = wire::ReplayGuard::default();
-    let life = holder("a", 2);
-    assert!(guard.admit(&life, 5));
-    assert!(!guard.admit(&life, 5));
-    assert!(guard.admit(&life, 4));
-    assert!(!guard.admit(&life, 4));
+    let current = holder("a", 2);
+    assert!(guard.admit(&current, 5));
+    assert!(!guard.admit(&current, 5));
+    assert!(guard.admit(&current, 4));
+    assert!(!guard.admit(&current, 4));
     assert!(!guard.admit(&holder("a", 1), 9));
-    assert!(guard.admit(&life, 100_000));
-    assert!(!guard.admit(&life, 6));
+    assert!(guard.admit(&current, 100_000));
+    assert!(!guard.admit(&current, 6));
     assert!(guard.admit(&holder("a", 3), 5));
-    assert!(!guard.admit(&life, 100_001));
+    assert!(!guard.admit(&current, 100_001));
 }
 
-/// One step of a random history at one engine.
+/// A step of a random sequence of events for one engine.
 #[derive(Clone, Debug)]
 enum Step {
-    Ask(u16, u8, u8),
+    Request(u16, u8, u8),
     Receipt(u16, u16, bool),
     Answer(usize, u8),
-    Strange(u64),
-    Replicate(u8, u64, u8, u16),
-    Replicated(u64),
-    Settle(u16, bool),
-    Adopt(u16, u32),
-    Rows(u64, u8),
-    View(u8),
-    Join,
-    Abandon,
-    Servers(u8),
-    Pass(u16),
+    UnknownAttempt(u64),
+    ReplicationStep(u8, u64, u8, u16),
+    ReplicationAck(u64),
+    FinalOutcome(u16, bool),
+    FeedTransfer(u16, u32),
+    TableChange(u64, u8),
+    Membership(u8),
+    AddBackup,
+    CancelBackup,
+    DrainServers(u8),
+    Elapse(u16),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        8 => (0..8u16, 0..6u8, 0..4u8).prop_map(|(c, n, k)| Step::Ask(c, n, k)),
+        8 => (0..8u16, 0..6u8, 0..4u8).prop_map(|(c, n, k)| Step::Request(c, n, k)),
         1 => (0..8u16, any::<u16>(), any::<bool>()).prop_map(|(c, m, r)| Step::Receipt(c, m, r)),
         8 => (any::<usize>(), 0..5u8).prop_map(|(w, k)| Step::Answer(w, k)),
-        1 => any::<u64>().prop_map(Step::Strange),
+        1 => any::<u64>().prop_map(Step::UnknownAttempt),
         3 => (0..3u8, 0..6u64, 0..4u8, 0..8u16)
-            .prop_map(|(f, e, k, c)| Step::Replicate(f, e, k, c)),
-        3 => (0..64u64).prop_map(Step::Replicated),
-        1 => (0..8u16, any::<bool>()).prop_map(|(c, e)| Step::Settle(c, e)),
-        1 => (0..8u16, any::<u32>()).prop_map(|(c, s)| Step::Adopt(c, s)),
-        2 => (1..3u64, 0..6u8).prop_map(|(e, k)| Step::Rows(e, k)),
-        2 => (0..8u8).prop_map(Step::View),
-        1 => Just(Step::Join),
-        1 => Just(Step::Abandon),
-        1 => any::<u8>().prop_map(Step::Servers),
-        6 => (1..3_000u16).prop_map(Step::Pass),
+            .prop_map(|(f, e, k, c)| Step::ReplicationStep(f, e, k, c)),
+        3 => (0..64u64).prop_map(Step::ReplicationAck),
+        1 => (0..8u16, any::<bool>()).prop_map(|(c, e)| Step::FinalOutcome(c, e)),
+        1 => (0..8u16, any::<u32>()).prop_map(|(c, s)| Step::FeedTransfer(c, s)),
+        2 => (1..3u64, 0..6u8).prop_map(|(e, k)| Step::TableChange(e, k)),
+        2 => (0..8u8).prop_map(Step::Membership),
+        1 => Just(Step::AddBackup),
+        1 => Just(Step::CancelBackup),
+        1 => any::<u8>().prop_map(Step::DrainServers),
+        6 => (1..3_000u16).prop_map(Step::Elapse),
     ]
 }
 
-struct Subject {
+struct EngineTest {
     now: Instant,
     engine: Engine,
     table: Table,
@@ -201,7 +201,7 @@
 
 const SLICES: u32 = 4;
 
-impl Subject {
+impl EngineTest {
     fn new() -> Self {
         let now = Instant::now();
         let holders = [holder("a", 1), holder("b", 1), holder("c", 1)];
@@ -216,7 +216,7 @@
         };
         let service = lab::service("dispatch", &profile, servers.clone());
         engine.handle(now, Event::Snapshot(lab::snapshot(vec![service])));
-        let mut subject = Self {
+        let mut test = Self {
             now,
             engine,
             table: Table::new(SLICES),
@@ -225,9 +225,9 @@
             holders,
             opened: 0,
         };
-        subject.take(Step::View(7));
-        subject.take(Step::Rows(1, 0));
-        subject
+        test.apply(Step::Membership(7));
+        test.apply(Step::TableChange(1, 0));
+        test
     }
 
     fn flow(caller: u16) -> godwitreel::request::Flow {
@@ -240,7 +240,7 @@
             body,
         };
         match step {
-            Step::Ask(caller, number, kind) => {
+            Step::Request(caller, number, kind) => {
                 let kinds = [
                     Kind::NonIdempotent,
                     Kind::Idempotent,
@@ -262,8 +262,8 @@
                 hops: 0,
                 datagram: Bytes::new(),
             },
-            Step::Answer(which, kind) if !self.sent.is_empty() => {
-                let (server, attempt) = &self.sent[which % self.sent.len()];
+            Step::Answer(index, kind) if !self.sent.is_empty() => {
+                let (server, attempt) = &self.sent[index % self.sent.len()];
                 Event::Answer {
                     from: server.address,
                     attempt: *attempt,
@@ -279,16 +279,16 @@
                 }
             }
             Step::Answer(..) => Event::Tick,
-            Step::Strange(attempt) => Event::Answer {
+            Step::UnknownAttempt(attempt) => Event::Answer {
                 from: lab::endpoint(2, 1),
                 attempt: id::Attempt(attempt),
                 answer: lab::notification("x"),
             },
-            Step::Replicate(from, epoch, kind, caller) => {
+            Step::ReplicationStep(from, epoch, kind, caller) => {
                 let from = self.holders[usize::from(from)].clone();
                 peer(&from, replicate(epoch, kind, &Self::flow(caller)))
             }
-            Step::Replicated(number) => {
+            Step::ReplicationAck(number) => {
                 let first = self.holders[0].incarnation.0 << 8;
                 let message = peer::ReplicationAck {
                     slice: (number % u64::from(SLICES)) as u32,
@@ -297,7 +297,7 @@
                 };
                 peer(&self.holders[1], PeerMessage::ReplicationAck(message))
             }
-            Step::Settle(caller, is_empty) => {
+            Step::FinalOutcome(caller, is_empty) => {
                 let message = peer::FinalOutcome {
                     slice: self.table.slice(lab::HASH_KEY, &Self::flow(caller)).0,
                     flow: Some(peer::pack_flow(&Self::flow(caller))),
@@ -307,15 +307,15 @@
                 };
                 peer(&self.holders[1], PeerMessage::FinalOutcome(message))
             }
-            Step::Adopt(caller, sequence) => {
+            Step::FeedTransfer(caller, sequence) => {
                 let message = peer::FeedTransfer {
                     slice: self.table.slice(lab::HASH_KEY, &Self::flow(caller)).0,
                     feed: Some(feed(&Self::flow(caller), sequence)),
                 };
                 peer(&self.holders[1], PeerMessage::FeedTransfer(message))
             }
-            Step::Rows(raise, kind) => self.rows(raise, kind),
-            Step::View(mask) => {
+            Step::TableChange(raise, kind) => self.change_table(raise, kind),
+            Step::Membership(mask) => {
                 let live = self.holders.iter().enumerate();
                 let live: Vec<&id::Holder> = live
                     .filter(|(n, _)| *n == 0 || mask & (1 << n) != 0)
@@ -327,25 +327,25 @@
                 };
                 lab::view(&live, until)
             }
-            Step::Join => Event::AddBackup {
+            Step::AddBackup => Event::AddBackup {
                 slices: (0..SLICES).map(id::Slice).collect(),
                 backup: self.holders[1].clone(),
             },
-            Step::Abandon => Event::CancelBackup((0..SLICES).map(id::Slice).collect()),
-            Step::Servers(mask) => {
+            Step::CancelBackup => Event::CancelBackup((0..SLICES).map(id::Slice).collect()),
+            Step::DrainServers(mask) => {
                 for (n, server) in self.servers.iter().enumerate() {
                     server.state().draining = mask & (1 << n) != 0;
                 }
                 Event::Tick
             }
-            Step::Pass(length) => {
+            Step::Elapse(length) => {
                 self.now += ms(length.into());
                 Event::Tick
             }
         }
     }
 
-    fn rows(&mut self, raise: u64, kind: u8) -> Event {
+    fn change_table(&mut self, raise: u64, kind: u8) -> Event {
         let [a, b, c] = &self.holders;
         let choices = [
             (Some(a), None),
@@ -366,7 +366,7 @@
         Event::Table(Arc::new(self.table.clone()))
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         let event = self.event(step);
         let actions = self.engine.handle(self.now, event);
         self.sent.extend(forwards(&actions));
@@ -421,32 +421,31 @@
 
     #[test]
     fn counts_return_to_zero_after_any_events(steps in vec(step(), 1..120)) {
-        let mut subject = Subject::new();
+        let mut test = EngineTest::new();
         for step in steps {
-            subject.take(step);
-            prop_assert!(subject.engine.parked() <= subject.opened);
-            prop_assert!(subject.registered() <= subject.engine.feeds() * 2);
-            // Each request sets up to six timers in its life, each feed a few more.
-            prop_assert!(subject.engine.timers() <= 16 * (subject.opened + 8) + 200);
+            test.apply(step);
+            prop_assert!(test.engine.parked() <= test.opened);
+            prop_assert!(test.registered() <= test.engine.feeds() * 2);
+            // Each request sets up to six timers before it ends, each feed a few more.
+            prop_assert!(test.engine.timers() <= 16 * (test.opened + 8) + 200);
         }
-        // Everything ends: no request stays open and no place at a server taken. An
-        // answer that is never confirmed lives longest: 8 s to its deadline and
-        // 62 s of repetitions.
+        // After enough time no request is open, and none is counted at a server. An answer
+        // that is never acknowledged is kept longest: 8 s until the request's deadline and
+        // 62 s of retransmissions.
         for _ in 0..800 {
-            subject.take(Step::Pass(100));
+            test.apply(Step::Elapse(100));
         }
-        prop_assert_eq!(subject.engine.in_progress(), 0);
-        prop_assert_eq!(subject.engine.parked(), 0);
-        prop_assert_eq!(subject.engine.records(), 0);
-        prop_assert_eq!(subject.outstanding(), 0);
-        prop_assert!(subject.registered() <= subject.engine.feeds() * 2);
-        // Without servers no feed that is looked after here stays, and with a new
-        // life of the slice elsewhere no registration does.
-        subject.take(Step::Rows(1, 4));
-        subject.take(Step::View(7));
+        prop_assert_eq!(test.engine.in_progress(), 0);
+        prop_assert_eq!(test.engine.parked(), 0);
+        prop_assert_eq!(test.engine.records(), 0);
+        prop_assert_eq!(test.outstanding(), 0);
+        prop_assert!(test.registered() <= test.engine.feeds() * 2);
+        // With another instance as home of the slices, no feed stays registered at a server.
+        test.apply(Step::TableChange(1, 4));
+        test.apply(Step::Membership(7));
         for _ in 0..100 {
-            subject.take(Step::Pass(100));
+            test.apply(Step::Elapse(100));
         }
-        prop_assert_eq!(subject.registered(), 0);
+        prop_assert_eq!(test.registered(), 0);
     }
 }
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -1,4 +1,4 @@
-//! Parts of larger bodies in the decision core: what is late, refused or copied.
+//! Blocks of larger bodies in the engine: late, refused and duplicate blocks.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -58,7 +58,7 @@
     Arc::new(Server::new(name, &listed))
 }
 
-/// A home without a backup, which alone decides.
+/// The engine of a home without a backup, which decides without replication.
 fn engine(now: Instant) -> Engine {
     let me: id::Holder = "bole-1#1".parse().expect("a holder");
     let mut engine = Engine::new(engine::Settings {
@@ -108,7 +108,7 @@
     engine
 }
 
-/// A request with one block of a body, as its datagram.
+/// The datagram of a request with one block of a body.
 fn datagram(method: RequestType, path: &str, block: (CoapOption, usize), tag: u8) -> Bytes {
     const SIZE: usize = 64;
     let mut packet = Packet::new();
@@ -159,7 +159,7 @@
     })
 }
 
-fn give(engine: &mut Engine, now: Instant, request: Request) -> Vec<Action> {
+fn submit(engine: &mut Engine, now: Instant, request: Request) -> Vec<Action> {
     engine.handle(now, Event::Request { request, hops: 0 })
 }
 
@@ -179,68 +179,72 @@
     engine.handle(now, event)
 }
 
-/// Sends a part that must go out once, and answers it.
-fn exchange(engine: &mut Engine, now: Instant, request: Request) -> Sent {
-    let actions = give(engine, now, request);
-    let sent = forwards(&actions).pop().expect("a sending");
+/// Hands over a block, expects one attempt for it, and answers the attempt.
+fn send_and_answer(engine: &mut Engine, now: Instant, request: Request) -> Sent {
+    let actions = submit(engine, now, request);
+    let sent = forwards(&actions).pop().expect("an attempt");
     let actions = reply(engine, now, &sent, Verdict::Handled);
     assert!(matches!(outcome(&actions), Some(Outcome::Answered(_))));
     sent
 }
 
 #[test]
-fn parts_are_named_by_what_they_have_in_common() {
-    let part = |method, path, option, number, tag| {
+fn blocks_of_one_body_share_a_body_id() {
+    let block = |method, path, option, number, tag| {
         request(&datagram(method, path, (option, number), tag)).block
     };
-    let first = part(RequestType::Put, "a", CoapOption::Block1, 0, 1);
-    let later = part(RequestType::Put, "a", CoapOption::Block1, 3, 1);
+    let first = block(RequestType::Put, "a", CoapOption::Block1, 0, 1);
+    let later = block(RequestType::Put, "a", CoapOption::Block1, 3, 1);
     assert_eq!(first.body_id, later.body_id);
     assert_eq!((first.is_continuation, first.is_upload), (false, true));
     assert_eq!((later.is_continuation, later.is_upload), (true, true));
-    let load = part(RequestType::Get, "a", CoapOption::Block2, 2, 1);
-    assert_eq!((load.is_continuation, load.is_upload), (true, false));
+    let download = block(RequestType::Get, "a", CoapOption::Block2, 2, 1);
+    assert_eq!(
+        (download.is_continuation, download.is_upload),
+        (true, false)
+    );
     for other in [
-        load,
-        part(RequestType::Put, "b", CoapOption::Block1, 0, 1),
-        part(RequestType::Put, "a", CoapOption::Block1, 0, 2),
-        part(RequestType::Post, "a", CoapOption::Block1, 0, 1),
+        download,
+        block(RequestType::Put, "b", CoapOption::Block1, 0, 1),
+        block(RequestType::Put, "a", CoapOption::Block1, 0, 2),
+        block(RequestType::Post, "a", CoapOption::Block1, 0, 1),
     ] {
         assert_ne!(other.body_id, first.body_id);
     }
     assert!(!BodyBlock::default().is_continuation);
 }
 
-/// Two bodies of one caller are under way. Each later part goes to the server and
-/// leaves by the path of its own body's first part.
+/// Two bodies of one caller are uploaded at the same time. Each later block goes to the
+/// server of its own body's first block, and from the same socket.
 #[test]
-fn later_parts_follow_the_first() {
+fn later_blocks_use_the_server_of_the_first() {
     let now = Instant::now();
     let mut engine = engine(now);
     for tag in 1..20 {
-        let first = exchange(&mut engine, now, put(0, tag));
-        let other = exchange(&mut engine, now, put(0, tag + 100));
+        let first = send_and_answer(&mut engine, now, put(0, tag));
+        let other = send_and_answer(&mut engine, now, put(0, tag + 100));
         for number in 1..4 {
-            for (begun, tag) in [(&first, tag), (&other, tag + 100)] {
-                let next = exchange(&mut engine, now, put(number, tag));
-                assert_eq!(next.server.id, begun.server.id);
+            for (first, tag) in [(&first, tag), (&other, tag + 100)] {
+                let next = send_and_answer(&mut engine, now, put(number, tag));
+                assert_eq!(next.server.id, first.server.id);
                 assert_eq!(
                     next.attempt.0 % SERVER_SOCKETS,
-                    begun.attempt.0 % SERVER_SOCKETS
+                    first.attempt.0 % SERVER_SOCKETS
                 );
             }
         }
     }
 }
 
-/// The server is slow to answer a part. Another one has none of the earlier parts
-/// and would call the body incomplete, so the same one is asked again.
+/// The server does not answer a block in time. The other servers have none of the
+/// earlier blocks and would refuse the body as incomplete, so the block is sent to the
+/// same server again.
 #[test]
 fn a_late_part_is_sent_again_to_its_own_server() {
     let now = Instant::now();
     let mut engine = engine(now);
-    let first = exchange(&mut engine, now, put(0, 1));
-    let sent = forwards(&give(&mut engine, now, put(1, 1)));
+    let first = send_and_answer(&mut engine, now, put(0, 1));
+    let sent = forwards(&submit(&mut engine, now, put(1, 1)));
     assert_eq!(sent.len(), 1);
     let later = now + Duration::from_millis(1_100);
     let again = forwards(&engine.handle(later, Event::Tick));
@@ -252,46 +256,47 @@
     );
 }
 
-/// The server sheds a part. The caller is told to come back and finds its body
-/// where it left it.
+/// The server refuses a block. The caller gets an answer that asks for a retry later, and
+/// its next block still goes to the server that has the body.
 #[test]
 fn a_refused_part_is_not_tried_elsewhere() {
     let now = Instant::now();
     let mut engine = engine(now);
-    let first = exchange(&mut engine, now, put(0, 1));
-    let sent = forwards(&give(&mut engine, now, put(1, 1)));
+    let first = send_and_answer(&mut engine, now, put(0, 1));
+    let sent = forwards(&submit(&mut engine, now, put(1, 1)));
     let actions = reply(&mut engine, now, &sent[0], Verdict::Refused);
     assert!(forwards(&actions).is_empty());
     assert!(matches!(outcome(&actions), Some(Outcome::NotRun { .. })));
-    let next = exchange(&mut engine, now, put(2, 1));
+    let next = send_and_answer(&mut engine, now, put(2, 1));
     assert_eq!(next.server.id, first.server.id);
 }
 
-/// The answer to the last part is lost and the caller sends a copy. The server
-/// has forgotten the body by then: it would call the copy incomplete, and the
-/// caller would take a sheet that has arrived for lost.
+/// The answer to the last block is lost, and the caller sends a duplicate. The server has
+/// discarded the body by then and would refuse the duplicate as incomplete, so that the
+/// caller would take a successful upload for a failed one.
 #[test]
 fn a_copy_of_an_upload_part_gets_the_first_answer() {
     let now = Instant::now();
     let mut engine = engine(now);
-    exchange(&mut engine, now, put(0, 1));
-    exchange(&mut engine, now, put(1, 1));
-    let actions = give(&mut engine, now + Duration::from_secs(2), put(1, 1));
+    send_and_answer(&mut engine, now, put(0, 1));
+    send_and_answer(&mut engine, now, put(1, 1));
+    let actions = submit(&mut engine, now + Duration::from_secs(2), put(1, 1));
     assert!(forwards(&actions).is_empty());
     let answer = Outcome::Answered(Bytes::from_static(b"answer"));
     assert_eq!(outcome(&actions), Some(answer));
 }
 
-/// A body that was given up is forgotten: nothing of it may pile up.
+/// The records of an upload that the caller abandons are removed, so that they do not
+/// accumulate.
 #[test]
-fn a_body_given_up_is_forgotten() {
+fn records_of_an_abandoned_body_expire() {
     let now = Instant::now();
     let mut engine = engine(now);
-    exchange(&mut engine, now, put(0, 1));
+    send_and_answer(&mut engine, now, put(0, 1));
     assert_eq!(engine.records(), 1);
     let later = now + Duration::from_secs(120);
     engine.handle(later, Event::Tick);
     assert_eq!(engine.records(), 0);
-    // What the first part chose does not bind any more; a server is still found.
-    assert_eq!(forwards(&give(&mut engine, later, put(1, 1))).len(), 1);
+    // The body's server is forgotten as well; a later block still gets a server.
+    assert_eq!(forwards(&submit(&mut engine, later, put(1, 1))).len(), 1);
 }
