--- a/src/steer.rs
+++ b/src/steer.rs
@@ -111,12 +111,12 @@
         match event {
             ControlEvent::Platform(prefix, update) => self.handle_update(now, prefix, update),
             ControlEvent::Heartbeat { from, message } => self.handle_heartbeat(now, &from, message),
-            ControlEvent::Yield { from, slices } => self
+            ControlEvent::TakeoverRequested { from, slices } => self
                 .shared
                 .control()
                 .takeover_requested(now, &from, &slices),
-            ControlEvent::Written { document, written } => {
-                self.shared.control().write_finished(now, document, written);
+            ControlEvent::WriteFinished { document, result } => {
+                self.shared.control().write_finished(now, document, result);
                 self.plan();
             }
             ControlEvent::PulledEntries(response) => self.apply_peer_copies(now, response),
@@ -265,7 +265,7 @@
             .collect();
         let mut ledger = self
             .shared
-            .ledger
+            .burn_counter
             .lock()
             .unwrap_or_else(|lock| lock.into_inner());
         ledger.configure(&objectives);
@@ -280,7 +280,7 @@
         let local = self.shared.settings.listeners.get(&service);
         let address = local.copied().unwrap_or(public);
         let listener = edge::bind(address.0).and_then(|socket| {
-            edge::listen(Arc::clone(&self.shared), service.clone(), &socket)?;
+            edge::receive_from_callers(Arc::clone(&self.shared), service.clone(), &socket)?;
             Ok(socket)
         });
         match listener {
@@ -346,13 +346,13 @@
             let value = serde_json::to_vec(&value).unwrap_or_default();
             let resolved = client.compare_and_swap_resolved(&key, expected, &value, None).await;
             debug!(log, "slice table written"; "document" => document, "result" => ?resolved.as_ref().map(outcome));
-            let written = match resolved {
+            let result = match resolved {
                 Ok(ResolvedWrite::Done(version)) => WriteResult::Done(version),
                 Ok(ResolvedWrite::Lost(entry) | ResolvedWrite::Superseded(entry)) => WriteResult::Lost(entry),
                 Ok(ResolvedWrite::Unknown) => WriteResult::Unknown,
                 Err(_) => WriteResult::Lost(None),
             };
-            let _ = events.send(ControlEvent::Written { document, written });
+            let _ = events.send(ControlEvent::WriteFinished { document, result });
         });
     }
 }
