--- a/src/burn.rs
+++ b/src/burn.rs
@@ -1,18 +1,18 @@
-//! Service-level burn: how fast each service uses up the bad events it may have.
+//! Error budget burn: how fast each service uses up its error budget.
 //!
-//! A profile's objective allows a share of bad events. The burn rate is the bad
-//! share that was measured over the share that is allowed: at 1 the allowance is
-//! used up exactly, at 14.4 a month's allowance is gone in two days.
+//! A profile's objective allows a share of bad events. The burn rate is the
+//! measured share of bad events divided by the allowed share: at 1 the budget is
+//! used up exactly, at 14.4 a month's budget is used up in two days.
 //!
-//! Each instance counts in its own [`BurnCounter`], which it loses when it stops. A
-//! [`Report`] merges the [`Sample`]s of many instances: each life of each
-//! instance counts once, and an instance that was not heard from is a gap, which
-//! is never read as health.
+//! Each instance counts in its own [`BurnCounter`], whose counts are
+//! lost when the instance stops. A [`Report`] merges the [`Sample`]s of many
+//! instances. Each incarnation of an instance counts once. An instance that gave no
+//! sample is reported as a gap and never taken for healthy.
 //!
-//! A request is an event of the instance that settles it, which is the home of
-//! its slice, and only when it is first settled: copies that get the same outcome
-//! again are not counted. An answer counts by its latency alone, since its
-//! contents are opaque here.
+//! A request is counted by the instance that settles it, which is the home of its
+//! slice, and only when it is first settled: duplicates that get the same outcome
+//! are not counted. An answer counts by its latency alone, since the load balancer
+//! does not interpret its contents.
 
 mod chart;
 mod merge;
@@ -29,49 +29,49 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-use crate::burn::window::Ring;
+use crate::burn::window::BucketRing;
 use crate::document::Objective;
 use crate::error::Error;
 use crate::error::Result;
 use crate::id;
 use crate::request::Outcome;
 
-pub use crate::burn::merge::Figure;
 pub use crate::burn::merge::Gap;
-pub use crate::burn::merge::Heard;
-pub use crate::burn::merge::Line;
 pub use crate::burn::merge::Report;
+pub use crate::burn::merge::SampleSource;
+pub use crate::burn::merge::ServiceBurn;
 pub use crate::burn::merge::Verdict;
+pub use crate::burn::merge::WindowBurn;
 pub use crate::burn::window::Count;
 pub use crate::burn::window::Window;
 
-/// Memory of the windows of one service, in bytes; its name comes on top.
-pub const STATE_BYTES: usize = buckets() * size_of::<Count>() + size_of::<Windows>();
+/// Memory of the windows of one service, in bytes, without the service's name.
+pub const STATE_BYTES: usize = total_buckets() * size_of::<Count>() + size_of::<Windows>();
 
-/// Finest step of an objective's allowed share, in parts of one.
+/// An objective's allowed share is rounded to a multiple of `1 / SHARE_STEPS`.
 const SHARE_STEPS: f64 = 1e8;
 
-/// Finest step of a burn rate, in parts of one.
+/// A burn rate is rounded to a multiple of `1 / RATE_STEPS`.
 const RATE_STEPS: f64 = 1e9;
 
-const fn buckets() -> usize {
+const fn total_buckets() -> usize {
     let [a, b, c, d] = Window::ALL;
     a.buckets() + b.buckets() + c.buckets() + d.buckets()
 }
 
-/// What an event means for the objective.
+/// Whether an event met the objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventClass {
-    /// It met the objective.
+    /// The event met the objective.
     Good,
-    /// It did not.
+    /// The event did not meet the objective.
     Bad,
 }
 
 /// Whether a request met its service's objective.
 ///
-/// Only an answer within the latency is good: a caller that was refused or told
-/// "unknown" did not get what was promised, however quickly it was told.
+/// Only an answer within the latency bound is good: a refusal or an unknown outcome
+/// does not meet the objective, however quickly the caller receives it.
 pub fn classify(outcome: &Outcome, elapsed: Duration, objective: &Objective) -> EventClass {
     let in_time = elapsed <= Duration::from_millis(objective.latency_ms);
     match outcome {
@@ -80,23 +80,23 @@
     }
 }
 
-/// Share of bad events over the allowed share.
+/// Burn rate: share of bad events divided by the allowed share.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Rate(pub f64);
 
 impl Rate {
-    /// Burn rate above which, in 1 h and in 5 min, somebody must act now.
+    /// Burn rate above which, in 1 h and in 5 min, an operator must act at once.
     pub const PAGE: Self = Self(14.4);
 
-    /// Burn rate above which, in 3 d and in 6 h, somebody must act in time.
+    /// Burn rate above which, in 3 d and in 6 h, an operator must act, though not at once.
     pub const TICKET: Self = Self(1.0);
 
-    /// The burn rate of these events; none without events.
+    /// The burn rate of these events, or `None` if there are no events.
     ///
     /// Shares such as 0.1 % have no exact binary form, so both the allowed share
-    /// and the rate are rounded. A rate that is exactly at a threshold would
-    /// otherwise sometimes count as above it.
+    /// and the rate are rounded. Without rounding, a rate exactly at a threshold
+    /// would sometimes count as above the threshold.
     pub fn of(count: Count, objective: &Objective) -> Option<Self> {
         if count.total() == 0 {
             return None;
@@ -128,41 +128,41 @@
 /// One service's counts at one instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tally {
-    /// The objective in force there.
+    /// The objective in force at that instance.
     pub objective: Objective,
-    /// Events by window.
+    /// Event counts by window.
     pub windows: BTreeMap<Window, Count>,
 }
 
-/// What one instance has counted.
+/// The counts of one instance at one time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
-    /// Which instance, in which of its lives.
+    /// The instance and its incarnation.
     pub holder: id::Holder,
-    /// Time since it began to count, in milliseconds.
+    /// Time since the instance began to count, in milliseconds.
     pub covered_ms: u64,
     /// Counts by service.
     pub services: BTreeMap<id::Service, Tally>,
 }
 
-type Windows = [Ring; Window::ALL.len()];
+type Windows = [BucketRing; Window::ALL.len()];
 
 #[derive(Debug)]
-struct Account {
+struct ServiceCounts {
     objective: Objective,
     windows: Windows,
 }
 
-impl Account {
+impl ServiceCounts {
     fn new(objective: Objective) -> Self {
         Self {
             objective,
-            windows: Window::ALL.map(Ring::new),
+            windows: Window::ALL.map(BucketRing::new),
         }
     }
 
-    fn tally(&mut self, at: Duration) -> Tally {
-        let sums = self.windows.iter_mut().map(|ring| ring.sum(at));
+    fn tally(&mut self, elapsed: Duration) -> Tally {
+        let sums = self.windows.iter_mut().map(|ring| ring.sum(elapsed));
         Tally {
             objective: self.objective,
             windows: Window::ALL.into_iter().zip(sums).collect(),
@@ -170,38 +170,38 @@
     }
 }
 
-/// The events of one instance.
+/// Counts the good and bad events of one instance, by service.
 ///
-/// One ledger serves all workers, behind a lock of the daemon's: several under
-/// one holder would look like copies of each other to a [`Report`].
+/// All workers share one counter behind a lock. A [`Report`] would take the samples
+/// of several counters with one holder for copies of each other.
 #[derive(Debug)]
 pub struct BurnCounter {
     holder: id::Holder,
     started: Instant,
-    accounts: BTreeMap<id::Service, Account>,
+    services: BTreeMap<id::Service, ServiceCounts>,
 }
 
 impl BurnCounter {
-    /// An empty ledger, which knows no service yet.
+    /// An empty counter, without services.
     pub fn new(holder: id::Holder, started: Instant) -> Self {
         Self {
             holder,
             started,
-            accounts: BTreeMap::new(),
+            services: BTreeMap::new(),
         }
     }
 
-    /// Takes the services and objectives in force.
+    /// Sets the services and objectives in force.
     ///
-    /// Counts of services that stay are kept, also under a new objective. Those of
-    /// services that are gone are dropped, so that memory stays bounded.
+    /// Counts of services that stay are kept, also under a new objective. Counts of
+    /// removed services are dropped, which bounds the memory.
     pub fn configure(&mut self, objectives: &BTreeMap<id::Service, Objective>) {
-        self.accounts
+        self.services
             .retain(|service, _| objectives.contains_key(service));
         for (service, objective) in objectives {
-            self.accounts
+            self.services
                 .entry(service.clone())
-                .or_insert_with(|| Account::new(*objective))
+                .or_insert_with(|| ServiceCounts::new(*objective))
                 .objective = *objective;
         }
     }
@@ -216,21 +216,21 @@
         self.add(now, service, EventClass::Bad);
     }
 
-    /// Counts an answered request by the time that it took.
+    /// Counts an answered request as good or bad by its latency.
     pub fn answered(&mut self, now: Instant, service: &id::Service, elapsed: Duration) {
-        let Some(account) = self.accounts.get(service) else {
+        let Some(counts) = self.services.get(service) else {
             return;
         };
-        let late = elapsed > Duration::from_millis(account.objective.latency_ms);
-        let mark = if late {
+        let late = elapsed > Duration::from_millis(counts.objective.latency_ms);
+        let class = if late {
             EventClass::Bad
         } else {
             EventClass::Good
         };
-        self.add(now, service, mark);
+        self.add(now, service, class);
     }
 
-    /// Counts a settled request by its outcome and the time that it took.
+    /// Counts a settled request as good or bad by its outcome and latency.
     pub fn settle(
         &mut self,
         now: Instant,
@@ -238,37 +238,37 @@
         outcome: &Outcome,
         elapsed: Duration,
     ) {
-        let Some(account) = self.accounts.get(service) else {
+        let Some(counts) = self.services.get(service) else {
             return;
         };
-        let mark = classify(outcome, elapsed, &account.objective);
-        self.add(now, service, mark);
+        let class = classify(outcome, elapsed, &counts.objective);
+        self.add(now, service, class);
     }
 
-    /// What the windows hold now.
+    /// The counts in all windows at `now`.
     pub fn sample(&mut self, now: Instant) -> Sample {
-        let at = self.since_start(now);
-        let accounts = self.accounts.iter_mut();
+        let elapsed = self.since_start(now);
+        let services = self.services.iter_mut();
         Sample {
             holder: self.holder.clone(),
-            covered_ms: u64::try_from(at.as_millis()).unwrap_or(u64::MAX),
-            services: accounts
-                .map(|(service, account)| (service.clone(), account.tally(at)))
+            covered_ms: u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX),
+            services: services
+                .map(|(service, counts)| (service.clone(), counts.tally(elapsed)))
                 .collect(),
         }
     }
 
-    fn add(&mut self, now: Instant, service: &id::Service, mark: EventClass) {
-        let at = self.since_start(now);
-        let Some(account) = self.accounts.get_mut(service) else {
+    fn add(&mut self, now: Instant, service: &id::Service, class: EventClass) {
+        let elapsed = self.since_start(now);
+        let Some(counts) = self.services.get_mut(service) else {
             return;
         };
-        let (good, bad) = match mark {
+        let (good, bad) = match class {
             EventClass::Good => (1, 0),
             EventClass::Bad => (0, 1),
         };
-        for ring in &mut account.windows {
-            ring.add(at, Count { good, bad });
+        for ring in &mut counts.windows {
+            ring.add(elapsed, Count { good, bad });
         }
     }
 
--- a/src/burn/chart.rs
+++ b/src/burn/chart.rs
@@ -1,4 +1,4 @@
-//! The burn report as text, JSON and a plot.
+//! Renders the burn report as text, JSON and an SVG plot.
 
 use std::io;
 
@@ -6,40 +6,40 @@
 use plotters::prelude::*;
 
 use crate::burn::Rate;
-use crate::burn::merge::Figure;
-use crate::burn::merge::Line;
 use crate::burn::merge::Report;
+use crate::burn::merge::ServiceBurn;
+use crate::burn::merge::WindowBurn;
 use crate::burn::window::Window;
 use crate::document::Objective;
 use crate::error::Error;
 use crate::error::Result;
 use crate::id;
 
-/// Size of the plot, in pixels.
-const SIZE: (u32, u32) = (960, 540);
+/// Width and height of the plot, in pixels.
+const PLOT_SIZE: (u32, u32) = (960, 540);
 
-/// Lowest burn rate that the plot shows; its scale is logarithmic.
-const LOWEST: f64 = 0.01;
+/// Lower end of the logarithmic burn rate axis.
+const MIN_RATE: f64 = 0.01;
 
-/// Highest burn rate that the plot shows at least.
-const HIGHEST: f64 = 100.0;
+/// Smallest upper end of the burn rate axis.
+const MIN_AXIS_TOP: f64 = 100.0;
 
-/// Room for the legend beside the last window, in distances between windows.
-const LEGEND: f64 = 0.7;
+/// Space for the legend right of the last window, in distances between windows.
+const LEGEND_WIDTH: f64 = 0.7;
 
-/// Colour of the lower threshold; services have the bright ones.
+/// Colour of the lower threshold; the bright colours are for services.
 const GREY: RGBColor = RGBColor(128, 128, 128);
 
 /// Radius of a point of the plot, in pixels.
-const POINT: i32 = 4;
+const POINT_RADIUS: i32 = 4;
 
-/// Shown where there are no events.
-const NOTHING: &str = "-";
+/// Shown in place of a burn rate if there are no events.
+const NO_EVENTS: &str = "-";
 
 impl Report {
-    /// A table for people, with a line for each thing that limits its figures.
+    /// A table for people, followed by a line for each gap, conflict or short coverage.
     ///
-    /// A cell holds the burn rate and, behind it, the bad of all events.
+    /// A cell holds the burn rate, then the number of bad events and of all events.
     pub fn text(&self) -> String {
         let mut lines = vec![self.table().trim_fmt()];
         if self.heard.is_empty() {
@@ -55,8 +55,8 @@
                 .map(|reason| format!("gap: the list of instances may be incomplete: {reason}")),
         );
         let services = self.services.iter();
-        lines.extend(services.filter_map(|(service, line)| conflict(service, line)));
-        lines.extend(self.short_cover());
+        lines.extend(services.filter_map(|(service, burn)| conflict(service, burn)));
+        lines.extend(self.short_coverage());
         lines.join("\n") + "\n"
     }
 
@@ -73,7 +73,7 @@
         })
     }
 
-    /// A plot as SVG: the burn rate by window and service, and both thresholds.
+    /// An SVG plot of the burn rate by window and service, with both thresholds.
     ///
     /// # Errors
     ///
@@ -93,16 +93,16 @@
         let windows = Window::ALL.map(|window| window.to_string());
         let header = ["service", "objective"].map(str::to_owned).into_iter();
         table.set_header(header.chain(windows).chain(["verdict".to_owned()]));
-        for (service, line) in &self.services {
-            let names = [service.to_string(), promise(&line.objective)].into_iter();
-            let cells = Window::ALL.map(|window| cell(line.windows.get(&window)));
-            table.add_row(names.chain(cells).chain([line.verdict.to_string()]));
+        for (service, burn) in &self.services {
+            let names = [service.to_string(), format_objective(&burn.objective)].into_iter();
+            let cells = Window::ALL.map(|window| cell(burn.windows.get(&window)));
+            table.add_row(names.chain(cells).chain([burn.verdict.to_string()]));
         }
         table
     }
 
-    /// Says which instances have counted for less than the longest window.
-    fn short_cover(&self) -> impl Iterator<Item = String> {
+    /// A line for each instance whose counts cover less than the longest window.
+    fn short_coverage(&self) -> impl Iterator<Item = String> {
         let longest = Window::ThreeDays;
         let heard = self.heard.iter();
         let short =
@@ -114,33 +114,33 @@
     }
 }
 
-fn promise(objective: &Objective) -> String {
+fn format_objective(objective: &Objective) -> String {
     let (percent, latency) = (objective.good_percent, objective.latency_ms);
     format!("{percent} % in {latency} ms")
 }
 
-fn cell(figure: Option<&Figure>) -> String {
-    let Some((figure, rate)) = figure.and_then(|figure| Some((figure, figure.rate?))) else {
-        return NOTHING.to_owned();
+fn cell(burn: Option<&WindowBurn>) -> String {
+    let Some((burn, rate)) = burn.and_then(|burn| Some((burn, burn.rate?))) else {
+        return NO_EVENTS.to_owned();
     };
-    format!("{rate} ({}/{})", figure.count.bad, figure.count.total())
+    format!("{rate} ({}/{})", burn.count.bad, burn.count.total())
 }
 
-fn conflict(service: &id::Service, line: &Line) -> Option<String> {
-    if line.conflict.is_empty() {
+fn conflict(service: &id::Service, burn: &ServiceBurn) -> Option<String> {
+    if burn.conflict.is_empty() {
         return None;
     }
-    let promises: Vec<String> = line.conflict.iter().map(promise).collect();
+    let objectives: Vec<String> = burn.conflict.iter().map(format_objective).collect();
     Some(format!(
         "conflict: instances have different objectives for {service}: {}; the strictest is used",
-        promises.join(", ")
+        objectives.join(", ")
     ))
 }
 
-type Drawn = std::result::Result<(), DrawingAreaErrorKind<io::Error>>;
+type DrawResult = std::result::Result<(), DrawingAreaErrorKind<io::Error>>;
 
-fn draw(report: &Report, svg: &mut String) -> Drawn {
-    let root = SVGBackend::with_string(svg, SIZE).into_drawing_area();
+fn draw(report: &Report, svg: &mut String) -> DrawResult {
+    let root = SVGBackend::with_string(svg, PLOT_SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let last = (Window::ALL.len() - 1) as f64;
     let mut chart = ChartBuilder::on(&root)
@@ -148,7 +148,10 @@
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..last + LEGEND, (LOWEST..highest(report)).log_scale())?;
+        .build_cartesian_2d(
+            0.0..last + LEGEND_WIDTH,
+            (MIN_RATE..axis_top(report)).log_scale(),
+        )?;
     chart
         .configure_mesh()
         .x_labels(Window::ALL.len())
@@ -163,17 +166,17 @@
             .label(format!("{name} above {}", limit.0))
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color));
     }
-    for (place, (service, line)) in report.services.iter().enumerate() {
-        let color = Palette99::pick(place).to_rgba();
-        let points = points(line);
+    for (index, (service, burn)) in report.services.iter().enumerate() {
+        let color = Palette99::pick(index).to_rgba();
+        let points = points(burn);
         let dots = points
             .iter()
-            .map(|dot| Circle::new(*dot, POINT, color.filled()));
+            .map(|dot| Circle::new(*dot, POINT_RADIUS, color.filled()));
         chart
             .draw_series(dots)?
             .label(service.as_str())
-            .legend(move |(x, y)| Circle::new((x + 8, y), POINT, color.filled()));
-        for pair in points.windows(2).filter(|pair| adjacent(pair)) {
+            .legend(move |(x, y)| Circle::new((x + 8, y), POINT_RADIUS, color.filled()));
+        for pair in points.windows(2).filter(|pair| are_adjacent(pair)) {
             chart.draw_series(LineSeries::new(pair.to_vec(), color))?;
         }
     }
@@ -185,7 +188,8 @@
     root.present()
 }
 
-/// The caption names the gaps, so that a plot passed on alone hides none.
+/// The plot's caption. It names the gaps, so that a plot shown without its report
+/// hides none.
 fn caption(report: &Report) -> String {
     if report.heard.is_empty() {
         return "service-level burn: no instance was heard from".to_owned();
@@ -201,33 +205,34 @@
     }
 }
 
-fn highest(report: &Report) -> f64 {
-    let figures = report
+/// Upper end of the burn rate axis.
+fn axis_top(report: &Report) -> f64 {
+    let windows = report
         .services
         .values()
-        .flat_map(|line| line.windows.values());
-    let rates = figures.filter_map(|figure| figure.rate);
-    rates.map(|rate| rate.0 * 1.5).fold(HIGHEST, f64::max)
+        .flat_map(|burn| burn.windows.values());
+    let rates = windows.filter_map(|window| window.rate);
+    rates.map(|rate| rate.0 * 1.5).fold(MIN_AXIS_TOP, f64::max)
 }
 
-/// The windows that have events, as places on the plot.
-fn points(line: &Line) -> Vec<(f64, f64)> {
-    let places = Window::ALL.into_iter().zip([0.0, 1.0, 2.0, 3.0]);
-    places
+/// Points of the plot for the windows that have events.
+fn points(burn: &ServiceBurn) -> Vec<(f64, f64)> {
+    let positions = Window::ALL.into_iter().zip([0.0, 1.0, 2.0, 3.0]);
+    positions
         .filter_map(|(window, x)| {
-            let rate = line.windows.get(&window)?.rate?;
-            Some((x, rate.0.max(LOWEST)))
+            let rate = burn.windows.get(&window)?.rate?;
+            Some((x, rate.0.max(MIN_RATE)))
         })
         .collect()
 }
 
-/// Whether no window without events lies between two points.
-fn adjacent(pair: &[(f64, f64)]) -> bool {
+/// Whether two points belong to neighbouring windows.
+fn are_adjacent(pair: &[(f64, f64)]) -> bool {
     matches!(pair, [(a, _), (b, _)] if b - a < 1.5)
 }
 
 fn window_label(x: f64) -> String {
-    let near = |place: usize| (x - place as f64).abs() < 0.01;
-    let place = (0..Window::ALL.len()).find(|place| near(*place));
-    place.map_or_else(String::new, |place| Window::ALL[place].to_string())
+    let near = |index: usize| (x - index as f64).abs() < 0.01;
+    let index = (0..Window::ALL.len()).find(|index| near(*index));
+    index.map_or_else(String::new, |index| Window::ALL[index].to_string())
 }
--- a/src/burn/merge.rs
+++ b/src/burn/merge.rs
@@ -1,4 +1,4 @@
-//! The burn report: samples of many instances as one.
+//! The burn report: merges the samples of many instances.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -14,17 +14,17 @@
 use crate::document::Objective;
 use crate::id;
 
-/// What is to be done about a service, the least urgent first.
+/// Action that a service needs, the least urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// Nothing.
+    /// No action.
     Ok,
-    /// Find out: an instance was not heard from, so nobody knows.
+    /// Not known: an instance gave no sample.
     UnknownGap,
-    /// Act in time: 3 d and 6 h both burn above [`Rate::TICKET`].
+    /// Act, though not at once: 3 d and 6 h both burn above [`Rate::TICKET`].
     Ticket,
-    /// Act now: 1 h and 5 min both burn above [`Rate::PAGE`].
+    /// Act at once: 1 h and 5 min both burn above [`Rate::PAGE`].
     Page,
 }
 
@@ -39,89 +39,89 @@
     }
 }
 
-/// One window of one service.
+/// Counts and burn rate of one service in one window.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Figure {
-    /// Events of all instances.
+pub struct WindowBurn {
+    /// Event counts of all instances.
     pub count: Count,
-    /// The burn rate; none without events.
+    /// The burn rate, or `None` if there are no events.
     pub rate: Option<Rate>,
 }
 
-/// One service.
+/// The report on one service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
-    /// The strictest objective that an instance has in force.
+pub struct ServiceBurn {
+    /// The strictest combination of the objectives in force at the instances.
     pub objective: Objective,
-    /// All objectives in force, if instances differ.
+    /// All objectives in force, if instances have different ones; else empty.
     pub conflict: Vec<Objective>,
-    /// Figures by window.
-    pub windows: BTreeMap<Window, Figure>,
-    /// What is to be done.
+    /// Counts and burn rates by window.
+    pub windows: BTreeMap<Window, WindowBurn>,
+    /// Action that the service needs.
     pub verdict: Verdict,
 }
 
-/// A sample that is part of the report.
+/// Origin of a sample that is part of the report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Heard {
-    /// Which instance, in which of its lives.
+pub struct SampleSource {
+    /// The instance and its incarnation.
     pub holder: id::Holder,
-    /// How far its counts reach back, in milliseconds.
+    /// Period that its counts cover, in milliseconds.
     pub covered_ms: u64,
 }
 
-/// An instance that was not heard from.
+/// An instance that gave no sample.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Gap {
-    /// Which instance.
+    /// The instance.
     pub instance: id::Instance,
-    /// What was seen instead of its sample.
+    /// Why there is no sample.
     pub reason: String,
 }
 
-/// Burn of all services at all instances.
+/// Burn rates of all services over all instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Where the figures come from.
-    pub heard: Vec<Heard>,
-    /// Where none came from.
+    /// The samples that the report includes.
+    pub heard: Vec<SampleSource>,
+    /// The instances without a sample.
     pub gaps: Vec<Gap>,
     /// Why the list of instances may be incomplete, if it may.
     #[serde(default)]
     pub unlisted: Option<String>,
     /// Services by name.
-    pub services: BTreeMap<id::Service, Line>,
+    pub services: BTreeMap<id::Service, ServiceBurn>,
 }
 
 impl Report {
-    /// Merges samples, in any order and number, and names the gaps.
+    /// Merges any number of samples, in any order, and lists the gaps.
     ///
-    /// Of several samples of one holder only the newest counts. A new life of an
-    /// instance counts from zero, so an old life's sample is counted beside it.
+    /// Of several samples of one holder only the newest counts. A new incarnation of
+    /// an instance counts from zero, so the sample of an earlier one is added to it.
     pub fn merge(samples: &[Sample], mut gaps: Vec<Gap>) -> Self {
-        let samples = newest(samples);
+        let samples = newest_samples(samples);
         gaps.sort();
         gaps.dedup();
-        let heard = samples.values().map(|sample| Heard {
+        let heard = samples.values().map(|sample| SampleSource {
             holder: sample.holder.clone(),
             covered_ms: sample.covered_ms,
         });
-        let blind = samples.is_empty() || !gaps.is_empty();
-        let services = by_service(samples.values().copied());
+        let has_gaps = samples.is_empty() || !gaps.is_empty();
+        let services = tallies_by_service(samples.values().copied());
         let services = services.into_iter();
         Self {
             heard: heard.collect(),
             services: services
-                .map(|(service, tallies)| (service, line(&tallies, blind)))
+                .map(|(service, tallies)| (service, service_burn(&tallies, has_gaps)))
                 .collect(),
             gaps,
             unlisted: None,
         }
     }
 
-    /// Adds what became known to be missing after the merge: instances that were
-    /// not heard, and a list of instances that may be incomplete. A service that
-    /// looked well before is not known to be.
+    /// Adds gaps found after the merge: instances without a sample, and the reason why
+    /// the list of instances may be incomplete. If there are any, the verdict of each
+    /// service becomes at least [`Verdict::UnknownGap`].
     pub fn add_missing(&mut self, gaps: Vec<Gap>, unlisted: Option<String>) {
         if gaps.is_empty() && unlisted.is_none() {
             return;
@@ -130,41 +130,42 @@
         self.gaps.sort();
         self.gaps.dedup();
         self.unlisted = unlisted;
-        for line in self.services.values_mut() {
-            line.verdict = line.verdict.max(Verdict::UnknownGap);
+        for service in self.services.values_mut() {
+            service.verdict = service.verdict.max(Verdict::UnknownGap);
         }
     }
 
-    /// Whether every instance was heard, and it is known which ones there are.
+    /// Whether every instance gave a sample and the list of instances is complete.
     pub fn is_whole(&self) -> bool {
         !self.heard.is_empty() && self.gaps.is_empty() && self.unlisted.is_none()
     }
 
-    /// The most urgent verdict; [`Verdict::UnknownGap`] if nobody was heard.
+    /// The most urgent verdict, at least [`Verdict::UnknownGap`] if the report has gaps.
     pub fn worst(&self) -> Verdict {
         let least = if self.is_whole() {
             Verdict::Ok
         } else {
             Verdict::UnknownGap
         };
-        let verdicts = self.services.values().map(|line| line.verdict);
+        let verdicts = self.services.values().map(|service| service.verdict);
         verdicts.fold(least, Verdict::max)
     }
 }
 
-/// The sample of each holder that covers most; a life's coverage only grows.
-fn newest(samples: &[Sample]) -> BTreeMap<&id::Holder, &Sample> {
+/// The newest sample of each holder: the one that covers the longest period, since an
+/// incarnation's period only grows.
+fn newest_samples(samples: &[Sample]) -> BTreeMap<&id::Holder, &Sample> {
     let mut newest: BTreeMap<&id::Holder, &Sample> = BTreeMap::new();
     for sample in samples {
-        let kept = newest.entry(&sample.holder).or_insert(sample);
-        if sample.covered_ms > kept.covered_ms {
-            *kept = sample;
+        let current = newest.entry(&sample.holder).or_insert(sample);
+        if sample.covered_ms > current.covered_ms {
+            *current = sample;
         }
     }
     newest
 }
 
-fn by_service<'a>(
+fn tallies_by_service<'a>(
     samples: impl Iterator<Item = &'a Sample>,
 ) -> BTreeMap<id::Service, Vec<&'a Tally>> {
     let mut services: BTreeMap<id::Service, Vec<&Tally>> = BTreeMap::new();
@@ -174,14 +175,14 @@
     services
 }
 
-fn line(tallies: &[&Tally], blind: bool) -> Line {
-    let objectives = distinct(tallies);
+fn service_burn(tallies: &[&Tally], has_gaps: bool) -> ServiceBurn {
+    let objectives = distinct_objectives(tallies);
     let objective = strictest(&objectives);
-    let figures = Window::ALL.map(|window| (window, figure(tallies, window, &objective)));
-    let windows = BTreeMap::from(figures);
-    Line {
+    let burns = Window::ALL.map(|window| (window, window_burn(tallies, window, &objective)));
+    let windows = BTreeMap::from(burns);
+    ServiceBurn {
         objective,
-        verdict: verdict(&windows, blind),
+        verdict: verdict(&windows, has_gaps),
         conflict: if objectives.len() > 1 {
             objectives
         } else {
@@ -191,7 +192,7 @@
     }
 }
 
-fn distinct(tallies: &[&Tally]) -> Vec<Objective> {
+fn distinct_objectives(tallies: &[&Tally]) -> Vec<Objective> {
     let mut objectives = Vec::new();
     for tally in tallies {
         if !objectives.contains(&tally.objective) {
@@ -209,30 +210,33 @@
     strictest.unwrap_or_default()
 }
 
-fn figure(tallies: &[&Tally], window: Window, objective: &Objective) -> Figure {
+fn window_burn(tallies: &[&Tally], window: Window, objective: &Objective) -> WindowBurn {
     let counts = tallies
         .iter()
         .filter_map(|tally| tally.windows.get(&window));
-    let count = counts.copied().fold(Count::default(), Count::plus);
-    Figure {
+    let count = counts
+        .copied()
+        .fold(Count::default(), Count::saturating_add);
+    WindowBurn {
         count,
         rate: Rate::of(count, objective),
     }
 }
 
-/// Two windows must agree: the long one shows that it matters, the short one that
-/// it still goes on, so that an alert ends soon after its cause.
-fn verdict(windows: &BTreeMap<Window, Figure>, blind: bool) -> Verdict {
+/// Two windows must both be above the limit: the long one shows that the burn is
+/// significant, the short one that it continues, so that an alert ends soon after its
+/// cause.
+fn verdict(windows: &BTreeMap<Window, WindowBurn>, has_gaps: bool) -> Verdict {
     let above = |window, limit| {
-        let rate = windows.get(&window).and_then(|figure| figure.rate);
+        let rate = windows.get(&window).and_then(|burn| burn.rate);
         rate.is_some_and(|rate| rate > limit)
     };
-    let all_above = |pair: [Window; 2], limit| pair.into_iter().all(|w| above(w, limit));
+    let all_above = |windows: [Window; 2], limit| windows.into_iter().all(|w| above(w, limit));
     if all_above([Window::Hour, Window::FiveMinutes], Rate::PAGE) {
         Verdict::Page
     } else if all_above([Window::ThreeDays, Window::SixHours], Rate::TICKET) {
         Verdict::Ticket
-    } else if blind {
+    } else if has_gaps {
         Verdict::UnknownGap
     } else {
         Verdict::Ok
--- a/src/burn/report.rs
+++ b/src/burn/report.rs
@@ -1,4 +1,4 @@
-//! Gathering what instances tell, for the operators' tool.
+//! Collects the burn samples of all instances for the operators' tool.
 
 use std::time::Duration;
 
@@ -12,42 +12,42 @@
 use crate::id;
 use crate::platform::transport;
 
-/// Time for one instance's answer.
+/// Default timeout for one instance's response.
 pub const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Instances asked at once.
-const AT_ONCE: usize = 16;
+/// Maximum number of instances that are queried concurrently.
+const MAX_CONCURRENT_REQUESTS: usize = 16;
 
-/// Largest answer that is read, in bytes.
-const MAX_ANSWER: usize = 1 << 20;
+/// Largest response body that is read, in bytes.
+const MAX_RESPONSE_LEN: usize = 1 << 20;
 
 const STEP: &str = "get burn";
 
-/// Asks every instance for its burn sample and merges what comes.
+/// Requests the burn sample of every instance and merges the samples.
 ///
-/// An instance that gives no sample of its own within `timeout` is a gap.
+/// An instance that gives no sample of its own within `timeout` becomes a gap.
 ///
 /// # Errors
 ///
-/// [`Error::Io`] if the HTTP client cannot be set up; what fails at an instance
-/// is a gap in the report instead.
+/// [`Error::Io`] if the HTTP client cannot be set up. A failure at an instance is
+/// no error but a gap in the report.
 pub async fn burn(
     instances: &[(id::Instance, id::Endpoint)],
     timeout: Duration,
 ) -> Result<burn::Report> {
     let client = client(timeout)?;
-    let asked = instances.iter().map(|(instance, endpoint)| {
-        let sample = sample(&client, instance, *endpoint);
+    let requests = instances.iter().map(|(instance, endpoint)| {
+        let sample = fetch_sample(&client, instance, *endpoint);
         async move { (instance, sample.await) }
     });
-    let answers: Vec<_> = stream::iter(asked)
-        .buffer_unordered(AT_ONCE)
+    let responses: Vec<_> = stream::iter(requests)
+        .buffer_unordered(MAX_CONCURRENT_REQUESTS)
         .collect()
         .await;
     let mut samples = Vec::new();
     let mut gaps = Vec::new();
-    for (instance, answer) in answers {
-        match answer {
+    for (instance, response) in responses {
+        match response {
             Ok(sample) => samples.push(sample),
             Err(error) => gaps.push(burn::Gap {
                 instance: instance.clone(),
@@ -71,41 +71,41 @@
     })
 }
 
-/// The sample of an instance.
+/// Requests the sample of one instance.
 ///
-/// The address may have passed to another instance since it was listed. Taking
-/// that one's sample would count it twice and hide that the first is gone.
-async fn sample(
+/// Another instance may have taken over the address since it was listed. Its sample
+/// is rejected: it would count twice and hide that the listed instance is gone.
+async fn fetch_sample(
     client: &reqwest::Client,
     instance: &id::Instance,
     endpoint: id::Endpoint,
 ) -> Result<burn::Sample> {
-    let body = fetch(client, endpoint).await?;
+    let body = fetch_body(client, endpoint).await?;
     let decoded = serde_json::from_slice::<burn::Sample>(&body);
-    let sample = decoded.map_err(|error| malformed(endpoint, error.to_string()))?;
+    let sample = decoded.map_err(|error| malformed_response(endpoint, error.to_string()))?;
     if sample.holder.instance != *instance {
-        return Err(malformed(
+        return Err(malformed_response(
             endpoint,
-            format!("the answer is of {}", sample.holder),
+            format!("the response is from {}", sample.holder),
         ));
     }
     Ok(sample)
 }
 
-async fn fetch(client: &reqwest::Client, endpoint: id::Endpoint) -> Result<Bytes> {
-    let failed = |error: reqwest::Error| failure(endpoint, &error);
+async fn fetch_body(client: &reqwest::Client, endpoint: id::Endpoint) -> Result<Bytes> {
+    let to_error = |error: reqwest::Error| request_error(endpoint, &error);
     let response = client.get(format!("http://{endpoint}/burn")).send().await;
     let response = response
         .and_then(reqwest::Response::error_for_status)
-        .map_err(failed)?;
-    let body = transport::read_limited(response, MAX_ANSWER).await;
-    body.map_err(|reason| malformed(endpoint, reason))
+        .map_err(to_error)?;
+    let body = transport::read_limited(response, MAX_RESPONSE_LEN).await;
+    body.map_err(|reason| malformed_response(endpoint, reason))
 }
 
-fn failure(endpoint: id::Endpoint, error: &reqwest::Error) -> Error {
+fn request_error(endpoint: id::Endpoint, error: &reqwest::Error) -> Error {
     let (step, peer) = (STEP, endpoint.to_string());
     if error.is_connect() {
-        let reason = "nobody listens or no way there".to_owned();
+        let reason = "connection refused or host unreachable".to_owned();
         return Error::Unreachable { step, peer, reason };
     }
     if error.is_timeout() {
@@ -126,7 +126,7 @@
     }
 }
 
-fn malformed(endpoint: id::Endpoint, reason: String) -> Error {
+fn malformed_response(endpoint: id::Endpoint, reason: String) -> Error {
     Error::Decode {
         step: STEP,
         peer: endpoint.to_string(),
--- a/src/burn/window.rs
+++ b/src/burn/window.rs
@@ -1,9 +1,9 @@
 //! Sliding windows over counts of events.
 //!
 //! A window is a ring of equal buckets, coarser for a longer window, so that its
-//! memory is the same whatever the traffic. The newest bucket is the one that is
-//! being filled: a window thus reaches back between its length less one bucket
-//! and its length, and never further.
+//! memory does not depend on the traffic. The newest bucket is still being filled,
+//! so a window covers between its length less one bucket and its length, and never
+//! more.
 
 use std::fmt;
 use std::str::FromStr;
@@ -15,7 +15,7 @@
 use crate::error::Error;
 use crate::error::Result;
 
-/// Time over which events are counted.
+/// Period over which events are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Window {
     /// Five minutes, in buckets of 10 s.
@@ -41,13 +41,13 @@
         Self::ThreeDays,
     ];
 
-    /// Its length.
+    /// Length of the window.
     pub const fn length(self) -> Duration {
         let buckets = self.buckets() as u64;
         Duration::from_secs(buckets * self.bucket().as_secs())
     }
 
-    /// Length of one of its buckets.
+    /// Length of one bucket.
     pub const fn bucket(self) -> Duration {
         let seconds = match self {
             Self::FiveMinutes => 10,
@@ -58,7 +58,7 @@
         Duration::from_secs(seconds)
     }
 
-    /// Count of its buckets.
+    /// Number of buckets.
     pub const fn buckets(self) -> usize {
         match self {
             Self::FiveMinutes => 30,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Its short name, as in JSON.
+    /// Short name, as in JSON.
     pub const fn label(self) -> &'static str {
         match self {
             Self::FiveMinutes => "5m",
@@ -96,24 +96,24 @@
     }
 }
 
-/// Good and bad events.
+/// Number of good and of bad events.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Count {
     /// Events that met the objective.
     pub good: u64,
-    /// Events that did not.
+    /// Events that did not meet the objective.
     pub bad: u64,
 }
 
 impl Count {
-    /// All events.
+    /// Number of all events.
     pub fn total(self) -> u64 {
         self.good.saturating_add(self.bad)
     }
 
-    /// These and those.
+    /// Sum of both counts, saturating.
     #[must_use]
-    pub fn plus(self, other: Self) -> Self {
+    pub fn saturating_add(self, other: Self) -> Self {
         Self {
             good: self.good.saturating_add(other.good),
             bad: self.bad.saturating_add(other.bad),
@@ -121,64 +121,66 @@
     }
 }
 
-/// The counts of one window.
+/// The counts of one window, as a ring of buckets.
 #[derive(Clone, Debug)]
-pub(crate) struct Ring {
+pub(crate) struct BucketRing {
     bucket: Duration,
     buckets: Box<[Count]>,
-    /// Number of the newest bucket since the start.
-    newest: u64,
+    /// Number of the newest bucket, counted from the start.
+    newest_number: u64,
 }
 
-impl Ring {
+impl BucketRing {
     pub(crate) fn new(window: Window) -> Self {
         Self {
             bucket: window.bucket(),
             buckets: vec![Count::default(); window.buckets()].into(),
-            newest: 0,
+            newest_number: 0,
         }
     }
 
-    /// Counts events at a time since the start.
+    /// Counts events that occurred `elapsed` after the start.
     ///
-    /// Workers take the time before they take the lock, so an event may come
-    /// after a newer one. It goes into its own bucket, if that is still kept.
-    pub(crate) fn add(&mut self, at: Duration, events: Count) {
-        let number = self.number(at);
+    /// Workers read the clock before they take the lock, so an event may arrive
+    /// after a newer one. It is added to its own bucket if the ring still holds it.
+    pub(crate) fn add(&mut self, elapsed: Duration, events: Count) {
+        let number = self.bucket_number(elapsed);
         self.advance(number);
-        if self.newest - number < self.size() {
-            let place = self.place(number);
-            self.buckets[place] = self.buckets[place].plus(events);
+        if self.newest_number - number < self.bucket_count() {
+            let index = self.index(number);
+            self.buckets[index] = self.buckets[index].saturating_add(events);
         }
     }
 
-    /// What the window holds at a time since the start.
-    pub(crate) fn sum(&mut self, at: Duration) -> Count {
-        self.advance(self.number(at));
+    /// Counts in the window at the time `elapsed` after the start.
+    pub(crate) fn sum(&mut self, elapsed: Duration) -> Count {
+        self.advance(self.bucket_number(elapsed));
         let counts = self.buckets.iter().copied();
-        counts.fold(Count::default(), Count::plus)
+        counts.fold(Count::default(), Count::saturating_add)
     }
 
-    /// Empties the buckets that the window has left behind.
+    /// Clears the buckets that have left the window.
     fn advance(&mut self, number: u64) {
-        let steps = number.saturating_sub(self.newest).min(self.size());
-        self.newest = self.newest.max(number);
+        let steps = number
+            .saturating_sub(self.newest_number)
+            .min(self.bucket_count());
+        self.newest_number = self.newest_number.max(number);
         for back in 0..steps {
-            let place = self.place(self.newest - back);
-            self.buckets[place] = Count::default();
+            let index = self.index(self.newest_number - back);
+            self.buckets[index] = Count::default();
         }
     }
 
-    fn number(&self, at: Duration) -> u64 {
-        at.as_secs() / self.bucket.as_secs()
+    fn bucket_number(&self, elapsed: Duration) -> u64 {
+        elapsed.as_secs() / self.bucket.as_secs()
     }
 
-    fn place(&self, number: u64) -> usize {
+    fn index(&self, number: u64) -> usize {
         // The remainder is less than the ring's length, which is a `usize`.
-        (number % self.size()) as usize
+        (number % self.bucket_count()) as usize
     }
 
-    fn size(&self) -> u64 {
+    fn bucket_count(&self) -> u64 {
         self.buckets.len() as u64
     }
 }
--- a/tests/burn.rs
+++ b/tests/burn.rs
@@ -77,7 +77,7 @@
     }
 }
 
-fn line(report: &Report) -> &burn::Line {
+fn line(report: &Report) -> &burn::ServiceBurn {
     &report.services[&service("booking")]
 }
 
