--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -315,7 +315,7 @@
     let (metrics, ring, log) = (Arc::clone(metrics), Arc::clone(ring), log.clone());
     let ledger = Arc::clone(ledger);
     Box::new(move |now, note| {
-        metrics.note(note);
+        metrics.count_event(note);
         count(&ledger, now, note);
         debug!(log, "note"; "reason" => note.reason.code(),
             "flow" => FnValue(|_| note.flow.as_ref().map(ToString::to_string)),
--- a/src/entry/metric.rs
+++ b/src/entry/metric.rs
@@ -13,8 +13,8 @@
 use prometheus_client::registry::Registry;
 
 use crate::flow;
-use crate::metric::collector::Platform;
-use crate::metric::collector::View;
+use crate::metric::collector::PlatformCollector;
+use crate::metric::collector::ViewAgeCollector;
 use crate::metric::label::KindLabels;
 use crate::platform::transport::Transport;
 use crate::replica;
@@ -123,8 +123,8 @@
             "Bytes of callers' packets that wait for this instance's link",
             self.link_queue.clone(),
         );
-        registry.register_collector(Box::new(Platform(store)));
-        registry.register_collector(Box::new(View(replica)));
+        registry.register_collector(Box::new(PlatformCollector(store)));
+        registry.register_collector(Box::new(ViewAgeCollector(replica)));
     }
 
     pub(crate) fn count_packet(&self, outcome: &'static str) {
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -1,9 +1,10 @@
-//! What was lately done for each flow, and why.
+//! Recent decisions for each flow, with their reasons.
 //!
-//! A [`TraceBuffer`] keeps the newest notes and lets the oldest go, by count and by
-//! bytes, so that a burst of traffic costs history and never memory. Its one lock
-//! is a leaf: nothing else is locked while it is held. It is held to push one
-//! entry or to copy the matching ones; text is made after it is released.
+//! A [`TraceBuffer`] keeps the newest events and drops the oldest. Both the number of
+//! events and their bytes are bounded, so a burst of traffic shortens the history and
+//! does not grow the memory. Its one lock is a leaf: no other lock is taken while it
+//! is held. It is held to push one event or to copy the matching ones; text is
+//! formatted after it is released.
 
 use std::collections::VecDeque;
 use std::mem::size_of;
@@ -19,16 +20,16 @@
 use crate::request::Flow;
 use crate::status::Trace;
 
-/// Entries kept by default.
+/// Default limit of the number of events.
 pub const DEFAULT_ENTRIES: usize = 20_000;
 
-/// Bytes kept by default.
+/// Default limit of the events' memory, in bytes.
 pub const DEFAULT_BYTES: usize = 8 << 20;
 
-/// Most traces given for one question.
+/// Maximum number of traces returned by one query.
 pub const MAX_TRACES: usize = 1_000;
 
-/// Slice ownership and configuration under which something was done.
+/// Slice ownership and configuration in force when an event was recorded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Context {
     /// Epoch of the slice.
@@ -40,60 +41,60 @@
 #[derive(Clone, Debug)]
 struct Entry {
     at: Instant,
-    note: TraceEvent,
+    event: TraceEvent,
     context: Context,
 }
 
 impl Entry {
-    /// Memory that the entry holds, with shared names counted as its own.
+    /// Memory of the entry. Names shared with other entries are counted in full.
     fn bytes(&self) -> usize {
-        let flow = self.note.flow.as_ref();
+        let flow = self.event.flow.as_ref();
         let service = flow.map_or(0, |flow| flow.service.as_str().len());
-        let server = self.note.server.as_ref().map_or(0, |id| id.as_str().len());
+        let server = self.event.server.as_ref().map_or(0, |id| id.as_str().len());
         size_of::<Self>() + service + server
     }
 
     fn trace(&self, now: Instant, flow: &Flow) -> Trace {
         Trace {
             age_ms: millis(now.saturating_duration_since(self.at)),
-            reason: self.note.reason.code().to_owned(),
+            reason: self.event.reason.code().to_owned(),
             service: flow.service.to_string(),
             caller: flow.caller.to_string(),
-            request: self.note.request.map(|id| id.to_string()),
-            slice: self.note.slice.map(|slice| slice.0),
+            request: self.event.request.map(|id| id.to_string()),
+            slice: self.event.slice.map(|slice| slice.0),
             epoch: self.context.epoch.map(|epoch| epoch.0),
             revision: self.context.revision.map(|revision| revision.0),
-            server: self.note.server.as_ref().map(ToString::to_string),
-            elapsed_ms: self.note.elapsed.map(millis),
+            server: self.event.server.as_ref().map(ToString::to_string),
+            elapsed_ms: self.event.elapsed.map(millis),
         }
     }
 }
 
 #[derive(Debug, Default)]
-struct Store {
+struct Entries {
     entries: VecDeque<Entry>,
     bytes: usize,
 }
 
-impl Store {
+impl Entries {
     fn push(&mut self, entry: Entry) {
         self.bytes += entry.bytes();
         self.entries.push_back(entry);
     }
 
-    fn drop_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         if let Some(entry) = self.entries.pop_front() {
             self.bytes -= entry.bytes();
         }
     }
 }
 
-/// The newest notes of one instance.
+/// Bounded buffer of the newest events of one instance.
 #[derive(Debug)]
 pub struct TraceBuffer {
     max_entries: usize,
     max_bytes: usize,
-    store: Mutex<Store>,
+    recorded: Mutex<Entries>,
 }
 
 impl Default for TraceBuffer {
@@ -103,56 +104,56 @@
 }
 
 impl TraceBuffer {
-    /// An empty ring with these bounds.
+    /// An empty buffer with these bounds.
     pub fn new(max_entries: usize, max_bytes: usize) -> Self {
         Self {
             max_entries,
             max_bytes,
-            store: Mutex::default(),
+            recorded: Mutex::default(),
         }
     }
 
-    /// Keeps a note; one without a flow is left out, since nobody can ask for it.
-    pub fn record(&self, now: Instant, note: TraceEvent, context: Context) {
-        if note.flow.is_none() {
+    /// Records an event. An event without a flow is ignored, since queries are by flow.
+    pub fn record(&self, now: Instant, event: TraceEvent, context: Context) {
+        if event.flow.is_none() {
             return;
         }
-        let mut store = self.lock();
-        store.push(Entry {
+        let mut recorded = self.lock();
+        recorded.push(Entry {
             at: now,
-            note,
+            event,
             context,
         });
-        while store.entries.len() > self.max_entries || store.bytes > self.max_bytes {
-            store.drop_oldest();
+        while recorded.entries.len() > self.max_entries || recorded.bytes > self.max_bytes {
+            recorded.evict_oldest();
         }
     }
 
-    /// What was done for a flow, newest first, at most [`MAX_TRACES`].
+    /// The events of a flow, newest first, at most [`MAX_TRACES`].
     pub fn traces(&self, now: Instant, flow: &Flow) -> Vec<Trace> {
-        let entries = self.matching(flow);
+        let entries = self.entries_of(flow);
         entries.iter().map(|entry| entry.trace(now, flow)).collect()
     }
 
-    /// Entries kept.
+    /// Number of recorded events.
     pub fn len(&self) -> usize {
         self.lock().entries.len()
     }
 
-    /// Whether nothing is kept.
+    /// Whether the buffer is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Bytes kept.
+    /// Memory of the recorded events, in bytes.
     pub fn bytes(&self) -> usize {
         self.lock().bytes
     }
 
-    fn matching(&self, flow: &Flow) -> Vec<Entry> {
-        let store = self.lock();
-        let matching = |entry: &&Entry| entry.note.flow.as_ref() == Some(flow);
-        let newest_first = store.entries.iter().rev();
+    fn entries_of(&self, flow: &Flow) -> Vec<Entry> {
+        let recorded = self.lock();
+        let matching = |entry: &&Entry| entry.event.flow.as_ref() == Some(flow);
+        let newest_first = recorded.entries.iter().rev();
         newest_first
             .filter(matching)
             .take(MAX_TRACES)
@@ -160,8 +161,8 @@
             .collect()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Store> {
-        self.store.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Entries> {
+        self.recorded.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/src/metric.rs
+++ b/src/metric.rs
@@ -1,10 +1,10 @@
 //! Metrics of the daemon, as OpenMetrics text.
 //!
-//! Every label is bounded: reasons, kinds and directions are fixed lists, and
-//! the services past [`MAX_SERVICES`] share one label, so that no caller and no
-//! operator can make the text grow without end. Counters are atomic; the one
-//! lock here, around the services seen, is a leaf: nothing else is locked while
-//! it is held.
+//! Every label has a bounded set of values: reasons, kinds and directions are fixed
+//! lists, and the services past [`MAX_SERVICES`] share one label, so that neither
+//! callers nor operators can make the text grow without bound. Counters are atomic.
+//! The one lock here, around the services seen, is a leaf: no other lock is taken
+//! while it is held.
 
 pub(crate) mod collector;
 pub(crate) mod label;
@@ -26,95 +26,95 @@
 
 use crate::action::TraceEvent;
 use crate::id;
-use crate::metric::collector::Platform;
+use crate::metric::collector::PlatformCollector;
 use crate::metric::label::EventLabels;
 use crate::metric::label::KindLabels;
 use crate::metric::label::PeerLabels;
-use crate::metric::label::Service;
+use crate::metric::label::ServiceLabel;
 use crate::metric::label::ServiceLabels;
 use crate::platform::Client;
 use crate::reason::Reason;
 
 pub use crate::metric::label::Direction;
 
-/// Services that get a label of their own.
+/// Maximum number of services that get a label of their own.
 pub const MAX_SERVICES: usize = 256;
 
-/// Media type of the text that [`Metrics::encode`] gives.
+/// Media type of the text that [`Metrics::encode`] returns.
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Bounds of the latency buckets, in seconds.
+/// Upper bounds of the latency buckets, in seconds.
 const BUCKETS: [f64; 14] = [
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0,
 ];
 
 /// Kinds of messages that can be withheld from a peer.
-const WITHHELD: [&str; 3] = ["heartbeat", "pull", "push"];
+const WITHHELD_KINDS: [&str; 3] = ["heartbeat", "pull", "push"];
 
-/// Suffix that the encoder gives every counter.
+/// Suffix that the encoder appends to the name of every counter.
 pub(crate) const COUNTER_SUFFIX: &str = "_total";
 
 /// Name and meaning of a metric.
-pub(crate) type Name = (&'static str, &'static str);
+pub(crate) type Description = (&'static str, &'static str);
 
-const EVENTS: Name = (
+const EVENTS: Description = (
     "godwitreel_events_total",
     "What was done or refused, by reason code and service",
 );
-const PEER_MESSAGES: Name = (
+const PEER_MESSAGES: Description = (
     "godwitreel_peer_messages_total",
     "Messages between entry instances, by kind and direction",
 );
-const PEER_BYTES: Name = (
+const PEER_BYTES: Description = (
     "godwitreel_peer_bytes_total",
     "Bytes of messages between entry instances, by kind and direction",
 );
-const PEER_WITHHELD: Name = (
+const PEER_WITHHELD: Description = (
     "godwitreel_peer_withheld_total",
     "Messages to peers that were cut or put off to keep the byte budget, by kind",
 );
-pub(crate) const PLATFORM_CALLS: Name = (
+pub(crate) const PLATFORM_CALLS: Description = (
     "godwitreel_platform_calls_total",
     "Calls sent to the platform, by kind",
 );
-pub(crate) const PLATFORM_FAILURES: Name = (
+pub(crate) const PLATFORM_FAILURES: Description = (
     "godwitreel_platform_failures_total",
     "Calls to the platform that failed, by kind of failure",
 );
-const HOME_SLICES: Name = (
+const HOME_SLICES: Description = (
     "godwitreel_home_slices",
     "Slices that this instance is home of",
 );
-const BACKUP_SLICES: Name = (
+const BACKUP_SLICES: Description = (
     "godwitreel_backup_slices",
     "Slices that this instance is backup of",
 );
-const ALONE_SLICES: Name = (
+const ALONE_SLICES: Description = (
     "godwitreel_alone_slices",
     "Slices that this instance is home of without a backup",
 );
-const IN_PROGRESS_REQUESTS: Name = (
+const IN_PROGRESS_REQUESTS: Description = (
     "godwitreel_in_progress_requests",
     "Requests in progress at this instance",
 );
-const OPEN_FEEDS: Name = (
+const OPEN_FEEDS: Description = (
     "godwitreel_open_feeds",
     "Feeds open at this instance or kept as copies",
 );
-const PARKED_REQUESTS: Name = (
+const PARKED_REQUESTS: Description = (
     "godwitreel_parked_requests",
     "Requests that wait for their slice to get a home",
 );
-const READY: Name = (
+const READY: Description = (
     "godwitreel_ready",
     "1 if this instance takes callers' datagrams, else 0",
 );
-const REQUEST_DURATION: Name = (
+const REQUEST_DURATION: Description = (
     "godwitreel_request_duration_seconds",
     "Time from forwarding a request to its server's answer, by service",
 );
 
-/// Every metric with its meaning, by the name under which it is scraped.
+/// Every metric: the name under which it is scraped, and its meaning.
 pub const NAMES: &[(&str, &str)] = &[
     EVENTS,
     PEER_MESSAGES,
@@ -132,22 +132,22 @@
     REQUEST_DURATION,
 ];
 
-/// What the gauges show.
+/// Values of all gauges.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GaugeValues {
     /// Slices that this instance is home of.
     pub homes: u32,
-    /// Slices that it is backup of.
+    /// Slices that this instance is backup of.
     pub backups: u32,
-    /// Slices that it is home of without a backup.
+    /// Slices that this instance is home of without a backup.
     pub alone: u32,
     /// Requests in progress.
     pub in_progress: u64,
     /// Feeds open or kept as copies.
     pub feeds: u64,
-    /// Requests that wait for a home.
+    /// Requests that wait for their slice to get a home.
     pub parked: u64,
-    /// Whether it takes callers' datagrams.
+    /// Whether this instance takes callers' datagrams.
     pub ready: bool,
 }
 
@@ -176,7 +176,7 @@
 }
 
 impl Metrics {
-    /// Metrics at 0, which show this client's calls to the platform.
+    /// All metrics at 0. The platform metrics read the call counts of `platform`.
     pub fn new(platform: Client) -> Self {
         let mut metrics = Self {
             registry: Registry::default(),
@@ -191,8 +191,8 @@
         metrics.register();
         metrics
             .registry
-            .register_collector(Box::new(Platform(platform.transport())));
-        metrics.start_at_zero();
+            .register_collector(Box::new(PlatformCollector(platform.transport())));
+        metrics.create_counters();
         metrics
     }
 
@@ -216,29 +216,29 @@
         register(registry, REQUEST_DURATION, self.durations.clone());
     }
 
-    /// Shows every reason and all that can be withheld at 0, since a rate cannot be
-    /// taken of a counter whose first value is already 1.
-    fn start_at_zero(&self) {
+    /// Creates the counters of every reason and of every kind of withheld message at 0.
+    /// The first increment of a counter first scraped at 1 would be missing in its rate.
+    fn create_counters(&self) {
         for reason in Reason::ALL {
             let labels = EventLabels {
                 reason: reason.code(),
-                service: Service::None,
+                service: ServiceLabel::None,
             };
             drop(self.events.get_or_create(&labels));
         }
-        for kind in WITHHELD {
+        for kind in WITHHELD_KINDS {
             drop(self.peer_withheld.get_or_create(&KindLabels { kind }));
         }
     }
 
-    /// Counts a note and, for an answered request, observes its duration.
-    pub fn note(&self, note: &TraceEvent) {
-        let service = self.service(note.flow.as_ref().map(|flow| &flow.service));
-        if let (Reason::Answered, Some(elapsed)) = (note.reason, note.elapsed) {
-            self.observe(service.clone(), elapsed);
+    /// Counts an event and, for an answered request, observes its duration.
+    pub fn count_event(&self, event: &TraceEvent) {
+        let service = self.service_label(event.flow.as_ref().map(|flow| &flow.service));
+        if let (Reason::Answered, Some(elapsed)) = (event.reason, event.elapsed) {
+            self.observe_duration(service.clone(), elapsed);
         }
         let labels = EventLabels {
-            reason: note.reason.code(),
+            reason: event.reason.code(),
             service,
         };
         self.events.get_or_create(&labels).inc();
@@ -252,22 +252,22 @@
         self.peer_bytes.get_or_create(&labels).inc_by(bytes);
     }
 
-    /// Counts a message to a peer that was cut or put off.
+    /// Counts a message to a peer that was shortened or postponed.
     pub fn peer_withheld(&self, kind: &'static str) {
         let labels = KindLabels { kind };
         self.peer_withheld.get_or_create(&labels).inc();
     }
 
     /// Sets all gauges.
-    pub fn set(&self, levels: &GaugeValues) {
+    pub fn set(&self, values: &GaugeValues) {
         let gauges = &self.gauges;
-        gauges.homes.set(levels.homes.into());
-        gauges.backups.set(levels.backups.into());
-        gauges.alone.set(levels.alone.into());
-        gauges.in_progress.set(signed(levels.in_progress));
-        gauges.feeds.set(signed(levels.feeds));
-        gauges.parked.set(signed(levels.parked));
-        gauges.ready.set(levels.ready.into());
+        gauges.homes.set(values.homes.into());
+        gauges.backups.set(values.backups.into());
+        gauges.alone.set(values.alone.into());
+        gauges.in_progress.set(to_i64(values.in_progress));
+        gauges.feeds.set(to_i64(values.feeds));
+        gauges.parked.set(to_i64(values.parked));
+        gauges.ready.set(values.ready.into());
     }
 
     /// The metrics as OpenMetrics text.
@@ -275,37 +275,37 @@
         let mut out = String::new();
         match text::encode(&mut out, &self.registry) {
             Ok(()) => out,
-            // Writing to a string does not fail; a cut text would lack its end mark.
+            // Writing to a string does not fail; truncated text would lack the end marker.
             Err(fmt::Error) => String::new(),
         }
     }
 
-    fn observe(&self, service: Service, elapsed: Duration) {
+    fn observe_duration(&self, service: ServiceLabel, elapsed: Duration) {
         let labels = ServiceLabels { service };
         self.durations
             .get_or_create(&labels)
             .observe(elapsed.as_secs_f64());
     }
 
-    fn service(&self, service: Option<&id::Service>) -> Service {
+    fn service_label(&self, service: Option<&id::Service>) -> ServiceLabel {
         let Some(service) = service else {
-            return Service::None;
+            return ServiceLabel::None;
         };
-        if self.knows(service) || self.learn(service) {
-            Service::Named(service.clone())
+        if self.is_known(service) || self.add_service(service) {
+            ServiceLabel::Named(service.clone())
         } else {
-            Service::Other
+            ServiceLabel::Other
         }
     }
 
-    fn knows(&self, service: &id::Service) -> bool {
+    fn is_known(&self, service: &id::Service) -> bool {
         let services = self.services.read();
         services
             .unwrap_or_else(PoisonError::into_inner)
             .contains(service)
     }
 
-    fn learn(&self, service: &id::Service) -> bool {
+    fn add_service(&self, service: &id::Service) -> bool {
         let services = self.services.write();
         let mut services = services.unwrap_or_else(PoisonError::into_inner);
         if services.len() >= MAX_SERVICES {
@@ -316,8 +316,8 @@
     }
 }
 
-/// Registers a metric without the parts of its name that the encoder adds.
-fn register(registry: &mut Registry, (name, meaning): Name, metric: impl Metric) {
+/// Registers a metric under its name less the suffixes that the encoder appends.
+fn register(registry: &mut Registry, (name, meaning): Description, metric: impl Metric) {
     let name = name.strip_suffix(COUNTER_SUFFIX).unwrap_or(name);
     match split_unit(name) {
         (stem, Some(unit)) => registry.register_with_unit(stem, meaning, unit, metric),
@@ -335,6 +335,6 @@
         .unwrap_or((name, None))
 }
 
-fn signed(count: u64) -> i64 {
+fn to_i64(count: u64) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
--- a/src/metric/collector.rs
+++ b/src/metric/collector.rs
@@ -1,4 +1,4 @@
-//! Metrics that are read from others' counts at each scrape.
+//! Metrics whose values are read from other components at each scrape.
 
 use std::fmt;
 use std::sync::Arc;
@@ -15,23 +15,26 @@
 use tokio::time::Instant;
 
 use crate::metric::COUNTER_SUFFIX;
-use crate::metric::Name;
+use crate::metric::Description;
 use crate::metric::PLATFORM_CALLS;
 use crate::metric::PLATFORM_FAILURES;
 use crate::platform::CallCounts;
 use crate::platform::transport::Transport;
 use crate::replica;
 
-/// Reads the platform client's own counts at each scrape, so that they stand once.
-pub(crate) struct Platform(pub(crate) Arc<Transport>);
+/// Reads the platform client's call counts at each scrape, so that they are not counted
+/// twice.
+pub(crate) struct PlatformCollector(pub(crate) Arc<Transport>);
 
-impl fmt::Debug for Platform {
+impl fmt::Debug for PlatformCollector {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_tuple("Platform").field(self.0.counts()).finish()
+        f.debug_tuple("PlatformCollector")
+            .field(self.0.counts())
+            .finish()
     }
 }
 
-impl Collector for Platform {
+impl Collector for PlatformCollector {
     fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> fmt::Result {
         let counts = self.0.counts();
         encode_kinds(&mut encoder, PLATFORM_CALLS, &calls(counts))?;
@@ -41,11 +44,11 @@
 
 /// Reads the age of the copy of the store at each scrape.
 #[derive(Debug)]
-pub(crate) struct View(pub(crate) Arc<replica::SharedCopy>);
+pub(crate) struct ViewAgeCollector(pub(crate) Arc<replica::SharedCopy>);
 
-impl Collector for View {
+impl Collector for ViewAgeCollector {
     fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> fmt::Result {
-        // Nothing has been heard yet.
+        // There is no copy of the store yet.
         let Some(age) = self.0.age(Instant::now()) else {
             return Ok(());
         };
@@ -57,9 +60,9 @@
     }
 }
 
-type Kind<'a> = (&'static str, &'a AtomicU64);
+type KindCount<'a> = (&'static str, &'a AtomicU64);
 
-fn calls(counts: &CallCounts) -> [Kind<'_>; 4] {
+fn calls(counts: &CallCounts) -> [KindCount<'_>; 4] {
     [
         ("read", &counts.reads),
         ("write", &counts.writes),
@@ -68,7 +71,7 @@
     ]
 }
 
-fn failures(counts: &CallCounts) -> [Kind<'_>; 5] {
+fn failures(counts: &CallCounts) -> [KindCount<'_>; 5] {
     [
         ("unreachable", &counts.unreachable),
         ("unanswered", &counts.unanswered),
@@ -80,8 +83,8 @@
 
 fn encode_kinds(
     encoder: &mut DescriptorEncoder<'_>,
-    (name, meaning): Name,
-    kinds: &[Kind<'_>],
+    (name, meaning): Description,
+    kinds: &[KindCount<'_>],
 ) -> fmt::Result {
     let stem = name.strip_suffix(COUNTER_SUFFIX).unwrap_or(name);
     let help = format!("{meaning}.");
--- a/src/metric/label.rs
+++ b/src/metric/label.rs
@@ -1,4 +1,4 @@
-//! Labels of the metrics, all of them bounded.
+//! Labels of the metrics. Each has a bounded set of values.
 
 use std::fmt;
 
@@ -8,15 +8,15 @@
 
 use crate::id;
 
-/// Label of the services past the bound; no service can have this name.
+/// Label of all services past [`super::MAX_SERVICES`]; no service can have this name.
 const OTHER: &str = "(other)";
 
-/// Way of a message between entry instances.
+/// Direction of a message between entry instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Direction {
-    /// To a peer.
+    /// Sent to a peer.
     Sent,
-    /// From a peer.
+    /// Received from a peer.
     Received,
 }
 
@@ -31,13 +31,13 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Service {
+pub(crate) enum ServiceLabel {
     None,
     Named(id::Service),
     Other,
 }
 
-impl EncodeLabelValue for Service {
+impl EncodeLabelValue for ServiceLabel {
     fn encode(&self, encoder: &mut LabelValueEncoder<'_>) -> fmt::Result {
         let label = match self {
             Self::None => "",
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct EventLabels {
     pub(crate) reason: &'static str,
-    pub(crate) service: Service,
+    pub(crate) service: ServiceLabel,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -62,7 +62,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct ServiceLabels {
-    pub(crate) service: Service,
+    pub(crate) service: ServiceLabel,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
--- a/tests/metric.rs
+++ b/tests/metric.rs
@@ -52,9 +52,9 @@
     client.counts().writes.fetch_add(3, Ordering::Relaxed);
     client.counts().stale.fetch_add(2, Ordering::Relaxed);
     let metrics = Metrics::new(client);
-    metrics.note(&answered("dispatch", Duration::from_millis(15)));
-    metrics.note(&answered("dispatch", Duration::from_millis(500)));
-    metrics.note(&TraceEvent::new(Reason::HomeGained));
+    metrics.count_event(&answered("dispatch", Duration::from_millis(15)));
+    metrics.count_event(&answered("dispatch", Duration::from_millis(500)));
+    metrics.count_event(&TraceEvent::new(Reason::HomeGained));
     metrics.peer_message("heartbeat", Direction::Sent, 120);
     metrics.peer_message("heartbeat", Direction::Sent, 30);
     metrics.peer_message("relay", Direction::Received, 900);
@@ -99,7 +99,7 @@
 #[test]
 fn the_names_are_those_that_are_scraped() {
     let metrics = Metrics::new(client());
-    metrics.note(&answered("dispatch", Duration::from_millis(1)));
+    metrics.count_event(&answered("dispatch", Duration::from_millis(1)));
     metrics.peer_message("pull", Direction::Sent, 1);
     let text = metrics.encode();
 
@@ -121,12 +121,12 @@
 fn services_past_the_bound_share_a_label() {
     let metrics = Metrics::new(client());
     for number in 0..MAX_SERVICES + 5 {
-        metrics.note(&answered(
+        metrics.count_event(&answered(
             &format!("service-{number}"),
             Duration::from_millis(1),
         ));
     }
-    metrics.note(&answered("service-0", Duration::from_millis(1)));
+    metrics.count_event(&answered("service-0", Duration::from_millis(1)));
 
     let text = metrics.encode();
 
