--- a/src/bin/godwitreel/app.rs
+++ b/src/bin/godwitreel/app.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line of the operators' tool.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -16,24 +16,24 @@
 use crate::exit;
 
 /// Name under which the program is installed.
-pub(crate) const NAME: &str = "godwitreel";
+pub(crate) const PROGRAM_NAME: &str = "godwitreel";
 
-/// Time that `--wait` waits unless it says otherwise.
-const WAIT: Duration = Duration::from_secs(30);
-/// Longest time that `--wait` takes, in seconds: a day.
-const LONGEST_WAIT: u64 = 86_400;
+/// Time limit of `--wait` without a value.
+const DEFAULT_WAIT: Duration = Duration::from_secs(30);
+/// Greatest value that `--wait` accepts, in seconds: one day.
+const MAX_WAIT_S: u64 = 86_400;
 
 /// Options of every command.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Common {
+pub(crate) struct CommonOptions {
     pub(crate) config: Option<PathBuf>,
     pub(crate) platform: Vec<BaseUrl>,
     pub(crate) operator: Option<id::Operator>,
     pub(crate) output: Option<Output>,
 }
 
-impl Common {
-    /// Takes from `outer` what is not given here.
+impl CommonOptions {
+    /// Fills options that are not given here from `outer`.
     fn or(self, outer: Self) -> Self {
         let platform = match self.platform.is_empty() {
             true => outer.platform,
@@ -48,7 +48,7 @@
     }
 }
 
-/// What is to be done.
+/// The command, with its arguments.
 #[derive(Clone, Debug)]
 pub(crate) enum Action {
     Profile(Profile),
@@ -66,7 +66,7 @@
     Completions(Shell),
 }
 
-/// What concerns profiles.
+/// Commands for profiles.
 #[derive(Clone, Debug)]
 pub(crate) enum Profile {
     Apply {
@@ -84,7 +84,7 @@
     History(id::Profile),
 }
 
-/// What concerns services.
+/// Commands for services.
 #[derive(Clone, Debug)]
 pub(crate) enum Service {
     Choose {
@@ -101,7 +101,7 @@
     List,
 }
 
-/// What leaves, or stays after all.
+/// Commands that drain an instance or server, evacuate a zone, or undo that.
 #[derive(Clone, Debug)]
 pub(crate) enum Drain {
     Instance {
@@ -120,7 +120,7 @@
     },
 }
 
-/// A shell whose completions can be had.
+/// A shell for which completions can be generated.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Shell {
     Bash,
@@ -141,46 +141,47 @@
     }
 }
 
-/// A whole command line.
+/// A command and its options.
 #[derive(Clone, Debug)]
-pub(crate) struct Call {
-    pub(crate) common: Common,
+pub(crate) struct Invocation {
+    pub(crate) common: CommonOptions,
     pub(crate) action: Action,
 }
 
-/// A command line whose options may stand before the command and after it.
+/// A parsed command line. The common options may be before the command or after it.
 #[derive(Clone, Debug)]
-pub(crate) struct Line {
-    common: Common,
-    call: Call,
+pub(crate) struct CommandLine {
+    common: CommonOptions,
+    invocation: Invocation,
 }
 
-impl Line {
-    /// The call; an option after the command counts more.
-    pub(crate) fn merge(self) -> Call {
-        Call {
-            common: self.call.common.or(self.common),
-            action: self.call.action,
+impl CommandLine {
+    /// Merges both places of the common options; an option after the command takes
+    /// precedence.
+    pub(crate) fn merge(self) -> Invocation {
+        Invocation {
+            common: self.invocation.common.or(self.common),
+            action: self.invocation.action,
         }
     }
 }
 
 /// The parser of the whole command line.
-pub(crate) fn options() -> OptionParser<Line> {
+pub(crate) fn options() -> OptionParser<CommandLine> {
     let config = config()
         .env("GODWITREEL_CONFIG")
         .argument::<PathBuf>("FILE")
         .optional();
     let common = common(config);
-    let call = call();
-    construct!(Line { common, call })
+    let invocation = invocation();
+    construct!(CommandLine { common, invocation })
         .to_options()
         .version(env!("CARGO_PKG_VERSION"))
         .descr("Drives godwitreel: profiles, services, drains, and the state of its instances.")
         .footer(exit::HELP)
 }
 
-fn call() -> impl Parser<Call> {
+fn invocation() -> impl Parser<Invocation> {
     let profile = profile()
         .command("profile")
         .help("Change and show profiles");
@@ -195,14 +196,14 @@
         .help("Let a backend server leave");
     let zone = zone()
         .command("zone")
-        .help("Let an availability zone's servers get nothing new");
-    let status = leaf(bpaf::pure(Action::Status))
+        .help("Stop new work to an availability zone's servers");
+    let status = leaf_command(bpaf::pure(Action::Status))
         .command("status")
         .help("Show the state of every instance");
     let explain = explain();
     let report = report()
         .command("report")
-        .help("Report on what was promised");
+        .help("Report on service-level objectives");
     let view = view();
     let completions = completions();
     construct!([
@@ -223,21 +224,21 @@
     long("config").help("Settings file, JSON with comments; else the one GODWITREEL_CONFIG names")
 }
 
-/// The options of every command, with this one for the settings file.
-fn common(config: impl Parser<Option<PathBuf>>) -> impl Parser<Common> {
+/// Parser of the options of every command; `config` parses that of the settings file.
+fn common(config: impl Parser<Option<PathBuf>>) -> impl Parser<CommonOptions> {
     let platform = long("platform")
         .help("Address of the platform, http://IP:PORT; may be repeated")
         .argument::<BaseUrl>("URL")
         .many();
     let operator = long("operator")
-        .help("Name that changes carry")
+        .help("Operator's name, recorded with each change")
         .argument::<id::Operator>("NAME")
         .optional();
     let output = long("output")
         .help("table (default) or json; usage errors are text in either case")
         .argument::<Output>("FORM")
         .optional();
-    construct!(Common {
+    construct!(CommonOptions {
         config,
         platform,
         operator,
@@ -245,13 +246,13 @@
     })
 }
 
-/// A command without commands below it.
-fn leaf(action: impl Parser<Action> + 'static) -> OptionParser<Call> {
-    // The variable is read before the command only: read here too, it would count
-    // as an option after the command and hide one that stands before it.
+/// A command without subcommands.
+fn leaf_command(action: impl Parser<Action> + 'static) -> OptionParser<Invocation> {
+    // GODWITREEL_CONFIG is read only by the options before the command. If it were read
+    // here too, it would override a --config before the command.
     let config = config().argument::<PathBuf>("FILE").optional();
     let common = common(config);
-    construct!(Call { common, action })
+    construct!(Invocation { common, action })
         .to_options()
         .footer(exit::HELP)
 }
@@ -269,17 +270,17 @@
         .help("Wait until it has taken effect; --wait alone waits 30 seconds")
         .argument::<u64>("SECONDS")
         .adjacent()
-        .guard(|seconds| *seconds <= LONGEST_WAIT, "want 0 to 86400")
+        .guard(|seconds| *seconds <= MAX_WAIT_S, "want 0 to 86400")
         .map(Duration::from_secs);
-    let usual = long("wait").req_flag(WAIT).hide();
-    construct!([limit, usual]).optional()
+    let default = long("wait").req_flag(DEFAULT_WAIT).hide();
+    construct!([limit, default]).optional()
 }
 
 fn undo() -> impl Parser<bool> {
-    long("undo").help("Take the wish to drain back").switch()
+    long("undo").help("Cancel the drain").switch()
 }
 
-fn profile() -> OptionParser<Call> {
+fn profile() -> OptionParser<Invocation> {
     let apply = {
         let expect = long("expect")
             .help("Refuse unless this is the current revision; 0 if there is none")
@@ -288,7 +289,7 @@
         let wait = wait();
         let name = profile_name();
         let file = positional("FILE").help("The profile, JSON with comments");
-        leaf(
+        leaf_command(
             construct!(Profile::Apply {
                 expect,
                 wait,
@@ -300,31 +301,31 @@
         .command("apply")
         .help("Write a profile from a file")
     };
-    let get = leaf(profile_name().map(Profile::Get).map(Action::Profile))
+    let get = leaf_command(profile_name().map(Profile::Get).map(Action::Profile))
         .command("get")
         .help("Show a profile");
-    let list = leaf(bpaf::pure(Action::Profile(Profile::List)))
+    let list = leaf_command(bpaf::pure(Action::Profile(Profile::List)))
         .command("list")
         .help("Show all profiles");
     let diff = {
         let name = profile_name();
         let file = positional("FILE").help("The profile, JSON with comments");
-        leaf(construct!(Profile::Diff { name, file }).map(Action::Profile))
+        leaf_command(construct!(Profile::Diff { name, file }).map(Action::Profile))
             .command("diff")
             .help("Show how a file differs from a profile")
     };
-    let history = leaf(profile_name().map(Profile::History).map(Action::Profile))
+    let history = leaf_command(profile_name().map(Profile::History).map(Action::Profile))
         .command("history")
         .help("Show a profile's last revisions");
     construct!([apply, get, list, diff, history]).to_options()
 }
 
-fn service() -> OptionParser<Call> {
+fn service() -> OptionParser<Invocation> {
     let choose = {
         let wait = wait();
         let service = service_name();
         let profile = positional("PROFILE").help("A profile that exists");
-        leaf(
+        leaf_command(
             construct!(Service::Choose {
                 wait,
                 service,
@@ -339,7 +340,7 @@
         let service = service_name();
         let address = positional("ADDRESS").help("Where callers reach it, IP:PORT");
         let profile = positional("PROFILE").help("A profile that exists");
-        leaf(
+        leaf_command(
             construct!(Service::Add {
                 service,
                 address,
@@ -350,93 +351,93 @@
         .command("add")
         .help("Add a service")
     };
-    let get = leaf(service_name().map(Service::Get).map(Action::Service))
+    let get = leaf_command(service_name().map(Service::Get).map(Action::Service))
         .command("get")
         .help("Show a service");
-    let list = leaf(bpaf::pure(Action::Service(Service::List)))
+    let list = leaf_command(bpaf::pure(Action::Service(Service::List)))
         .command("list")
         .help("Show all services");
     construct!([choose, add, get, list]).to_options()
 }
 
-fn instance() -> OptionParser<Call> {
+fn instance() -> OptionParser<Invocation> {
     let undo = undo();
     let wait = wait();
     let name = positional("NAME").help("Name of the instance");
-    leaf(construct!(Drain::Instance { undo, wait, name }).map(Action::Drain))
+    leaf_command(construct!(Drain::Instance { undo, wait, name }).map(Action::Drain))
         .command("drain")
         .help("Let an instance hand its slices over, or stay after all")
         .to_options()
 }
 
-fn server() -> OptionParser<Call> {
+fn server() -> OptionParser<Invocation> {
     let undo = undo();
     let name = positional("NAME").help("Name of the server");
-    leaf(construct!(Drain::Server { undo, name }).map(Action::Drain))
+    leaf_command(construct!(Drain::Server { undo, name }).map(Action::Drain))
         .command("drain")
         .help("Let a server take no new work, or take it again")
         .to_options()
 }
 
-fn zone() -> OptionParser<Call> {
+fn zone() -> OptionParser<Invocation> {
     let undo = long("undo").help("Use the zone's servers again").switch();
     let wait = wait();
     let name = positional("ZONE").help("Name of the availability zone");
-    leaf(construct!(Drain::Zone { undo, wait, name }).map(Action::Drain))
+    leaf_command(construct!(Drain::Zone { undo, wait, name }).map(Action::Drain))
         .command("evacuate")
-        .help("Let a zone's servers get nothing new until it is undone; open feeds stay")
+        .help("Stop new work to a zone's servers until undone; open feeds stay")
         .to_options()
 }
 
-fn explain() -> impl Parser<Call> {
+fn explain() -> impl Parser<Invocation> {
     let service = long("service")
         .help("The service that was asked")
         .argument("SERVICE");
     let caller = long("caller")
         .help("The caller's address, IP:PORT")
         .argument("ADDRESS");
-    leaf(construct!(Action::Explain { service, caller }))
+    leaf_command(construct!(Action::Explain { service, caller }))
         .command("explain")
-        .help("Show what was done for a caller, and why")
+        .help("Show the decisions made for a caller, with reasons")
 }
 
-fn report() -> OptionParser<Call> {
+fn report() -> OptionParser<Invocation> {
     let plot = long("plot")
         .help("Draw the report into this file, SVG")
         .argument::<PathBuf>("FILE")
         .optional();
-    leaf(construct!(Action::Burn { plot }))
+    leaf_command(construct!(Action::Burn { plot }))
         .command("burn")
         .help("Show how fast each service uses up its error budget")
         .to_options()
 }
 
-fn view() -> impl Parser<Call> {
+fn view() -> impl Parser<Invocation> {
     let address = positional("ADDRESS").help("Its status address, IP:PORT");
-    leaf(construct!(Action::View(address)))
+    leaf_command(construct!(Action::View(address)))
         .command("view")
-        .help("Show what an entry instance on the users' platform believes")
+        .help("Show the state of an entry instance on the users' platform")
 }
 
-fn completions() -> impl Parser<Call> {
+fn completions() -> impl Parser<Invocation> {
     let shell = positional::<Shell>("SHELL").help("bash, zsh or fish");
-    leaf(shell.map(Action::Completions))
+    leaf_command(shell.map(Action::Completions))
         .command("completions")
         .help("Print a shell's completions")
 }
 
-/// The script by which a shell completes this program's command line.
-pub(crate) fn script(shell: Shell) -> String {
+/// The completion script of a shell for this program.
+pub(crate) fn completion_script(shell: Shell) -> String {
     let argument = match shell {
         Shell::Bash => "--bpaf-complete-style-bash",
         Shell::Zsh => "--bpaf-complete-style-zsh",
         Shell::Fish => "--bpaf-complete-style-fish",
     };
     let arguments = [std::ffi::OsString::from(argument)];
-    let arguments = bpaf::Args::from(&arguments[..]).set_name(NAME);
+    let arguments = bpaf::Args::from(&arguments[..]).set_name(PROGRAM_NAME);
     match options().run_inner(arguments) {
         Err(bpaf::ParseFailure::Completion(script)) => script,
-        // The library answers these arguments with a script and nothing else.
+        // The library responds to these arguments with a script only.
         _ => String::new(),
     }
 }
--- a/src/bin/godwitreel/config.rs
+++ b/src/bin/godwitreel/config.rs
@@ -1,4 +1,4 @@
-//! The tool's own settings: a file in JSON with comments, then the command line.
+//! Settings of the tool: a file in JSON with comments, overridden by the command line.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -12,28 +12,28 @@
 use godwitreel::settings;
 use serde::Deserialize;
 
-use crate::app::Common;
+use crate::app::CommonOptions;
 
-/// Time for an instance's answer unless the file says otherwise, in milliseconds.
-const INSTANCE_TIMEOUT_MS: u64 = 2_000;
-/// Longest such time, in milliseconds.
-const LONGEST_TIMEOUT_MS: u64 = 60_000;
+/// Default timeout for an instance's answer, in milliseconds.
+const DEFAULT_INSTANCE_TIMEOUT_MS: u64 = 2_000;
+/// Greatest timeout for an instance's answer, in milliseconds.
+const MAX_INSTANCE_TIMEOUT_MS: u64 = 60_000;
 
-/// The file.
+/// The settings file.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-struct File {
-    /// Addresses of the platform's service, which are one store.
+struct SettingsFile {
+    /// Addresses of the platform's service, all of one store.
     platform: Vec<BaseUrl>,
-    /// Who makes the changes.
+    /// Name recorded with each change.
     operator: Option<id::Operator>,
-    /// Status addresses that are asked also when the platform is down.
+    /// Status addresses that are queried even if the platform is unreachable.
     instances: BTreeMap<id::Instance, id::Endpoint>,
-    /// Time for an instance's answer, in milliseconds.
+    /// Timeout for an instance's answer, in milliseconds.
     instance_timeout_ms: Option<u64>,
 }
 
-/// What holds for this call.
+/// Effective settings of this run.
 pub(crate) struct Config {
     pub(crate) platform: Vec<BaseUrl>,
     pub(crate) operator: Option<id::Operator>,
@@ -44,19 +44,21 @@
 
 impl Config {
     /// Reads the file, if one is given, and lets the command line override it.
-    pub(crate) fn load(common: &Common) -> Result<Self> {
+    pub(crate) fn load(common: &CommonOptions) -> Result<Self> {
         let file = match &common.config {
-            Some(path) => parse(path)?,
-            None => File::default(),
+            Some(path) => read_file(path)?,
+            None => SettingsFile::default(),
         };
         let platform = match common.platform.as_slice() {
             [] => file.platform,
             given => given.to_vec(),
         };
-        let timeout_ms = file.instance_timeout_ms.unwrap_or(INSTANCE_TIMEOUT_MS);
-        if !(1..=LONGEST_TIMEOUT_MS).contains(&timeout_ms) {
-            let allowed = format!("1 to {LONGEST_TIMEOUT_MS}");
-            return Err(refuse("instance_timeout_ms", timeout_ms, &allowed));
+        let timeout_ms = file
+            .instance_timeout_ms
+            .unwrap_or(DEFAULT_INSTANCE_TIMEOUT_MS);
+        if !(1..=MAX_INSTANCE_TIMEOUT_MS).contains(&timeout_ms) {
+            let allowed = format!("1 to {MAX_INSTANCE_TIMEOUT_MS}");
+            return Err(field_error("instance_timeout_ms", timeout_ms, &allowed));
         }
         Ok(Self {
             platform,
@@ -67,11 +69,11 @@
         })
     }
 
-    /// The operator's name, which every change carries.
+    /// The operator's name, recorded with every change.
     pub(crate) fn operator(&self) -> Result<&id::Operator> {
         self.operator.as_ref().ok_or_else(|| {
             let allowed = "--operator NAME, or operator in the settings";
-            refuse("operator", "missing", allowed)
+            field_error("operator", "missing", allowed)
         })
     }
 
@@ -79,17 +81,17 @@
     pub(crate) fn platform(&self) -> Result<Vec<BaseUrl>> {
         if self.platform.is_empty() {
             let allowed = "--platform http://IP:PORT, or platform in the settings";
-            return Err(refuse("platform", "missing", allowed));
+            return Err(field_error("platform", "missing", allowed));
         }
         Ok(self.platform.clone())
     }
 }
 
-fn parse(path: &Path) -> Result<File> {
+fn read_file(path: &Path) -> Result<SettingsFile> {
     settings::parse(path, &settings::read(path)?)
 }
 
-fn refuse(field: &str, value: impl ToString, allowed: &str) -> Error {
+fn field_error(field: &str, value: impl ToString, allowed: &str) -> Error {
     Error::Field {
         file: "settings".into(),
         line: 0,
--- a/src/bin/godwitreel/exit.rs
+++ b/src/bin/godwitreel/exit.rs
@@ -1,12 +1,12 @@
-//! Exit codes.
+//! Exit codes of the operators' tool.
 
 use std::process::ExitCode;
 
 use godwitreel::Error;
 
-/// The codes as the help tells them.
+/// Description of the exit codes in the help text.
 ///
-/// The library keeps the line breaks before lines that start with a space.
+/// The argument parser keeps a line break only if the next line starts with a space.
 pub(crate) const HELP: &str = "Exit codes:
  0  Done.
  1  Usage or settings: nothing was sent.
@@ -15,14 +15,14 @@
  4  Partly: instances not heard from, or not there in time, are named.
  5  Platform unreachable, or the instance to view: nothing was written.";
 
-/// How the program ends.
+/// Exit status of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Exit {
     Done = 0,
     Usage = 1,
     Refused = 2,
     Unknown = 3,
-    Partly = 4,
+    Partial = 4,
     Unreachable = 5,
 }
 
@@ -31,9 +31,9 @@
         self as u8
     }
 
-    /// The code for an error. Commands return errors only when nothing was
-    /// written, so a call without an answer was a read.
-    pub(crate) fn of(error: &Error) -> Self {
+    /// The status for an error. Commands return errors only if nothing was written, so an
+    /// unanswered call was a read.
+    pub(crate) fn for_error(error: &Error) -> Self {
         match error {
             Error::Unanswered { .. }
             | Error::Unreachable { .. }
@@ -44,9 +44,13 @@
         }
     }
 
-    /// The code for an answer that may lack parts.
-    pub(crate) fn whole(is_whole: bool) -> Self {
-        if is_whole { Self::Done } else { Self::Partly }
+    /// The status for a result that may be incomplete.
+    pub(crate) fn for_completeness(is_complete: bool) -> Self {
+        if is_complete {
+            Self::Done
+        } else {
+            Self::Partial
+        }
     }
 }
 
--- a/src/bin/godwitreel/run.rs
+++ b/src/bin/godwitreel/run.rs
@@ -1,4 +1,4 @@
-//! Carries one action out and prints its result.
+//! Runs one command and prints its result.
 
 use std::io::Write;
 use std::path::Path;
@@ -32,19 +32,19 @@
 use crate::config::Config;
 use crate::exit::Exit;
 
-/// A command's result and, if that was asked for, how far it has come.
+/// A command's result and, with `--wait`, the progress of its effect.
 #[derive(Serialize)]
-struct Waited<T, W> {
+struct WithProgress<T, W> {
     #[serde(flatten)]
     result: T,
     #[serde(skip_serializing_if = "Option::is_none")]
     wait: Option<W>,
 }
 
-/// Carries an action out.
+/// Runs a command.
 pub(crate) async fn run(action: Action, config: &Config) -> Result<Exit> {
     if let Action::Completions(shell) = action {
-        say(&app::script(shell));
+        print_line(&app::completion_script(shell));
         return Ok(Exit::Done);
     }
     if let Action::View(address) = action {
@@ -52,7 +52,7 @@
         print(config, &status, render::view);
         return Ok(Exit::Done);
     }
-    let fleet = fleet(config)?;
+    let fleet = connect(config)?;
     match action {
         Action::Profile(action) => profile(action, config, &fleet).await,
         Action::Service(action) => service(action, config, &fleet).await,
@@ -60,19 +60,19 @@
         Action::Status => {
             let status = query::status::status(&fleet).await?;
             print(config, &status, render::status);
-            Ok(Exit::whole(status.is_whole()))
+            Ok(Exit::for_completeness(status.is_whole()))
         }
         Action::Explain { service, caller } => {
-            let account = query::explain::explain(&fleet, &service, caller).await?;
-            print(config, &account, render::account);
-            Ok(Exit::whole(account.is_whole()))
+            let history = query::explain::explain(&fleet, &service, caller).await?;
+            print(config, &history, render::caller_history);
+            Ok(Exit::for_completeness(history.is_whole()))
         }
         Action::Burn { plot } => burn(config, &fleet, plot.as_deref()).await,
         Action::View(_) | Action::Completions(_) => Ok(Exit::Done),
     }
 }
 
-fn fleet(config: &Config) -> Result<Fleet> {
+fn connect(config: &Config) -> Result<Fleet> {
     let options = Options {
         seed: rand::random(),
         ..Options::default()
@@ -82,11 +82,12 @@
 }
 
 fn print<T: Serialize>(config: &Config, result: &T, table: impl FnOnce(&T) -> String) {
-    say(&config.output.text(result, table));
+    print_line(&config.output.text(result, table));
 }
 
-/// Prints a text; a reader that has gone away must not hide the exit code.
-pub(crate) fn say(text: &str) {
+/// Prints text and a line end to standard output. A write error, such as a closed pipe,
+/// is ignored so that it does not change the exit code.
+pub(crate) fn print_line(text: &str) {
     let _ = writeln!(std::io::stdout(), "{text}");
 }
 
@@ -99,10 +100,10 @@
             name,
             file,
         } => {
-            let body = read(&file)?;
+            let body = read_profile(&file)?;
             let operator = config.operator()?;
             let change = command::profile::apply(client, operator, &name, body, expect).await?;
-            Ok(finish(config, fleet, change, wait).await)
+            Ok(report_change(config, fleet, change, wait).await)
         }
         Profile::Get(name) => {
             let profile = query::profile::get(client, &name).await?;
@@ -115,7 +116,7 @@
             Ok(Exit::Done)
         }
         Profile::Diff { name, file } => {
-            let diff = query::profile::diff(client, &name, &read(&file)?).await?;
+            let diff = query::profile::diff(client, &name, &read_profile(&file)?).await?;
             print(config, &diff, render::diff);
             Ok(Exit::Done)
         }
@@ -127,7 +128,7 @@
     }
 }
 
-fn read(file: &Path) -> Result<document::Profile> {
+fn read_profile(file: &Path) -> Result<document::Profile> {
     settings::profile(file, &settings::read(file)?)
 }
 
@@ -141,7 +142,7 @@
         } => {
             let operator = config.operator()?;
             let change = command::service::choose(client, operator, &service, &profile).await?;
-            Ok(finish(config, fleet, change, wait).await)
+            Ok(report_change(config, fleet, change, wait).await)
         }
         Service::Add {
             service,
@@ -151,7 +152,7 @@
             let body = document::Service { profile, address };
             let operator = config.operator()?;
             let change = command::service::add(client, operator, &service, body).await?;
-            Ok(finish(config, fleet, change, None).await)
+            Ok(report_change(config, fleet, change, None).await)
         }
         Service::Get(name) => {
             let service = query::service::get(client, &name).await?;
@@ -166,8 +167,8 @@
     }
 }
 
-/// Waits for an accepted change, if that is wanted, and prints all.
-async fn finish<T: Serialize>(
+/// Waits until an accepted change is in force if `limit` is given, then prints the result.
+async fn report_change<T: Serialize>(
     config: &Config,
     fleet: &Fleet,
     result: Change<T>,
@@ -180,14 +181,16 @@
         _ => None,
     };
     let exit = match &result.outcome {
-        Outcome::Accepted { .. } => Exit::whole(wait.as_ref().is_none_or(Rollout::is_whole)),
+        Outcome::Accepted { .. } => {
+            Exit::for_completeness(wait.as_ref().is_none_or(Rollout::is_whole))
+        }
         Outcome::Refused { .. } => Exit::Refused,
         Outcome::Unknown { .. } => Exit::Unknown,
     };
-    let waited = Waited { result, wait };
-    print(config, &waited, |waited| {
-        let rollout = waited.wait.as_ref().map(render::rollout);
-        lines(render::change(&waited.result), rollout)
+    let progress = WithProgress { result, wait };
+    print(config, &progress, |progress| {
+        let rollout = progress.wait.as_ref().map(render::rollout);
+        join_lines(render::change(&progress.result), rollout)
     });
     exit
 }
@@ -200,14 +203,14 @@
             let result = command::drain::instance(client, operator, &name, undo).await?;
             let accepted = result.outcome == command::drain::Outcome::Accepted;
             let wait = match wait.filter(|_| accepted) {
-                Some(limit) => Some(departure(fleet, &name, undo, limit).await),
+                Some(limit) => Some(wait_for_departure(fleet, &name, undo, limit).await),
                 None => None,
             };
-            Ok(left(config, result, wait))
+            Ok(report_drain(config, result, wait))
         }
         Drain::Server { undo, name } => {
             let result = command::drain::server(client, operator, &name, undo).await?;
-            Ok(left(config, result, None))
+            Ok(report_drain(config, result, None))
         }
         Drain::Zone { undo, wait, name } => {
             let result = command::drain::zone(client, operator, &name, undo).await?;
@@ -216,25 +219,30 @@
                 Some(limit) => Some(query::evacuation::wait(fleet, &name, !undo, limit).await),
                 None => None,
             };
-            let exit = Exit::whole(wait.as_ref().is_none_or(Evacuation::is_whole));
-            let exit = ordered(result.outcome, exit);
-            let waited = Waited { result, wait };
-            print(config, &waited, |waited| {
-                let evacuation = waited.wait.as_ref().map(render::evacuation);
-                lines(render::drain(&waited.result), evacuation)
+            let exit = Exit::for_completeness(wait.as_ref().is_none_or(Evacuation::is_whole));
+            let exit = order_exit(result.outcome, exit);
+            let progress = WithProgress { result, wait };
+            print(config, &progress, |progress| {
+                let evacuation = progress.wait.as_ref().map(render::evacuation);
+                join_lines(render::drain(&progress.result), evacuation)
             });
             Ok(exit)
         }
     }
 }
 
-async fn departure(fleet: &Fleet, name: &id::Instance, undo: bool, limit: Duration) -> Departure {
+async fn wait_for_departure(
+    fleet: &Fleet,
+    name: &id::Instance,
+    undo: bool,
+    limit: Duration,
+) -> Departure {
     let goal = if undo { Goal::Staying } else { Goal::Drained };
     query::departure::wait(fleet, name, goal, limit).await
 }
 
-/// The exit of an order; `accepted` is that of one that was accepted.
-fn ordered(outcome: command::drain::Outcome, accepted: Exit) -> Exit {
+/// Exit status of an order; `accepted` is the status of an accepted one.
+fn order_exit(outcome: command::drain::Outcome, accepted: Exit) -> Exit {
     match outcome {
         command::drain::Outcome::Accepted => accepted,
         command::drain::Outcome::Refused => Exit::Refused,
@@ -242,18 +250,18 @@
     }
 }
 
-fn left(config: &Config, result: command::drain::Drain, wait: Option<Departure>) -> Exit {
+fn report_drain(config: &Config, result: command::drain::Drain, wait: Option<Departure>) -> Exit {
     let reached = wait.as_ref().is_none_or(|departure| departure.reached);
-    let exit = ordered(result.outcome, Exit::whole(reached));
-    let waited = Waited { result, wait };
-    print(config, &waited, |waited| {
-        let departure = waited.wait.as_ref().map(render::departure);
-        lines(render::drain(&waited.result), departure)
+    let exit = order_exit(result.outcome, Exit::for_completeness(reached));
+    let progress = WithProgress { result, wait };
+    print(config, &progress, |progress| {
+        let departure = progress.wait.as_ref().map(render::departure);
+        join_lines(render::drain(&progress.result), departure)
     });
     exit
 }
 
-fn lines(first: String, second: Option<String>) -> String {
+fn join_lines(first: String, second: Option<String>) -> String {
     match second {
         Some(second) => format!("{first}\n{second}"),
         None => first,
@@ -266,16 +274,16 @@
         Output::Table => report.text(),
         Output::Json => report.json()?,
     };
-    // Before the report is printed: a failure prints a value of its own, and
-    // standard output must stay one JSON value.
+    // The plot is written before the report is printed: a failure prints a JSON value of
+    // its own, and standard output must hold exactly one.
     if let Some(path) = plot {
-        draw(path, &report.svg()?)?;
+        write_plot(path, &report.svg()?)?;
     }
-    say(&text);
-    Ok(Exit::whole(report.is_whole()))
+    print_line(&text);
+    Ok(Exit::for_completeness(report.is_whole()))
 }
 
-fn draw(path: &Path, plot: &str) -> Result<()> {
+fn write_plot(path: &Path, plot: &str) -> Result<()> {
     std::fs::write(path, plot).map_err(|source| Error::Io {
         step: "write plot",
         peer: path.display().to_string(),
--- a/src/bin/godwitreeld/app.rs
+++ b/src/bin/godwitreeld/app.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line of the daemon.
 
 use std::path::PathBuf;
 
--- a/src/bin/godwitreeld/main.rs
+++ b/src/bin/godwitreeld/main.rs
@@ -1,7 +1,7 @@
-//! The daemon: reads its settings, runs one entry instance, stops on a signal.
+//! The daemon: reads its settings, runs one entry instance and stops on a signal.
 //!
-//! Exit codes: 0 after a graceful stop that cut nothing, 1 when the settings are
-//! refused or an address cannot be bound, 2 when requests were cut off.
+//! Exit codes: 0 after a graceful stop that interrupted no request, 1 if the settings
+//! are refused or an address cannot be bound, 2 if requests were interrupted.
 
 mod app;
 
@@ -18,35 +18,35 @@
 use tokio::signal::unix::Signal;
 use tokio::signal::unix::SignalKind;
 
-const REFUSED: u8 = 1;
-const CUT: u8 = 2;
+const EXIT_FAILED: u8 = 1;
+const EXIT_REQUESTS_CUT: u8 = 2;
 
 fn main() -> ExitCode {
     let arguments = app::arguments().run();
     let settings = match settings::Daemon::load(&arguments.settings) {
         Ok(settings) => settings,
-        Err(error) => return refuse(&error),
+        Err(error) => return fail(&error),
     };
     if arguments.check {
         println!("{}: settings are in order", arguments.settings.display());
         return ExitCode::SUCCESS;
     }
-    // Dropped last: it waits until the records are written.
-    let (log, _flush) = log::logger(&settings.log);
+    // Dropped last: its drop waits until all log records are written.
+    let (log, _log_guard) = log::logger(&settings.log);
     let runtime = match tokio::runtime::Runtime::new() {
         Ok(runtime) => runtime,
-        Err(error) => return refuse(&error),
+        Err(error) => return fail(&error),
     };
     match runtime.block_on(run(settings, log)) {
         Ok(stopped) if stopped.cut == 0 => ExitCode::SUCCESS,
-        Ok(_) => ExitCode::from(CUT),
-        Err(error) => refuse(&error),
+        Ok(_) => ExitCode::from(EXIT_REQUESTS_CUT),
+        Err(error) => fail(&error),
     }
 }
 
-fn refuse(error: &dyn std::error::Error) -> ExitCode {
+fn fail(error: &dyn std::error::Error) -> ExitCode {
     eprintln!("godwitreeld: {error}");
-    ExitCode::from(REFUSED)
+    ExitCode::from(EXIT_FAILED)
 }
 
 async fn run(settings: settings::Daemon, log: Logger) -> Result<daemon::Stopped> {
@@ -62,11 +62,11 @@
         return Ok(stopped);
     }
     let stopped = handle.abort();
-    warn!(log, "second signal: ending at once"; "cut" => stopped.cut, "kept" => stopped.kept);
+    warn!(log, "second signal: aborting the graceful stop"; "cut" => stopped.cut, "kept" => stopped.kept);
     Ok(stopped)
 }
 
-/// The signals that stop the daemon.
+/// The signals that stop the daemon: SIGTERM and SIGINT.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
--- a/src/query.rs
+++ b/src/query.rs
@@ -1,5 +1,5 @@
-//! What operators ask: queries change nothing, neither in the platform nor at
-//! an instance. What changes something is a [`crate::command`].
+//! Operators' queries: read-only, in the platform as well as at the instances.
+//! Operations that write are in [`crate::command`].
 
 pub mod burn;
 pub mod departure;
--- a/src/query/burn.rs
+++ b/src/query/burn.rs
@@ -1,4 +1,4 @@
-//! The burn report over all instances.
+//! Query for the burn report over all instances.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 use crate::fleet::Fleet;
 use crate::query::status;
 
-/// Asks every instance for its counts and merges them.
+/// Requests the event counts of every instance and merges them.
 ///
 /// # Errors
 ///
-/// Fails when no instance is known, since the platform gives no list.
+/// Fails when the platform gives no list of instances and none is configured.
 pub async fn report(fleet: &Fleet, timeout: Duration) -> Result<Report> {
-    let members = status::known(fleet).await?;
+    let members = status::known_members(fleet).await?;
     let instances: Vec<_> = members
         .addresses
         .iter()
--- a/src/query/departure.rs
+++ b/src/query/departure.rs
@@ -1,4 +1,4 @@
-//! Waiting until an instance has handed over what it decides for.
+//! Waits until an instance has handed over its slices and finished its requests.
 
 use std::time::Duration;
 
@@ -13,37 +13,37 @@
 use crate::fleet::Gathered;
 use crate::fleet::Members;
 use crate::id;
-use crate::query::rollout::POLL_EVERY;
+use crate::query::rollout::POLL_INTERVAL;
 use crate::query::status;
 use crate::status::Status;
 use crate::table::Document;
 use crate::table::Row;
 
-/// What an instance is to become.
+/// State that an instance is to reach.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Goal {
-    /// Home of no slice and without requests in progress, or gone.
+    /// Home of no slice and without requests in progress, or no longer registered.
     Drained,
-    /// Not leaving.
+    /// Not draining.
     Staying,
 }
 
-/// How far an instance has come.
+/// Progress of an instance toward a [`Goal`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Departure {
-    /// Its name.
+    /// Name of the instance.
     pub instance: id::Instance,
-    /// What was waited for.
+    /// State that was waited for.
     pub goal: Goal,
-    /// Whether that was seen.
+    /// Whether the instance was seen in that state.
     pub reached: bool,
-    /// What was seen last.
+    /// Description of the last observation.
     pub seen: String,
 }
 
-/// Asks until the instance is there or the time is over; the last round may end
-/// later by the calls' own timeouts.
+/// Polls until the instance has reached the goal or `limit` has passed. The last round
+/// may end later by the timeouts of its calls.
 pub async fn wait(
     fleet: &Fleet,
     instance: &id::Instance,
@@ -52,8 +52,8 @@
 ) -> Departure {
     let until = Instant::now() + limit;
     loop {
-        let (reached, seen) = look(fleet, instance, goal).await;
-        if reached || Instant::now() + POLL_EVERY >= until {
+        let (reached, seen) = check(fleet, instance, goal).await;
+        if reached || Instant::now() + POLL_INTERVAL >= until {
             return Departure {
                 instance: instance.clone(),
                 goal,
@@ -61,36 +61,37 @@
                 seen,
             };
         }
-        time::sleep(POLL_EVERY).await;
+        time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn look(fleet: &Fleet, instance: &id::Instance, goal: Goal) -> (bool, String) {
+async fn check(fleet: &Fleet, instance: &id::Instance, goal: Goal) -> (bool, String) {
     let mut members = fleet.members().await;
     members.addresses.retain(|name, _| name == instance);
     members
         .unreadable
         .retain(|silence| silence.instance == instance.as_str());
     let gathered = status::ask(fleet, &members).await;
-    match judge(&members, &gathered, instance, goal) {
-        Some(judged) => judged,
+    match evaluate(&members, &gathered, instance, goal) {
+        Some(result) => result,
         None if goal == Goal::Staying => (false, "not registered".to_owned()),
         None => unregistered(fleet, instance).await,
     }
 }
 
-/// Whether an instance that is not registered is gone. Its lease may just have
-/// lapsed while the platform was away; the slice table tells whether it would
-/// still decide for anything.
+/// Determines whether an instance that is not registered has drained. Its lease may
+/// have expired only because the platform was unreachable; the slice table shows
+/// whether it is still home of any slice.
 async fn unregistered(fleet: &Fleet, instance: &id::Instance) -> (bool, String) {
-    match homes(fleet, instance).await {
+    match count_homes(fleet, instance).await {
         Ok(0) => (true, "not registered".to_owned()),
         Ok(homes) => (false, format!("not registered, but home of {homes} slices")),
         Err(error) => (false, format!("not registered; slices not known: {error}")),
     }
 }
 
-async fn homes(fleet: &Fleet, instance: &id::Instance) -> Result<usize> {
+/// Number of slices that the table assigns to an instance.
+async fn count_homes(fleet: &Fleet, instance: &id::Instance) -> Result<usize> {
     let listing = fleet.platform().list(SLICES_PREFIX).await?;
     let is_home = |row: &&Row| row.home.as_ref().is_some_and(|h| h.instance == *instance);
     let mut homes = 0;
@@ -106,10 +107,10 @@
     Ok(homes)
 }
 
-/// Judges an instance that is listed, or that nobody can tell of. Silence alone
-/// never counts as gone: an instance behind a broken link may still be home of its
-/// slices.
-fn judge(
+/// Evaluates an instance that is listed or may be. `None` if it is known not to be
+/// registered. A missing answer never counts as drained: an instance behind a broken
+/// link may still be home of its slices.
+fn evaluate(
     members: &Members,
     gathered: &Gathered<Status>,
     instance: &id::Instance,
--- a/src/query/evacuation.rs
+++ b/src/query/evacuation.rs
@@ -1,4 +1,4 @@
-//! Waiting until every instance knows that a zone is evacuated, or is not any more.
+//! Waits until every instance acts on a zone's evacuation or on its end.
 
 use std::time::Duration;
 
@@ -10,24 +10,24 @@
 use crate::fleet::Gathered;
 use crate::fleet::Silence;
 use crate::id;
-use crate::query::rollout::POLL_EVERY;
+use crate::query::rollout::POLL_INTERVAL;
 use crate::query::status;
 use crate::status::Status;
 
-/// How far an order about a zone has come.
+/// Progress of an order to evacuate a zone or to use it again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Evacuation {
     /// The zone.
     pub zone: id::Zone,
-    /// Whether it is to be evacuated, or to be used again.
+    /// Whether the zone is to be evacuated (else used again).
     pub is_evacuated: bool,
     /// Instances that act on the order.
     pub in_force: Vec<id::Instance>,
-    /// Instances that do not yet.
+    /// Instances that do not act on it yet.
     pub behind: Vec<id::Instance>,
     /// Instances that gave no answer.
     pub silent: Vec<Silence>,
-    /// Why the platform's list of instances could not be read, if so.
+    /// Why the list of instances may be incomplete, or `None` if it is complete.
     pub unlisted: Option<String>,
 }
 
@@ -42,23 +42,23 @@
             unlisted: gathered.unlisted,
         };
         for (instance, status) in gathered.heard {
-            let side = match status.evacuated.contains(zone) == is_evacuated {
+            let group = match status.evacuated.contains(zone) == is_evacuated {
                 true => &mut evacuation.in_force,
                 false => &mut evacuation.behind,
             };
-            side.push(instance);
+            group.push(instance);
         }
         evacuation
     }
 
-    /// Whether every instance acts on the order, as far as the list goes.
+    /// Whether every listed instance acts on the order and the list of instances is complete.
     pub fn is_whole(&self) -> bool {
         self.behind.is_empty() && self.silent.is_empty() && self.unlisted.is_none()
     }
 }
 
-/// Asks until all instances act on the order or the time is over; the last round may
-/// end later by the calls' own timeouts.
+/// Polls until all instances act on the order or `limit` has passed. The last round may
+/// end later by the timeouts of its calls.
 pub async fn wait(
     fleet: &Fleet,
     zone: &id::Zone,
@@ -70,9 +70,9 @@
         let members = fleet.members().await;
         let gathered = status::ask(fleet, &members).await;
         let evacuation = Evacuation::new(zone, is_evacuated, gathered);
-        if evacuation.is_whole() || Instant::now() + POLL_EVERY >= until {
+        if evacuation.is_whole() || Instant::now() + POLL_INTERVAL >= until {
             return evacuation;
         }
-        time::sleep(POLL_EVERY).await;
+        time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/src/query/explain.rs
+++ b/src/query/explain.rs
@@ -1,4 +1,4 @@
-//! What was done for a caller, and why, from all instances.
+//! Query for the decisions that all instances made for a caller, with their reasons.
 
 use serde::Serialize;
 
@@ -9,45 +9,45 @@
 use crate::query::status;
 use crate::status::Trace;
 
-/// One thing that was done, and where.
+/// One decision, with the instance that made it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Step {
-    /// The instance that did it.
+    /// The instance that made the decision.
     pub instance: id::Instance,
-    /// What it did.
+    /// The decision.
     #[serde(flatten)]
     pub trace: Trace,
 }
 
-/// What the instances tell of a caller.
+/// The decisions of all instances for one caller.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct CallerHistory {
     /// The steps, newest first.
     pub steps: Vec<Step>,
-    /// Who was not heard from.
+    /// Instances that gave no answer.
     pub silent: Vec<Silence>,
-    /// Why the platform's list could not be read, if so.
+    /// Why the list of instances may be incomplete, or `None` if it is complete.
     pub unlisted: Option<String>,
 }
 
 impl CallerHistory {
-    /// Whether every instance was heard, as far as the platform's list goes.
+    /// Whether every listed instance answered and the list of instances is complete.
     pub fn is_whole(&self) -> bool {
         self.silent.is_empty() && self.unlisted.is_none()
     }
 }
 
-/// Asks every instance what it did for a caller of a service.
+/// Requests from every instance its decisions for a caller of a service.
 ///
 /// # Errors
 ///
-/// Fails when no instance is known, since the platform gives no list.
+/// Fails when the platform gives no list of instances and none is configured.
 pub async fn explain(
     fleet: &Fleet,
     service: &id::Service,
     caller: id::Endpoint,
 ) -> Result<CallerHistory> {
-    let members = status::known(fleet).await?;
+    let members = status::known_members(fleet).await?;
     let path = format!("/explain?service={service}&caller={caller}");
     let gathered = fleet.ask::<Vec<Trace>>(&members, &path).await;
     let mut steps: Vec<Step> = gathered
--- a/src/query/profile.rs
+++ b/src/query/profile.rs
@@ -1,4 +1,4 @@
-//! Profiles as they stand, as they stood, and against a file.
+//! Queries for profiles: stored, earlier revisions, and differences from a file.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 use crate::path;
 use crate::platform::Client;
 use crate::query::stored;
-use crate::query::stored::Line;
+use crate::query::stored::ListedDocument;
 
 /// A profile's envelope.
 pub type Profile = Envelope<document::Profile>;
@@ -20,7 +20,7 @@
 /// One field in which two profiles differ.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Difference {
-    /// The field, dotted.
+    /// Path of the field, joined by dots.
     pub field: String,
     /// Its value in the platform.
     pub stored: Value,
@@ -28,20 +28,20 @@
     pub file: Value,
 }
 
-/// A profile against a file.
+/// Differences between a stored profile and a file.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Diff {
     /// Name of the profile.
     pub name: id::Profile,
-    /// Revision that the file was compared with.
+    /// Revision of the stored profile.
     pub revision: id::Revision,
-    /// Who made that revision.
+    /// Operator who wrote that revision.
     pub operator: id::Operator,
     /// The fields that differ.
     pub differences: Vec<Difference>,
 }
 
-/// One profile.
+/// Reads one profile.
 ///
 /// # Errors
 ///
@@ -51,27 +51,30 @@
     Ok(stored.envelope)
 }
 
-/// All profiles.
+/// Reads all profiles.
 ///
 /// # Errors
 ///
 /// Fails when the platform gives no answer.
-pub async fn list(client: &Client) -> Result<Vec<Line<document::Profile>>> {
+pub async fn list(client: &Client) -> Result<Vec<ListedDocument<document::Profile>>> {
     stored::list(client, path::PROFILES).await
 }
 
-/// Kept envelopes of a profile, newest first.
+/// Reads the history of a profile, newest revision first.
 ///
 /// # Errors
 ///
 /// Fails when the platform gives no answer.
-pub async fn history(client: &Client, name: &id::Profile) -> Result<Vec<Line<document::Profile>>> {
-    let mut lines = stored::list(client, &path::history(name)).await?;
-    lines.sort_by_key(|line| std::cmp::Reverse(line.name.parse::<u64>().unwrap_or(0)));
-    Ok(lines)
+pub async fn history(
+    client: &Client,
+    name: &id::Profile,
+) -> Result<Vec<ListedDocument<document::Profile>>> {
+    let mut revisions = stored::list(client, &path::history(name)).await?;
+    revisions.sort_by_key(|listed| std::cmp::Reverse(listed.name.parse::<u64>().unwrap_or(0)));
+    Ok(revisions)
 }
 
-/// How a file's profile differs from the stored one.
+/// Compares a file's profile with the stored one.
 ///
 /// # Errors
 ///
@@ -100,7 +103,7 @@
         .collect()
 }
 
-/// Every field of a document by its dotted name.
+/// Every field of a document, by its path joined by dots.
 pub(crate) fn fields(document: &impl Serialize) -> BTreeMap<String, Value> {
     let mut fields = BTreeMap::new();
     // A document is plain data, whose conversion to JSON cannot fail.
--- a/src/query/rollout.rs
+++ b/src/query/rollout.rs
@@ -1,9 +1,9 @@
-//! Waiting until an accepted change is in force at every instance.
+//! Waits until an accepted change is in force at every instance.
 //!
-//! Instances that do not answer, refuse the document or have an older revision
-//! are named. While the platform's list cannot be read, or is empty, nothing can
-//! be said of all instances: right after an outage the leases of healthy
-//! instances may have lapsed, and an empty list would pass for success.
+//! Instances that do not answer, refuse the document or have an older revision are
+//! named. While the platform's list of instances cannot be read or is empty, the
+//! rollout is never complete: right after an outage the leases of healthy instances
+//! may have expired, and an empty list would pass for success.
 
 use std::time::Duration;
 
@@ -19,39 +19,39 @@
 use crate::query::status;
 use crate::status::Status;
 
-/// Time between two rounds of questions.
-pub(crate) const POLL_EVERY: Duration = Duration::from_millis(250);
+/// Pause between two rounds of polling.
+pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// An instance at which the revision is not in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Behind {
-    /// Its name.
+    /// Name of the instance.
     pub instance: id::Instance,
-    /// The revision in force there, if any.
+    /// The revision in force at the instance, if any.
     pub revision: Option<id::Revision>,
-    /// Why it refused a document of this name, if it did.
+    /// Why the instance refused a document of this name, if it did.
     pub refused: Option<String>,
 }
 
-/// How far a change has come.
+/// Progress of a change toward all instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Rollout {
     /// The document, as in `profiles/NAME`.
     pub document: String,
     /// The revision waited for.
     pub revision: id::Revision,
-    /// Where it, or a later one, is in force.
+    /// Instances where this revision, or a later one, is in force.
     pub in_force: Vec<id::Instance>,
-    /// Where it is not.
+    /// Instances where it is not.
     pub behind: Vec<Behind>,
-    /// Who was not heard from.
+    /// Instances that gave no answer.
     pub silent: Vec<Silence>,
-    /// Why the platform's list could not be read, if so.
+    /// Why the list of instances may be incomplete, or `None` if it is complete.
     pub unlisted: Option<String>,
 }
 
 impl Rollout {
-    /// Whether the revision is in force everywhere.
+    /// Whether the revision is in force at every instance and the list of instances is complete.
     pub fn is_whole(&self) -> bool {
         let complete = self.behind.is_empty() && self.silent.is_empty();
         complete && self.unlisted.is_none() && !self.in_force.is_empty()
@@ -82,8 +82,8 @@
     }
 }
 
-/// Asks until the revision is in force everywhere or the time is over; at least
-/// one round is made, and the last one may end later by the calls' own timeouts.
+/// Polls until the revision is in force at every instance or `limit` has passed. There
+/// is at least one round, and the last may end later by the timeouts of its calls.
 pub async fn wait(
     fleet: &Fleet,
     document: &str,
@@ -96,14 +96,15 @@
         refresh(&mut members, fleet.members().await);
         let gathered = status::ask(fleet, &members).await;
         let rollout = Rollout::new(document, revision, gathered);
-        if rollout.is_whole() || Instant::now() + POLL_EVERY >= until {
+        if rollout.is_whole() || Instant::now() + POLL_INTERVAL >= until {
             return rollout;
         }
-        time::sleep(POLL_EVERY).await;
+        time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Takes the newer list over; if it could not be read, keeps who was listed.
+/// Replaces the members by the newer list. If the list could not be read, keeps the
+/// earlier members and adds those known otherwise.
 fn refresh(members: &mut Members, fresh: Members) {
     if fresh.unlisted.is_none() {
         *members = fresh;
--- a/src/query/service.rs
+++ b/src/query/service.rs
@@ -1,4 +1,4 @@
-//! Services as they stand.
+//! Queries for services.
 
 use crate::document;
 use crate::document::Envelope;
@@ -7,9 +7,9 @@
 use crate::path;
 use crate::platform::Client;
 use crate::query::stored;
-use crate::query::stored::Line;
+use crate::query::stored::ListedDocument;
 
-/// One service.
+/// Reads one service.
 ///
 /// # Errors
 ///
@@ -19,11 +19,11 @@
     Ok(stored.envelope)
 }
 
-/// All services.
+/// Reads all services.
 ///
 /// # Errors
 ///
 /// Fails when the platform gives no answer.
-pub async fn list(client: &Client) -> Result<Vec<Line<document::Service>>> {
+pub async fn list(client: &Client) -> Result<Vec<ListedDocument<document::Service>>> {
     stored::list(client, path::SERVICES).await
 }
--- a/src/query/status.rs
+++ b/src/query/status.rs
@@ -1,4 +1,4 @@
-//! State of every instance.
+//! Query for the state of every instance.
 
 use std::collections::BTreeMap;
 
@@ -10,25 +10,25 @@
 use crate::fleet::Silence;
 use crate::status::Status;
 
-/// Asks every instance for its state.
+/// Requests the state of every instance.
 ///
 /// # Errors
 ///
-/// Fails when no instance is known, since the platform gives no list.
+/// Fails when the platform gives no list of instances and none is configured.
 pub async fn status(fleet: &Fleet) -> Result<Gathered<Status>> {
-    let members = known(fleet).await?;
+    let members = known_members(fleet).await?;
     Ok(ask(fleet, &members).await)
 }
 
-/// The instances to ask, of which at least one has to be known.
+/// The instances to query.
 ///
 /// # Errors
 ///
-/// Fails when none is, since the platform gives no list.
-pub(crate) async fn known(fleet: &Fleet) -> Result<Members> {
+/// Fails when the platform gives no list of instances and none is configured.
+pub(crate) async fn known_members(fleet: &Fleet) -> Result<Members> {
     let mut members = fleet.members().await;
-    // After an outage of the platform all leases may have lapsed, so that an
-    // empty list would pass for a fleet that is well.
+    // After an outage of the platform all leases may have expired, and an empty list
+    // would pass for a healthy fleet.
     if members.unlisted.is_none() && members.addresses.is_empty() {
         members.unlisted = Some("none is registered".to_owned());
         return Ok(members);
@@ -43,10 +43,10 @@
     }
 }
 
-/// Asks these members.
+/// Requests the state of these members.
 ///
-/// An address may have passed to another instance since it was written down.
-/// Its answer would be taken for that of an instance that is in fact silent.
+/// Another instance may have taken over an address since it was registered. Its answer
+/// is dropped, and the member is reported as silent.
 pub(crate) async fn ask(fleet: &Fleet, members: &Members) -> Gathered<Status> {
     let mut gathered: Gathered<Status> = fleet.ask(members, "/status").await;
     let (heard, foreign): (BTreeMap<_, _>, BTreeMap<_, _>) = gathered
--- a/src/query/stored.rs
+++ b/src/query/stored.rs
@@ -1,4 +1,4 @@
-//! Documents as they stand in the platform.
+//! Reads documents from the platform.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -15,57 +15,61 @@
 pub struct Stored<T> {
     /// The document.
     pub envelope: Envelope<T>,
-    /// What a compare-and-swap has to expect.
+    /// Revision that a compare-and-swap has to expect.
     pub mod_revision: u64,
 }
 
-/// One line of a list of documents.
+/// One entry of a list of documents.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Line<T> {
+pub struct ListedDocument<T> {
     /// Name of the document.
     pub name: String,
-    /// The document, if it can be read.
+    /// The document, if it can be decoded.
     pub document: Option<Envelope<T>>,
-    /// Why it cannot be read.
+    /// Why it cannot be decoded, or `None` if it can.
     pub unreadable: Option<String>,
 }
 
-/// Reads one document, if there is one.
+/// Reads one document, or `None` if it does not exist.
 ///
 /// # Errors
 ///
-/// Fails when the platform gives no answer or the document cannot be read.
+/// Fails when the platform gives no answer or the document cannot be decoded.
 pub async fn read<T: DeserializeOwned>(client: &Client, key: &str) -> Result<Option<Stored<T>>> {
     let entry = client.get(key).await?;
     entry.as_ref().map(decode).transpose()
 }
 
-/// Reads one document that has to be there.
+/// Reads one document that must exist.
 ///
 /// # Errors
 ///
-/// As [`read`], and [`Error::Refused`] when there is none.
+/// As [`read`], and [`Error::Refused`] when the document does not exist.
 pub async fn require<T: DeserializeOwned>(client: &Client, key: &str) -> Result<Stored<T>> {
     read(client, key).await?.ok_or_else(|| Error::Refused {
         step: "read",
         peer: path::document(key).to_owned(),
-        reason: "there is none".to_owned(),
+        reason: "it does not exist".to_owned(),
     })
 }
 
-/// Reads all documents under a prefix; one that cannot be read hides no other.
+/// Reads all documents under a prefix. A document that cannot be decoded is listed with
+/// the reason and does not affect the others.
 ///
 /// # Errors
 ///
 /// Fails when the platform gives no answer.
-pub async fn list<T: DeserializeOwned>(client: &Client, prefix: &str) -> Result<Vec<Line<T>>> {
+pub async fn list<T: DeserializeOwned>(
+    client: &Client,
+    prefix: &str,
+) -> Result<Vec<ListedDocument<T>>> {
     let listing = client.list(prefix).await?;
-    Ok(listing.entries.iter().map(line).collect())
+    Ok(listing.entries.iter().map(listed).collect())
 }
 
-fn line<T: DeserializeOwned>(entry: &Entry) -> Line<T> {
+fn listed<T: DeserializeOwned>(entry: &Entry) -> ListedDocument<T> {
     let decoded = decode(entry);
-    Line {
+    ListedDocument {
         name: path::last_part(&entry.key).to_owned(),
         unreadable: decoded.as_ref().err().map(ToString::to_string),
         document: decoded.ok().map(|stored| stored.envelope),
--- a/src/query/view.rs
+++ b/src/query/view.rs
@@ -1,4 +1,4 @@
-//! What one entry instance believes.
+//! Query for the state of one entry instance.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 use crate::fleet::asker::Asker;
 use crate::id;
 
-/// Asks an entry instance, at its status address, what it believes.
+/// Requests the state of an entry instance from its status address.
 ///
 /// # Errors
 ///
 /// [`crate::Error::Unanswered`] when it gives no answer within `timeout`,
-/// [`crate::Error::Decode`] when the answer is of something else.
+/// [`crate::Error::Decode`] when the answer has another form.
 pub async fn view(address: id::Endpoint, timeout: Duration) -> Result<Status> {
     Asker::new(timeout)?.get(address, "/status").await
 }
--- a/src/render.rs
+++ b/src/render.rs
@@ -1,6 +1,6 @@
-//! Results as tables for people and as JSON for programs.
+//! Renders results as tables for people and as JSON for programs.
 //!
-//! JSON is the result itself; tables leave out what does not help at a glance.
+//! JSON holds the whole result; tables leave out details.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -29,17 +29,17 @@
 use crate::query::profile::Diff;
 use crate::query::profile::fields;
 use crate::query::rollout::Rollout;
-use crate::query::stored::Line;
+use crate::query::stored::ListedDocument;
 use crate::status;
 use crate::status::Status;
 
-/// In place of a value that is not there.
-const NONE: &str = "-";
+/// Shown in place of a missing value.
+const NO_VALUE: &str = "-";
 
-/// Form of what is printed.
+/// Output format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Output {
-    /// Tables.
+    /// Tables for people.
     #[default]
     Table,
     /// One JSON value.
@@ -72,27 +72,27 @@
 }
 
 impl Output {
-    /// The text for a result, with `table` for people.
+    /// Formats a result; `table` renders it for [`Output::Table`].
     pub fn text<T: Serialize>(self, result: &T, table: impl FnOnce(&T) -> String) -> String {
         match self {
             Self::Table => table(result),
-            // Results are plain data with text keys, which JSON can always hold.
+            // Results are plain data with string keys, whose conversion to JSON cannot fail.
             Self::Json => serde_json::to_string_pretty(result).unwrap_or_default(),
         }
     }
 }
 
-fn new<const N: usize>(header: [&str; N]) -> Table {
+fn new_table<const N: usize>(header: [&str; N]) -> Table {
     let mut table = Table::new();
     table.load_style(UTF8_HORIZONTAL_ONLY).set_header(header);
     table
 }
 
 fn optional(value: Option<impl ToString>) -> String {
-    value.map_or_else(|| NONE.to_owned(), |value| value.to_string())
+    value.map_or_else(|| NO_VALUE.to_owned(), |value| value.to_string())
 }
 
-fn plain(value: &Value) -> String {
+fn format_value(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         value => value.to_string(),
@@ -103,15 +103,15 @@
     if value { "yes" } else { "no" }
 }
 
-/// Joins parts, leaving out the empty ones.
-fn join(parts: impl IntoIterator<Item = String>) -> String {
+/// Joins the non-empty parts by line ends.
+fn join_lines(parts: impl IntoIterator<Item = String>) -> String {
     let parts: Vec<_> = parts.into_iter().filter(|part| !part.is_empty()).collect();
     parts.join("\n")
 }
 
-/// What an entry instance believes: the instance first, then its servers.
+/// State of an entry instance: the instance, evacuated zones, servers, refused entries.
 pub fn view(view: &entry::Status) -> String {
-    let mut head = new([
+    let mut head = new_table([
         "instance",
         "zone",
         "ready",
@@ -131,12 +131,12 @@
             .as_ref()
             .map_or("store".to_owned(), ToString::to_string),
     ]);
-    let mut evacuated = new(["evacuated zone", "known ms"]);
+    let mut evacuated = new_table(["evacuated zone", "known ms"]);
     for order in &view.evacuated {
         evacuated.add_row([order.zone.to_string(), order.known_ms.to_string()]);
     }
     let evacuated = (!view.evacuated.is_empty()).then(|| evacuated.to_string());
-    let mut servers = new([
+    let mut servers = new_table([
         "server",
         "service",
         "zone",
@@ -162,12 +162,12 @@
             server.flows.to_string(),
         ]);
     }
-    let mut refused = new(["refused entry", "reason"]);
+    let mut refused = new_table(["refused entry", "reason"]);
     for refusal in &view.refused {
         refused.add_row([&refusal.key, &refusal.reason]);
     }
     let refused = (!view.refused.is_empty()).then(|| refused.to_string());
-    join(
+    join_lines(
         [
             Some(head.to_string()),
             evacuated,
@@ -179,27 +179,27 @@
     )
 }
 
-/// One document, a row for each field.
+/// One document, with a row for each field.
 pub fn envelope<T: Serialize>(envelope: &Envelope<T>) -> String {
-    let mut table = new(["field", "value"]);
+    let mut table = new_table(["field", "value"]);
     table.add_row(["(revision)", &envelope.revision.to_string()]);
     table.add_row(["(operator)", envelope.operator.as_str()]);
     for (field, value) in fields(&envelope.body) {
-        table.add_row([field, plain(&value)]);
+        table.add_row([field, format_value(&value)]);
     }
     table.to_string()
 }
 
 /// A list of profiles, or the history of one.
-pub fn profiles(lines: &[Line<document::Profile>]) -> String {
-    let mut table = new(["name", "revision", "operator", "policy", "deadline", "note"]);
+pub fn profiles(lines: &[ListedDocument<document::Profile>]) -> String {
+    let mut table = new_table(["name", "revision", "operator", "policy", "deadline", "note"]);
     for line in lines {
         let document = line.document.as_ref();
         table.add_row([
             line.name.clone(),
             optional(document.map(|d| d.revision)),
             optional(document.map(|d| &d.operator)),
-            optional(document.and_then(|d| fields(&d.body).get("policy").map(plain))),
+            optional(document.and_then(|d| fields(&d.body).get("policy").map(format_value))),
             optional(document.map(|d| format!("{} ms", d.body.deadline_ms))),
             line.unreadable.clone().unwrap_or_default(),
         ]);
@@ -208,8 +208,8 @@
 }
 
 /// A list of services.
-pub fn services(lines: &[Line<document::Service>]) -> String {
-    let mut table = new(["name", "revision", "operator", "profile", "address", "note"]);
+pub fn services(lines: &[ListedDocument<document::Service>]) -> String {
+    let mut table = new_table(["name", "revision", "operator", "profile", "address", "note"]);
     for line in lines {
         let document = line.document.as_ref();
         table.add_row([
@@ -224,54 +224,58 @@
     table.to_string()
 }
 
-/// A profile against a file.
+/// Differences between a stored profile and a file.
 pub fn diff(diff: &Diff) -> String {
     if diff.differences.is_empty() {
         return format!("same as revision {} by {}", diff.revision, diff.operator);
     }
     let stored = format!("revision {} by {}", diff.revision, diff.operator);
-    let mut table = new(["field", &stored, "file"]);
+    let mut table = new_table(["field", &stored, "file"]);
     for difference in &diff.differences {
         let (stored, file) = (&difference.stored, &difference.file);
-        table.add_row([&difference.field, &plain(stored), &plain(file)]);
+        table.add_row([
+            &difference.field,
+            &format_value(stored),
+            &format_value(file),
+        ]);
     }
     table.to_string()
 }
 
-/// A change and what became of it.
+/// A change and its outcome.
 pub fn change<T: Serialize>(change: &Change<T>) -> String {
     let document = &change.document;
-    let told = match &change.outcome {
+    let summary = match &change.outcome {
         Outcome::Accepted { ours, replaced_by } => {
             let accepted = format!("accepted: {document} revision {}", ours.revision);
             let replaced = replaced_by.as_ref().map(|later| {
                 let (revision, operator) = (later.revision, &later.operator);
                 format!("replaced since by revision {revision} of {operator}")
             });
-            join([accepted, replaced.unwrap_or_default()])
+            join_lines([accepted, replaced.unwrap_or_default()])
         }
-        Outcome::Refused { ours, first } => join([
+        Outcome::Refused { ours, first } => join_lines([
             format!("refused: {document}: another change was accepted first"),
-            sides(ours, first.as_ref(), "accepted first"),
+            compare_documents(ours, first.as_ref(), "accepted first"),
         ]),
-        Outcome::Unknown { ours, found } => join([
+        Outcome::Unknown { ours, found } => join_lines([
             format!(
-                "unknown: {document}: no answer, and reading back does not tell; \
-                 ours may stand or still come to"
+                "unknown: {document}: no answer, and the outcome could not be read back; \
+                 our change may be in force or may still take effect"
             ),
-            sides(ours, found.as_ref(), "found"),
+            compare_documents(ours, found.as_ref(), "found"),
         ]),
     };
-    join([told, notes(&change.notes)])
+    join_lines([summary, format_notes(&change.notes)])
 }
 
-/// Both sides of a race, a row for each field.
-fn sides<T: Serialize>(
+/// Compares the two documents of a lost race, with a row for each field.
+fn compare_documents<T: Serialize>(
     ours: &Envelope<T>,
     theirs: Option<&Envelope<T>>,
     their_title: &str,
 ) -> String {
-    let mut table = new(["field", "ours", their_title]);
+    let mut table = new_table(["field", "ours", their_title]);
     let their_fields = theirs.map(|theirs| fields(&theirs.body));
     table.add_row([
         "(revision)".to_owned(),
@@ -285,19 +289,23 @@
     ]);
     for (field, value) in fields(&ours.body) {
         let theirs = their_fields.as_ref().and_then(|fields| fields.get(&field));
-        table.add_row([field, plain(&value), optional(theirs.map(plain))]);
+        table.add_row([
+            field,
+            format_value(&value),
+            optional(theirs.map(format_value)),
+        ]);
     }
     table.to_string()
 }
 
-/// How far a change has come.
+/// Progress of a change toward all instances.
 pub fn rollout(rollout: &Rollout) -> String {
     let (document, revision) = (&rollout.document, rollout.revision);
     if rollout.is_whole() {
         let count = rollout.in_force.len();
         return format!("in force at all {count} instances: {document} revision {revision}");
     }
-    let mut table = new(["instance", "in force", "note"]);
+    let mut table = new_table(["instance", "in force", "note"]);
     for instance in &rollout.in_force {
         table.add_row([instance.as_str(), "yes", ""]);
     }
@@ -309,40 +317,40 @@
     for silence in &rollout.silent {
         table.add_row([&silence.instance, "not heard", &silence.reason]);
     }
-    join([
+    join_lines([
         format!("not in force everywhere yet: {document} revision {revision}"),
         table.to_string(),
-        unlisted(rollout.unlisted.as_deref()),
+        incomplete_list_note(rollout.unlisted.as_deref()),
     ])
 }
 
-/// An order to drain and what became of it.
+/// A drain or evacuation order and its outcome.
 pub fn drain(drain: &Drain) -> String {
     let document = &drain.document;
     let operator = optional(drain.wish.as_ref().map(|wish| &wish.operator));
-    let told = match (drain.outcome, drain.undo) {
+    let summary = match (drain.outcome, drain.undo) {
         (drain::Outcome::Accepted, false) => format!("accepted: {document} by {operator}"),
         (drain::Outcome::Accepted, true) => format!("accepted: {document} is gone"),
         (drain::Outcome::Refused, false) => {
             format!("refused: {document}: another order was accepted first")
         }
         (drain::Outcome::Refused, true) => {
-            format!("refused: {document}: {operator} has ordered it anew")
+            format!("refused: {document}: {operator} has given the order again")
         }
         (drain::Outcome::Unknown, _) => {
-            format!("unknown: {document}: no answer, and reading back does not tell")
+            format!("unknown: {document}: no answer, and the outcome could not be read back")
         }
     };
-    join([told, notes(&drain.notes)])
+    join_lines([summary, format_notes(&drain.notes)])
 }
 
-/// How far an instance has come.
+/// Progress of a draining instance.
 pub fn departure(departure: &Departure) -> String {
     let reached = if departure.reached { "done" } else { "not yet" };
     format!("{reached}: {}: {}", departure.instance, departure.seen)
 }
 
-/// How far an order about a zone has come.
+/// Progress of an evacuation order.
 pub fn evacuation(evacuation: &Evacuation) -> String {
     let zone = &evacuation.zone;
     let order = match evacuation.is_evacuated {
@@ -353,7 +361,7 @@
         let count = evacuation.in_force.len();
         return format!("{zone} is {order} at all {count} instances");
     }
-    let mut table = new(["instance", "in force", "note"]);
+    let mut table = new_table(["instance", "in force", "note"]);
     for instance in &evacuation.in_force {
         table.add_row([instance.as_str(), "yes", ""]);
     }
@@ -363,16 +371,16 @@
     for silence in &evacuation.silent {
         table.add_row([&silence.instance, "not heard", &silence.reason]);
     }
-    join([
+    join_lines([
         format!("{zone} is not {order} everywhere yet"),
         table.to_string(),
-        unlisted(evacuation.unlisted.as_deref()),
+        incomplete_list_note(evacuation.unlisted.as_deref()),
     ])
 }
 
 /// State of every instance.
 pub fn status(gathered: &Gathered<Status>) -> String {
-    let mut table = new([
+    let mut table = new_table([
         "instance", "zone", "ready", "leaving", "homes", "backups", "alone", "requests", "feeds",
         "platform",
     ]);
@@ -391,22 +399,22 @@
             optional(silent.map(|silent| format!("{silent} ms ago"))),
         ]);
     }
-    join([
+    join_lines([
         table.to_string(),
         servers(gathered),
         documents(gathered),
-        absent(&gathered.silent, gathered.unlisted.as_deref()),
+        missing_instances(&gathered.silent, gathered.unlisted.as_deref()),
     ])
 }
 
-/// What the instances together have at each backend server.
+/// State of each backend server, summed over the instances.
 fn servers(gathered: &Gathered<Status>) -> String {
-    let mut places: BTreeMap<&id::Server, Place<'_>> = BTreeMap::new();
+    let mut totals: BTreeMap<&id::Server, ServerTotals<'_>> = BTreeMap::new();
     let seen = gathered.heard.values().flat_map(|status| &status.servers);
     for server in seen {
-        places.entry(&server.id).or_default().add(server);
+        totals.entry(&server.id).or_default().add(server);
     }
-    let mut table = new([
+    let mut table = new_table([
         "server",
         "service",
         "zone",
@@ -415,15 +423,15 @@
         "requests",
         "feeds",
     ]);
-    for (name, place) in &places {
+    for (name, total) in &totals {
         table.add_row([
             name.to_string(),
-            optional(place.last.map(|server| &server.service)),
-            optional(place.last.map(|server| &server.zone)),
-            format!("at {} of {}", place.takes_work, place.seen),
-            format!("at {} of {}", place.leaving, place.seen),
-            place.requests.to_string(),
-            place.feeds.to_string(),
+            optional(total.sample.map(|server| &server.service)),
+            optional(total.sample.map(|server| &server.zone)),
+            format!("at {} of {}", total.takes_work, total.instances),
+            format!("at {} of {}", total.leaving, total.instances),
+            total.requests.to_string(),
+            total.feeds.to_string(),
         ]);
     }
     match table.row_count() {
@@ -432,21 +440,21 @@
     }
 }
 
-/// A backend server in the eyes of several instances.
+/// State of one backend server, summed over the instances that report it.
 #[derive(Default)]
-struct Place<'a> {
-    last: Option<&'a status::Server>,
-    seen: u32,
+struct ServerTotals<'a> {
+    sample: Option<&'a status::Server>,
+    instances: u32,
     takes_work: u32,
     leaving: u32,
     requests: u32,
     feeds: u32,
 }
 
-impl<'a> Place<'a> {
+impl<'a> ServerTotals<'a> {
     fn add(&mut self, server: &'a status::Server) {
-        self.last = Some(server);
-        self.seen += 1;
+        self.sample = Some(server);
+        self.instances += 1;
         self.takes_work += u32::from(server.takes_work);
         self.leaving += u32::from(server.leaving);
         self.requests += server.outstanding;
@@ -454,9 +462,9 @@
     }
 }
 
-/// Revisions in force and refused, a row for each document and instance.
+/// Revisions in force and refused, with a row for each document and instance.
 fn documents(gathered: &Gathered<Status>) -> String {
-    let mut table = new(["instance", "document", "revision", "refused"]);
+    let mut table = new_table(["instance", "document", "revision", "refused"]);
     for (instance, status) in &gathered.heard {
         let refused_only = status.refused.keys();
         let documents: std::collections::BTreeSet<_> =
@@ -476,12 +484,12 @@
     }
 }
 
-/// What was done for a caller.
-pub fn account(account: &CallerHistory) -> String {
-    let mut table = new([
+/// Decisions made for a caller.
+pub fn caller_history(history: &CallerHistory) -> String {
+    let mut table = new_table([
         "age", "instance", "reason", "request", "slice", "epoch", "revision", "server", "took",
     ]);
-    for step in &account.steps {
+    for step in &history.steps {
         let trace = &step.trace;
         table.add_row([
             format!("{} ms", trace.age_ms),
@@ -495,23 +503,23 @@
             optional(trace.elapsed_ms.map(|elapsed| format!("{elapsed} ms"))),
         ]);
     }
-    let absent = absent(&account.silent, account.unlisted.as_deref());
-    join([table.to_string(), absent])
+    let missing = missing_instances(&history.silent, history.unlisted.as_deref());
+    join_lines([table.to_string(), missing])
 }
 
-fn absent(silent: &[Silence], reason: Option<&str>) -> String {
+fn missing_instances(silent: &[Silence], reason: Option<&str>) -> String {
     let silent = silent
         .iter()
         .map(|silence| format!("not heard: {}: {}", silence.instance, silence.reason));
-    join(silent.chain([unlisted(reason)]))
+    join_lines(silent.chain([incomplete_list_note(reason)]))
 }
 
-fn unlisted(reason: Option<&str>) -> String {
+fn incomplete_list_note(reason: Option<&str>) -> String {
     reason.map_or_else(String::new, |reason| {
         format!("the list of instances may be incomplete: {reason}")
     })
 }
 
-fn notes(notes: &[String]) -> String {
-    join(notes.iter().map(|note| format!("note: {note}")))
+fn format_notes(notes: &[String]) -> String {
+    join_lines(notes.iter().map(|note| format!("note: {note}")))
 }
