--- a/src/burn.rs
+++ b/src/burn.rs
@@ -4,10 +4,10 @@
 //! measured share of bad events divided by the allowed share: at 1 the budget is
 //! used up exactly, at 14.4 a month's budget is used up in two days.
 //!
-//! Each instance counts in its own [`BurnCounter`], whose counts are
-//! lost when the instance stops. A [`Report`] merges the [`Sample`]s of many
-//! instances. Each incarnation of an instance counts once. An instance that gave no
-//! sample is reported as a gap and never taken for healthy.
+//! Each instance counts in its own [`BurnCounter`], whose counts are lost when the
+//! instance stops. A [`Report`] merges the [`Sample`]s of many instances. Each
+//! incarnation of an instance counts once. An instance that gave no sample is reported
+//! as a gap and never taken for healthy.
 //!
 //! A request is counted by the instance that settles it, which is the home of its
 //! slice, and only when it is first settled: duplicates that get the same outcome
--- a/src/metric.rs
+++ b/src/metric.rs
@@ -217,7 +217,7 @@
     }
 
     /// Creates the counters of every reason and of every kind of withheld message at 0.
-    /// The first increment of a counter first scraped at 1 would be missing in its rate.
+    /// No rate can be computed from a counter whose first scraped value is already 1.
     fn create_counters(&self) {
         for reason in Reason::ALL {
             let labels = EventLabels {
--- a/src/query/evacuation.rs
+++ b/src/query/evacuation.rs
@@ -23,7 +23,7 @@
     pub is_evacuated: bool,
     /// Instances that act on the order.
     pub in_force: Vec<id::Instance>,
-    /// Instances that do not act on it yet.
+    /// Instances that do not act on the order yet.
     pub behind: Vec<id::Instance>,
     /// Instances that gave no answer.
     pub silent: Vec<Silence>,
--- a/src/query/rollout.rs
+++ b/src/query/rollout.rs
@@ -42,7 +42,7 @@
     pub revision: id::Revision,
     /// Instances where this revision, or a later one, is in force.
     pub in_force: Vec<id::Instance>,
-    /// Instances where it is not.
+    /// Instances where this revision is not in force.
     pub behind: Vec<Behind>,
     /// Instances that gave no answer.
     pub silent: Vec<Silence>,
@@ -104,7 +104,7 @@
 }
 
 /// Replaces the members by the newer list. If the list could not be read, keeps the
-/// earlier members and adds those known otherwise.
+/// earlier members and adds the addresses from the settings.
 fn refresh(members: &mut Members, fresh: Members) {
     if fresh.unlisted.is_none() {
         *members = fresh;
--- a/src/settings/jsonc.rs
+++ b/src/settings/jsonc.rs
@@ -20,7 +20,7 @@
 /// Maximum length of a value in an error, in characters; longer ones are truncated.
 const MAX_VALUE_LEN: usize = 80;
 
-/// Text on the allowed values for a field that occurs twice.
+/// Description of the allowed values in the error for a field that occurs twice.
 const NO_DUPLICATES: &str = "each field once";
 
 /// Field that holds secrets, which must not be logged.
@@ -72,8 +72,8 @@
         let value = serde_path_to_error::deserialize(&mut deserializer)
             .map_err(|e| self.field_error(&e.path().to_string(), e.inner()))?;
         deserializer.end().map_err(|e| self.field_error(".", &e))?;
-        // Maps silently keep the last of two entries with one key. The error tells the
-        // operator why the first would have no effect.
+        // A map silently keeps the last of two entries with one key, and an operator would
+        // not see why the first has no effect.
         match FieldLines::scan(&self.text).duplicate {
             Some(field) => Err(self.refuse(Refusal {
                 value: self.value_at(&field),
