--- a/src/bin/godwitreel/run.rs
+++ b/src/bin/godwitreel/run.rs
@@ -60,12 +60,12 @@
         Action::Status => {
             let status = query::status::status(&fleet).await?;
             print(config, &status, render::status);
-            Ok(Exit::for_completeness(status.is_whole()))
+            Ok(Exit::for_completeness(status.is_complete()))
         }
         Action::Explain { service, caller } => {
             let history = query::explain::explain(&fleet, &service, caller).await?;
             print(config, &history, render::caller_history);
-            Ok(Exit::for_completeness(history.is_whole()))
+            Ok(Exit::for_completeness(history.is_complete()))
         }
         Action::Burn { plot } => burn(config, &fleet, plot.as_deref()).await,
         Action::View(_) | Action::Completions(_) => Ok(Exit::Done),
@@ -182,7 +182,7 @@
     };
     let exit = match &result.outcome {
         Outcome::Accepted { .. } => {
-            Exit::for_completeness(wait.as_ref().is_none_or(Rollout::is_whole))
+            Exit::for_completeness(wait.as_ref().is_none_or(Rollout::is_complete))
         }
         Outcome::Refused { .. } => Exit::Refused,
         Outcome::Unknown { .. } => Exit::Unknown,
@@ -219,7 +219,7 @@
                 Some(limit) => Some(query::evacuation::wait(fleet, &name, !undo, limit).await),
                 None => None,
             };
-            let exit = Exit::for_completeness(wait.as_ref().is_none_or(Evacuation::is_whole));
+            let exit = Exit::for_completeness(wait.as_ref().is_none_or(Evacuation::is_complete));
             let exit = order_exit(result.outcome, exit);
             let progress = WithProgress { result, wait };
             print(config, &progress, |progress| {
@@ -280,7 +280,7 @@
         write_plot(path, &report.svg()?)?;
     }
     print_line(&text);
-    Ok(Exit::for_completeness(report.is_whole()))
+    Ok(Exit::for_completeness(report.is_complete()))
 }
 
 fn write_plot(path: &Path, plot: &str) -> Result<()> {
--- a/src/burn/merge.rs
+++ b/src/burn/merge.rs
@@ -136,13 +136,13 @@
     }
 
     /// Whether every instance gave a sample and the list of instances is complete.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         !self.heard.is_empty() && self.gaps.is_empty() && self.unlisted.is_none()
     }
 
     /// The most urgent verdict, at least [`Verdict::UnknownGap`] if the report has gaps.
     pub fn worst(&self) -> Verdict {
-        let least = if self.is_whole() {
+        let least = if self.is_complete() {
             Verdict::Ok
         } else {
             Verdict::UnknownGap
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -60,7 +60,7 @@
 
 impl<T> Gathered<T> {
     /// Whether every instance was heard, as far as the platform's list goes.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.silent.is_empty() && self.unlisted.is_none()
     }
 }
--- a/src/query/evacuation.rs
+++ b/src/query/evacuation.rs
@@ -52,7 +52,7 @@
     }
 
     /// Whether every listed instance acts on the order and the list of instances is complete.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.behind.is_empty() && self.silent.is_empty() && self.unlisted.is_none()
     }
 }
@@ -70,7 +70,7 @@
         let members = fleet.members().await;
         let gathered = status::ask(fleet, &members).await;
         let evacuation = Evacuation::new(zone, is_evacuated, gathered);
-        if evacuation.is_whole() || Instant::now() + POLL_INTERVAL >= until {
+        if evacuation.is_complete() || Instant::now() + POLL_INTERVAL >= until {
             return evacuation;
         }
         time::sleep(POLL_INTERVAL).await;
--- a/src/query/explain.rs
+++ b/src/query/explain.rs
@@ -32,7 +32,7 @@
 
 impl CallerHistory {
     /// Whether every listed instance answered and the list of instances is complete.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.silent.is_empty() && self.unlisted.is_none()
     }
 }
--- a/src/query/rollout.rs
+++ b/src/query/rollout.rs
@@ -52,7 +52,7 @@
 
 impl Rollout {
     /// Whether the revision is in force at every instance and the list of instances is complete.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         let complete = self.behind.is_empty() && self.silent.is_empty();
         complete && self.unlisted.is_none() && !self.in_force.is_empty()
     }
@@ -96,7 +96,7 @@
         refresh(&mut members, fleet.members().await);
         let gathered = status::ask(fleet, &members).await;
         let rollout = Rollout::new(document, revision, gathered);
-        if rollout.is_whole() || Instant::now() + POLL_INTERVAL >= until {
+        if rollout.is_complete() || Instant::now() + POLL_INTERVAL >= until {
             return rollout;
         }
         time::sleep(POLL_INTERVAL).await;
--- a/src/render.rs
+++ b/src/render.rs
@@ -301,7 +301,7 @@
 /// Progress of a change toward all instances.
 pub fn rollout(rollout: &Rollout) -> String {
     let (document, revision) = (&rollout.document, rollout.revision);
-    if rollout.is_whole() {
+    if rollout.is_complete() {
         let count = rollout.in_force.len();
         return format!("in force at all {count} instances: {document} revision {revision}");
     }
@@ -357,7 +357,7 @@
         true => "evacuated",
         false => "in use again",
     };
-    if evacuation.is_whole() {
+    if evacuation.is_complete() {
         let count = evacuation.in_force.len();
         return format!("{zone} is {order} at all {count} instances");
     }
--- a/tests/burn.rs
+++ b/tests/burn.rs
@@ -314,17 +314,17 @@
     let mut report = whole();
     report.add_missing(Vec::new(), None);
     assert_eq!(
-        (line(&report).verdict, report.is_whole()),
+        (line(&report).verdict, report.is_complete()),
         (Verdict::Ok, true)
     );
     report.add_missing(vec![gap("kality-1")], None);
     assert_eq!(line(&report).verdict, Verdict::UnknownGap);
     assert_eq!(report.worst(), Verdict::UnknownGap);
-    assert!(!report.is_whole());
+    assert!(!report.is_complete());
     let mut report = whole();
     report.add_missing(Vec::new(), Some("platform: no answer".to_owned()));
     assert_eq!(line(&report).verdict, Verdict::UnknownGap);
-    assert!(!report.is_whole());
+    assert!(!report.is_complete());
     assert!(
         report
             .text()
