--- a/src/burn/report.rs
+++ b/src/burn/report.rs
@@ -86,7 +86,7 @@
     if sample.holder.instance != *instance {
         return Err(malformed_response(
             endpoint,
-            format!("the response is from {}", sample.holder),
+            format!("the answer is of {}", sample.holder),
         ));
     }
     Ok(sample)
