--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -332,7 +332,7 @@
     let (metrics, traces, log) = (Arc::clone(metrics), Arc::clone(traces), log.clone());
     let burn_counter = Arc::clone(burn_counter);
     Box::new(move |now, event| {
-        metrics.note(event);
+        metrics.count_event(event);
         count_outcome(&burn_counter, now, event);
         debug!(log, "note"; "reason" => event.reason.code(),
             "flow" => FnValue(|_| event.flow.as_ref().map(ToString::to_string)),
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -60,7 +60,7 @@
 
 impl<T> FleetAnswers<T> {
     /// Whether the list of instances was read and every instance on it answered.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.silent.is_empty() && self.unlisted.is_none()
     }
 }
