--- a/standin/src/address.rs
+++ b/standin/src/address.rs
@@ -1,9 +1,9 @@
-//! Addresses for programs that a test is about to start.
+//! Unused loopback addresses for processes that a test is about to start.
 //!
-//! Each process has a loopback host of its own, so that ports need no probe: a
-//! socket that is bound and closed again to see whether a port is free is still
-//! held by any program that another thread starts at that moment, until that
-//! program's own code runs, and the receiver of the address then fails to bind it.
+//! Each test process claims a loopback host of its own, so that ports need not be
+//! probed. Probing is unreliable: if another thread spawns a program while the
+//! probe socket is open, the child inherits the socket and holds it until it
+//! executes its own code, and whoever got the address then fails to bind it.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -13,72 +13,72 @@
 use std::sync::atomic::AtomicU16;
 use std::sync::atomic::Ordering;
 
-/// Port that marks a host as taken, below the range from which the system gives
-/// ports to sockets that name none.
-const GUARD_PORT: u16 = 9_999;
+/// Port whose listener marks a host as claimed. It lies below the range of
+/// ephemeral ports.
+const CLAIM_PORT: u16 = 9_999;
 
-/// Ports that are given, below that range, too.
+/// Ports that are allocated, also below the range of ephemeral ports.
 const PORTS: RangeInclusive<u16> = 10_000..=32_000;
 
-/// Hosts that processes choose from.
+/// Number of hosts that processes choose from.
 const HOSTS: u32 = 60_000;
 
-static BLOCK: LazyLock<Block> = LazyLock::new(|| Block::claim(std::process::id()));
+static PROCESS_BLOCK: LazyLock<Block> = LazyLock::new(|| Block::claim(std::process::id()));
 
-/// A loopback host of one owner, whose ports are given once each.
+/// A loopback host with one owner; each of its ports is allocated once.
 #[derive(Debug)]
 pub struct Block {
     host: Ipv4Addr,
-    given: AtomicU16,
-    /// Keeps the host from other processes.
-    _guard: TcpListener,
+    allocated: AtomicU16,
+    /// Keeps other processes from claiming the host.
+    _listener: TcpListener,
 }
 
 impl Block {
-    /// Takes the first host that nobody has, beginning at a place that differs
+    /// Claims the first unclaimed host, searching from an index that should differ
     /// between owners.
     ///
     /// # Panics
     ///
-    /// If all hosts are taken.
-    pub fn claim(place: u32) -> Self {
+    /// If all hosts are claimed.
+    pub fn claim(first_index: u32) -> Self {
         for offset in 0..HOSTS {
-            let host = host(place.wrapping_add(offset) % HOSTS);
-            if let Ok(guard) = TcpListener::bind((host, GUARD_PORT)) {
+            let host = host(first_index.wrapping_add(offset) % HOSTS);
+            if let Ok(listener) = TcpListener::bind((host, CLAIM_PORT)) {
                 return Self {
                     host,
-                    given: AtomicU16::new(0),
-                    _guard: guard,
+                    allocated: AtomicU16::new(0),
+                    _listener: listener,
                 };
             }
         }
-        panic!("every loopback host is taken");
+        panic!("every loopback host is claimed");
     }
 
-    /// An address, for UDP and TCP, that is given to nobody else.
+    /// Allocates an address for UDP and TCP.
     ///
     /// # Panics
     ///
-    /// If all ports are given.
+    /// If all ports are allocated.
     pub fn address(&self) -> SocketAddr {
-        let port = PORTS.start() + self.given.fetch_add(1, Ordering::Relaxed);
-        assert!(PORTS.contains(&port), "every port is given");
+        let port = PORTS.start() + self.allocated.fetch_add(1, Ordering::Relaxed);
+        assert!(PORTS.contains(&port), "every port is allocated");
         (self.host, port).into()
     }
 }
 
-/// An address, for UDP and TCP, that no other caller and no other process gets.
+/// Allocates an address for UDP and TCP that is unique among all test processes.
 ///
 /// # Panics
 ///
-/// If all hosts or ports are taken.
+/// If all hosts are claimed or all ports allocated.
 pub fn free() -> SocketAddr {
-    BLOCK.address()
+    PROCESS_BLOCK.address()
 }
 
-/// Host of a place, in a part of 127.0.0.0/8 where no deployment of a test lies.
-fn host(place: u32) -> Ipv4Addr {
-    const PART: u8 = 250;
-    let [_, _, high, low] = place.to_be_bytes();
-    Ipv4Addr::new(127, PART, high, low.max(1))
+/// Host with this index, in a part of 127.0.0.0/8 that no test deployment uses.
+fn host(index: u32) -> Ipv4Addr {
+    const SECOND_OCTET: u8 = 250;
+    let [_, _, high, low] = index.to_be_bytes();
+    Ipv4Addr::new(127, SECOND_OCTET, high, low.max(1))
 }
--- a/standin/src/caller.rs
+++ b/standin/src/caller.rs
@@ -1,8 +1,8 @@
 //! A CoAP client for tests.
 //!
-//! One caller is one UDP endpoint. It retransmits confirmable requests, matches
-//! answers by token, acknowledges what asks for it and rejects what it did not
-//! ask for, as RFC 7252 has it.
+//! Each caller is one UDP endpoint. As RFC 7252 requires, it retransmits confirmable
+//! requests, matches answers by token, acknowledges confirmable answers and rejects
+//! answers that match no request.
 
 use std::collections::HashMap;
 use std::io;
@@ -36,30 +36,30 @@
 pub use crate::transfer::Download;
 pub use crate::transfer::Upload;
 
-/// Most by which the first timeout is stretched at random.
+/// Upper bound of the random factor applied to the first timeout (RFC 7252).
 const ACK_RANDOM_FACTOR: f64 = 1.5;
-/// Wait that a refusal without Max-Age stands for.
+/// Retry delay in seconds that a refusal without a Max-Age option implies.
 const DEFAULT_MAX_AGE: u32 = 60;
 
-/// Where a caller calls and how patient it is.
+/// Address, timing and random seed of a caller.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The address of the service.
+    /// Address of the service.
     pub to: SocketAddr,
-    /// Its own address.
+    /// Local address to bind.
     pub bind: SocketAddr,
-    /// Name of the service for the Uri-Host option, if it is to be sent.
+    /// Name of the service for the Uri-Host option; none leaves the option out.
     pub host: Option<String>,
-    /// Time to the first retransmission; it doubles with each one.
+    /// Time until the first retransmission; it doubles with each one.
     pub ack_timeout: Duration,
-    /// Retransmissions of one request.
+    /// Maximum number of retransmissions of a request.
     pub max_retransmit: u32,
-    /// Seed of tokens, message ids and timeouts.
+    /// Seed of the random tokens, message IDs and timeouts.
     pub seed: u64,
 }
 
 impl Settings {
-    /// A caller with the timing of RFC 7252 and a port from the system.
+    /// Settings with the timing of RFC 7252 and an ephemeral port.
     pub fn new(to: SocketAddr) -> Self {
         Self {
             to,
@@ -72,24 +72,24 @@
     }
 }
 
-/// What a caller knows about its request.
+/// Outcome of a request as the caller sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// It was answered.
+    /// The request was answered.
     Answered {
         /// Code of the answer.
         code: ResponseType,
         /// Payload of the answer.
         payload: Vec<u8>,
     },
-    /// It was not run and may be sent anew later.
+    /// The request was not executed and may be sent again later.
     NotRun {
-        /// When to come back.
+        /// Time to wait before sending it again.
         retry_after: Duration,
     },
-    /// Nobody can tell whether it was run.
+    /// It is unknown whether the request was executed.
     Unknown,
-    /// No answer came in time.
+    /// No answer arrived in time.
     Silent,
 }
 
@@ -100,7 +100,7 @@
         };
         match code {
             ResponseType::ServiceUnavailable => {
-                let seconds = message::number(answer, CoapOption::MaxAge);
+                let seconds = message::uint_option(answer, CoapOption::MaxAge);
                 let seconds = seconds.unwrap_or(DEFAULT_MAX_AGE);
                 let retry_after = Duration::from_secs(seconds.into());
                 Self::NotRun { retry_after }
@@ -114,7 +114,7 @@
     }
 }
 
-enum Arrival {
+enum Incoming {
     Acknowledged,
     Answer { at: Instant, packet: Packet },
 }
@@ -122,9 +122,9 @@
 struct State {
     rng: StdRng,
     message_id: u16,
-    /// Exchanges that wait for answers, by token.
-    waiting: HashMap<Vec<u8>, mpsc::UnboundedSender<Arrival>>,
-    /// Tokens of confirmable requests, by message id.
+    /// Channels of the exchanges that wait for answers, by token.
+    exchanges: HashMap<Vec<u8>, mpsc::UnboundedSender<Incoming>>,
+    /// Tokens of unacknowledged confirmable requests, by message ID.
     unacknowledged: HashMap<u16, Vec<u8>>,
 }
 
@@ -136,7 +136,7 @@
 
 impl Shared {
     async fn send(&self, datagram: &[u8], to: SocketAddr) {
-        // A datagram that cannot be sent is a lost one.
+        // A failed send counts as a lost datagram.
         let _ = self.socket.send_to(datagram, to).await;
     }
 
@@ -146,24 +146,24 @@
         state.message_id
     }
 
-    /// A new token and what arrives for it.
-    fn register(&self) -> (Vec<u8>, mpsc::UnboundedReceiver<Arrival>) {
-        let (sender, arrivals) = mpsc::unbounded_channel();
+    /// Registers a new token; returns it with the receiver of its incoming messages.
+    fn register_token(&self) -> (Vec<u8>, mpsc::UnboundedReceiver<Incoming>) {
+        let (sender, incoming) = mpsc::unbounded_channel();
         let mut state = lock(&self.state);
         let token = state.rng.random::<[u8; 8]>().to_vec();
-        state.waiting.insert(token.clone(), sender);
-        (token, arrivals)
+        state.exchanges.insert(token.clone(), sender);
+        (token, incoming)
     }
 
-    /// Expects an acknowledgement; returns the time to the first retransmission.
-    fn expect(&self, message_id: u16, token: &[u8]) -> Duration {
+    /// Expects an acknowledgement; returns the time until the first retransmission.
+    fn expect_acknowledgement(&self, message_id: u16, token: &[u8]) -> Duration {
         let mut state = lock(&self.state);
         state.unacknowledged.insert(message_id, token.to_vec());
-        let stretch = state.rng.random_range(1.0..=ACK_RANDOM_FACTOR);
-        self.settings.ack_timeout.mul_f64(stretch)
+        let factor = state.rng.random_range(1.0..=ACK_RANDOM_FACTOR);
+        self.settings.ack_timeout.mul_f64(factor)
     }
 
-    /// A confirmable request, complete but for its token.
+    /// Builds a confirmable request without a token.
     pub(crate) fn request(&self, method: RequestType, path: &str) -> Packet {
         let mut packet = Packet::new();
         packet.header.code = MessageClass::Request(method);
@@ -172,12 +172,12 @@
         if let Some(host) = &self.settings.host {
             packet.add_option(CoapOption::UriHost, host.clone().into());
         }
-        message::set_path(&mut packet, path);
+        message::set_uri_path(&mut packet, path);
         packet
     }
 }
 
-/// One endpoint that calls one service.
+/// A UDP endpoint that sends requests to one service.
 pub struct Caller {
     pub(crate) shared: Arc<Shared>,
     _tasks: JoinSet<()>,
@@ -187,7 +187,7 @@
 ///
 /// # Errors
 ///
-/// Its address cannot be bound.
+/// The local address cannot be bound.
 pub async fn start(settings: Settings) -> io::Result<Caller> {
     let socket = UdpSocket::bind(settings.bind).await?;
     let mut rng = StdRng::seed_from_u64(settings.seed);
@@ -198,7 +198,7 @@
         state: Mutex::new(State {
             rng,
             message_id,
-            waiting: HashMap::new(),
+            exchanges: HashMap::new(),
             unacknowledged: HashMap::new(),
         }),
     });
@@ -211,11 +211,11 @@
 }
 
 impl Caller {
-    /// Its own address.
+    /// The local address.
     ///
     /// # Errors
     ///
-    /// The system does not tell.
+    /// The operating system does not report it.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.shared.socket.local_addr()
     }
@@ -232,7 +232,7 @@
         exchange.outcome(deadline).await
     }
 
-    /// Sends a request; it is retransmitted while its outcome is waited for.
+    /// Sends a request. It is retransmitted only while [`Exchange::outcome`] runs.
     pub async fn begin(
         &self,
         method: RequestType,
@@ -244,17 +244,17 @@
         self.exchange(packet).await
     }
 
-    /// Sends a datagram once more as it is, to the service or another address.
+    /// Sends a datagram again unchanged, to the service or to another address.
     pub async fn send_copy(&self, datagram: &[u8], to: Option<SocketAddr>) {
         let to = to.unwrap_or(self.shared.settings.to);
         self.shared.send(datagram, to).await;
     }
 
-    /// Opens a feed.
+    /// Opens a feed (RFC 7641).
     ///
     /// # Errors
     ///
-    /// The answer, if it is not the start of a feed.
+    /// The outcome, if the answer does not open a feed or does not arrive in time.
     pub async fn observe(&self, path: &str, deadline: Duration) -> Result<Feed, Outcome> {
         let mut packet = self.shared.request(RequestType::Get, path);
         packet.set_observe_value(0);
@@ -267,7 +267,7 @@
         }
     }
 
-    /// Prepares the upload of a body in blocks.
+    /// Prepares a block-wise upload.
     pub fn upload(
         &self,
         method: RequestType,
@@ -279,20 +279,20 @@
         Upload::new(self, method, path, body.into(), block_size, tag)
     }
 
-    /// Prepares the download of an answer in blocks.
+    /// Prepares a block-wise download.
     pub fn download(&self, path: &str) -> Download<'_> {
         Download::new(self, path)
     }
 
     pub(crate) async fn exchange(&self, mut packet: Packet) -> Exchange {
-        let (token, arrivals) = self.shared.register();
+        let (token, incoming) = self.shared.register_token();
         packet.set_token(token.clone());
         let mut exchange = Exchange {
             shared: self.shared.clone(),
             token,
             message_id: 0,
             datagram: Bytes::new(),
-            arrivals,
+            incoming,
             retransmission: None,
         };
         exchange.send(&packet).await;
@@ -309,7 +309,7 @@
         let Ok(packet) = Packet::from_bytes(&buffer[..size]) else {
             continue;
         };
-        if let Some(reply) = take(&shared, packet)
+        if let Some(reply) = dispatch(&shared, packet)
             && let Ok(datagram) = reply.to_bytes()
         {
             shared.send(&datagram, from).await;
@@ -317,8 +317,8 @@
     }
 }
 
-/// Hands a message to its exchange; returns what it has to be answered with.
-fn take(shared: &Shared, packet: Packet) -> Option<Packet> {
+/// Passes a message to its exchange; returns the acknowledgement or reset to send back.
+fn dispatch(shared: &Shared, packet: Packet) -> Option<Packet> {
     let message_id = packet.header.message_id;
     let kind = packet.header.get_type();
     let mut state = lock(&shared.state);
@@ -326,26 +326,27 @@
         .then(|| state.unacknowledged.remove(&message_id))
         .flatten();
     if packet.header.code == MessageClass::Empty {
-        // The exchange may be over already.
+        // The exchange may have ended already.
         let _ = state
-            .waiting
+            .exchanges
             .get(&acknowledged?)?
-            .send(Arrival::Acknowledged);
+            .send(Incoming::Acknowledged);
         return None;
     }
-    let waiting = state.waiting.get(packet.get_token());
-    let arrival = Arrival::Answer {
+    let exchange = state.exchanges.get(packet.get_token());
+    let message = Incoming::Answer {
         at: Instant::now(),
         packet,
     };
-    let wanted = waiting.is_some_and(|sender| sender.send(arrival).is_ok());
-    match (kind, wanted) {
-        (MessageType::Confirmable, true) => {
-            Some(message::empty(MessageType::Acknowledgement, message_id))
-        }
-        // A reset tells the other side to drop a feed that is not known here.
+    let is_expected = exchange.is_some_and(|sender| sender.send(message).is_ok());
+    match (kind, is_expected) {
+        (MessageType::Confirmable, true) => Some(message::empty_message(
+            MessageType::Acknowledgement,
+            message_id,
+        )),
+        // The reset makes the sender remove an observation that this caller does not know.
         (MessageType::Confirmable | MessageType::NonConfirmable, false) => {
-            Some(message::empty(MessageType::Reset, message_id))
+            Some(message::empty_message(MessageType::Reset, message_id))
         }
         _ => None,
     }
@@ -353,28 +354,28 @@
 
 struct Retransmission {
     at: Instant,
-    wait: Duration,
-    left: u32,
+    timeout: Duration,
+    retries_left: u32,
 }
 
-/// A request that was sent, with all answers to its token.
+/// A sent request with all answers to its token.
 pub struct Exchange {
     pub(crate) shared: Arc<Shared>,
     pub(crate) token: Vec<u8>,
     message_id: u16,
     datagram: Bytes,
-    arrivals: mpsc::UnboundedReceiver<Arrival>,
-    /// None once the request was acknowledged or answered.
+    incoming: mpsc::UnboundedReceiver<Incoming>,
+    /// None once the request has been acknowledged or answered.
     retransmission: Option<Retransmission>,
 }
 
 impl Exchange {
-    /// The datagram as it was sent.
+    /// The encoded datagram of the request.
     pub fn datagram(&self) -> Bytes {
         self.datagram.clone()
     }
 
-    /// Waits for an answer; called again, it waits for a further one.
+    /// Waits for an answer; each further call waits for another one.
     pub async fn outcome(&mut self, deadline: Duration) -> Outcome {
         match self.answer(deadline).await {
             Some((packet, _)) => Outcome::of(&packet),
@@ -385,13 +386,15 @@
     /// Sends a request under this exchange's token.
     pub(crate) async fn send(&mut self, packet: &Packet) {
         self.message_id = packet.header.message_id;
-        // A request that is too large to be sent stays without an answer.
+        // A request that cannot be encoded is sent empty and gets no answer.
         self.datagram = packet.to_bytes().unwrap_or_default().into();
-        let wait = self.shared.expect(self.message_id, &self.token);
+        let timeout = self
+            .shared
+            .expect_acknowledgement(self.message_id, &self.token);
         self.retransmission = Some(Retransmission {
-            at: Instant::now() + wait,
-            wait,
-            left: self.shared.settings.max_retransmit,
+            at: Instant::now() + timeout,
+            timeout,
+            retries_left: self.shared.settings.max_retransmit,
         });
         self.transmit().await;
     }
@@ -401,20 +404,23 @@
         self.shared.send(&self.datagram, to).await;
     }
 
-    /// The next answer and when it came.
+    /// Waits for the next answer; returns it with its time of arrival.
     pub(crate) async fn answer(&mut self, deadline: Duration) -> Option<(Packet, Instant)> {
         let end = Instant::now() + deadline;
         loop {
-            let resend = self.retransmission.as_ref().filter(|next| next.left > 0);
-            let until = resend.map_or(end, |next| next.at.min(end));
-            match time::timeout_at(until, self.arrivals.recv()).await {
-                Ok(arrival) => {
+            let pending = self
+                .retransmission
+                .as_ref()
+                .filter(|next| next.retries_left > 0);
+            let wake_at = pending.map_or(end, |next| next.at.min(end));
+            match time::timeout_at(wake_at, self.incoming.recv()).await {
+                Ok(message) => {
                     self.retransmission = None;
-                    if let Arrival::Answer { at, packet } = arrival? {
+                    if let Incoming::Answer { at, packet } = message? {
                         return Some((packet, at));
                     }
                 }
-                Err(_) if until == end => return None,
+                Err(_) if wake_at == end => return None,
                 Err(_) => self.retransmit().await,
             }
         }
@@ -422,9 +428,9 @@
 
     async fn retransmit(&mut self) {
         if let Some(next) = &mut self.retransmission {
-            next.left -= 1;
-            next.wait *= 2;
-            next.at = Instant::now() + next.wait;
+            next.retries_left -= 1;
+            next.timeout *= 2;
+            next.at = Instant::now() + next.timeout;
         }
         self.transmit().await;
     }
@@ -433,12 +439,12 @@
 impl Drop for Exchange {
     fn drop(&mut self) {
         let mut state = lock(&self.shared.state);
-        state.waiting.remove(&self.token);
+        state.exchanges.remove(&self.token);
         state.unacknowledged.remove(&self.message_id);
     }
 }
 
-/// Time left until then.
-pub(crate) fn left(end: Instant) -> Duration {
+/// Time remaining until `end`.
+pub(crate) fn time_left(end: Instant) -> Duration {
     end.saturating_duration_since(Instant::now())
 }
--- a/standin/src/etcd.rs
+++ b/standin/src/etcd.rs
@@ -1,13 +1,14 @@
-//! Bodies of the etcd v3 JSON gateway, as far as they are needed.
+//! Request and response bodies of the etcd v3 JSON gateway, limited to the fields in
+//! use.
 //!
-//! The gateway writes 64-bit numbers as strings, bytes as base64 and leaves out
-//! fields that are zero or empty. Unknown request fields are refused, so that a
-//! misspelt one is seen at once.
+//! The gateway encodes 64-bit numbers as strings and bytes as base64, and omits
+//! fields that are zero or empty. Unknown request fields are rejected, so that a
+//! misspelt one is detected.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Compared field of a key.
+/// Field of a key that a comparison tests.
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub(crate) enum Target {
@@ -18,7 +19,7 @@
     Value,
 }
 
-/// How the stored field has to stand to the given one.
+/// Relation that must hold between the stored field and the given one.
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub(crate) enum Relation {
@@ -55,18 +56,18 @@
     pub(crate) range_end: Vec<u8>,
     #[serde(with = "int64")]
     pub(crate) limit: i64,
-    /// Accepted and not heeded, as is the next one.
+    /// Accepted and ignored, as is `_serializable`.
     #[serde(with = "int64", rename = "revision")]
     pub(crate) _revision: i64,
     #[serde(rename = "serializable")]
     pub(crate) _serializable: bool,
     pub(crate) sort_target: SortTarget,
     pub(crate) sort_order: SortOrder,
-    /// Leaves out the values.
+    /// Whether the values are left out of the response.
     pub(crate) keys_only: bool,
 }
 
-/// Field that a range is sorted by; others of etcd's are refused.
+/// Field that a range is sorted by; the other sort fields of etcd are rejected.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub(crate) enum SortTarget {
@@ -75,7 +76,7 @@
     Mod,
 }
 
-/// Direction that a range is sorted in; without one it stands by key.
+/// Sort order of a range; `None` is ascending.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub(crate) enum SortOrder {
@@ -105,7 +106,7 @@
     pub(crate) range_end: Vec<u8>,
 }
 
-/// One step of a transaction; just one field is set.
+/// An operation of a transaction; exactly one field is set.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Operation {
@@ -125,7 +126,7 @@
     pub(crate) failure: Vec<Operation>,
 }
 
-/// Body of the three lease calls.
+/// Request body of the three lease calls.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Lease {
@@ -150,12 +151,12 @@
     pub(crate) range_end: Vec<u8>,
     #[serde(with = "int64")]
     pub(crate) start_revision: i64,
-    /// Accepted and not heeded.
+    /// Accepted and ignored.
     #[serde(rename = "progress_notify")]
     pub(crate) _progress_notify: bool,
 }
 
-/// One key with its value and history marks.
+/// A key with its value, revisions, version and lease.
 #[derive(Clone, Default, Serialize)]
 pub(crate) struct Kv {
     #[serde(with = "base64", skip_serializing_if = "Vec::is_empty")]
@@ -172,15 +173,15 @@
     pub(crate) lease: i64,
 }
 
-/// Kind of a change; a put is the default and left out.
+/// Kind of a change; the default, a put, is omitted from the JSON.
 #[derive(Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "UPPERCASE")]
-pub(crate) enum Kind {
+pub(crate) enum EventKind {
     Put,
     Delete,
 }
 
-impl Kind {
+impl EventKind {
     fn is_put(&self) -> bool {
         *self == Self::Put
     }
@@ -188,8 +189,8 @@
 
 #[derive(Clone, Serialize)]
 pub(crate) struct Event {
-    #[serde(rename = "type", skip_serializing_if = "Kind::is_put")]
-    pub(crate) kind: Kind,
+    #[serde(rename = "type", skip_serializing_if = "EventKind::is_put")]
+    pub(crate) kind: EventKind,
     pub(crate) kv: Kv,
 }
 
@@ -247,7 +248,7 @@
     pub(crate) responses: Vec<OperationResponse>,
 }
 
-/// Answer of the three lease calls; a lease that is gone has no time to live.
+/// Response of the three lease calls; for an expired lease the time to live is omitted.
 #[derive(Serialize)]
 pub(crate) struct LeaseResponse {
     pub(crate) header: Header,
@@ -266,21 +267,21 @@
     pub(crate) events: Vec<Event>,
 }
 
-/// One line of a streamed answer.
+/// A line of a streamed response.
 #[derive(Serialize)]
-pub(crate) struct Line<T> {
+pub(crate) struct StreamLine<T> {
     pub(crate) result: T,
 }
 
 #[expect(
     clippy::trivially_copy_pass_by_ref,
-    reason = "the shape that serde asks for"
+    reason = "serde requires this signature"
 )]
 fn is_zero(number: &i64) -> bool {
     *number == 0
 }
 
-/// 64-bit numbers: written as strings, read as strings or numbers.
+/// 64-bit numbers: serialized as strings, deserialized from strings or numbers.
 mod int64 {
     use serde::Deserialize;
     use serde::Deserializer;
--- a/standin/src/fabric.rs
+++ b/standin/src/fabric.rs
@@ -1,7 +1,8 @@
-//! The fabric before the entry instances.
+//! The network fabric in front of the entry instances.
 //!
-//! It looks into no datagram: each goes to an instance drawn at random, and
-//! whatever an instance sends back leaves from the service's public address.
+//! It sprays datagrams: each one goes to a random instance, regardless of its
+//! contents. Whatever an instance sends back is sent on from the service's public
+//! address.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -21,96 +22,98 @@
 use crate::relay;
 use crate::relay::Links;
 
-struct Spray {
+struct Sprayer {
     rng: StdRng,
     instances: Vec<SocketAddr>,
-    /// An instance that gets this many of the next datagrams.
+    /// Instance that gets the next datagrams, and how many of them.
     steered: Option<(SocketAddr, u64)>,
     sent: BTreeMap<SocketAddr, u64>,
 }
 
-impl Spray {
+impl Sprayer {
     fn choose(&mut self) -> Option<SocketAddr> {
-        let to = self.steer().or_else(|| self.draw())?;
+        let to = self.take_steered().or_else(|| self.choose_random())?;
         *self.sent.entry(to).or_default() += 1;
         Some(to)
     }
 
-    fn steer(&mut self) -> Option<SocketAddr> {
-        let (to, left) = self.steered.take()?;
-        self.steered = (left > 1).then_some((to, left - 1));
+    fn take_steered(&mut self) -> Option<SocketAddr> {
+        let (to, remaining) = self.steered.take()?;
+        self.steered = (remaining > 1).then_some((to, remaining - 1));
         Some(to)
     }
 
-    fn draw(&mut self) -> Option<SocketAddr> {
+    fn choose_random(&mut self) -> Option<SocketAddr> {
         if self.instances.is_empty() {
             return None;
         }
-        let drawn = self.rng.random_range(0..self.instances.len());
-        Some(self.instances[drawn])
+        let index = self.rng.random_range(0..self.instances.len());
+        Some(self.instances[index])
     }
 }
 
-/// The public address of one service; it ends when this is dropped.
+/// Handle of a running fabric with the public address of one service. Dropping it
+/// stops the fabric.
 pub struct Handle {
     address: SocketAddr,
-    spray: Arc<Mutex<Spray>>,
+    sprayer: Arc<Mutex<Sprayer>>,
     links: Links,
     _tasks: JoinSet<()>,
 }
 
-/// Starts spraying over the listen addresses that instances have for a service.
+/// Starts a fabric that sprays over these listen addresses of instances.
 ///
 /// # Errors
 ///
-/// The address cannot be listened on.
+/// The address cannot be bound.
 pub async fn start(bind: SocketAddr, instances: Vec<SocketAddr>, seed: u64) -> io::Result<Handle> {
     let public = Arc::new(UdpSocket::bind(bind).await?);
     let address = public.local_addr()?;
-    let spray = Arc::new(Mutex::new(Spray {
+    let sprayer = Arc::new(Mutex::new(Sprayer {
         rng: StdRng::seed_from_u64(seed),
         instances,
         steered: None,
         sent: BTreeMap::new(),
     }));
     let links = Links::new(seed);
-    let chooser = spray.clone();
-    let choose = Box::new(move |_| lock(&chooser).choose());
+    let shared_sprayer = sprayer.clone();
+    let choose = Box::new(move |_| lock(&shared_sprayer).choose());
     let mut tasks = JoinSet::new();
     tasks.spawn(relay::run(public, links.clone(), choose));
     Ok(Handle {
         address,
-        spray,
+        sprayer,
         links,
         _tasks: tasks,
     })
 }
 
 impl Handle {
-    /// The address that callers use.
+    /// Public address for callers.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sprays over these instances from now on.
+    /// Replaces the set of instances.
     pub fn set_instances(&self, instances: Vec<SocketAddr>) {
-        lock(&self.spray).instances = instances;
+        lock(&self.sprayer).instances = instances;
     }
 
-    /// Adds an instance.
+    /// Adds an instance to the set.
     pub fn add(&self, instance: SocketAddr) {
-        lock(&self.spray).instances.push(instance);
+        lock(&self.sprayer).instances.push(instance);
     }
 
-    /// Removes an instance.
+    /// Removes an instance from the set.
     pub fn remove(&self, instance: SocketAddr) {
-        let mut spray = lock(&self.spray);
-        spray.instances.retain(|other| *other != instance);
+        let mut sprayer = lock(&self.sprayer);
+        sprayer.instances.retain(|other| *other != instance);
     }
 
-    /// Sends the next datagrams to one instance, whether or not it is sprayed over.
+    /// Sends the next `count` datagrams to this instance, whether or not it is in the
+    /// set.
     pub fn steer(&self, instance: SocketAddr, count: u64) {
-        lock(&self.spray).steered = (count > 0).then_some((instance, count));
+        lock(&self.sprayer).steered = (count > 0).then_some((instance, count));
     }
 
     /// Sets the faults of one direction.
@@ -118,8 +121,8 @@
         self.links.get(direction).set(faults);
     }
 
-    /// Datagrams that each instance was chosen for.
+    /// Number of datagrams sent to each instance, those lost by faults included.
     pub fn sent(&self) -> BTreeMap<SocketAddr, u64> {
-        lock(&self.spray).sent.clone()
+        lock(&self.sprayer).sent.clone()
     }
 }
--- a/standin/src/fault.rs
+++ b/standin/src/fault.rs
@@ -1,7 +1,7 @@
-//! Faults of a path, one direction at a time.
+//! Fault injection for one direction of a network path.
 //!
-//! Every datagram gets its fate from a seeded generator, so that a failing test
-//! can be run again with the same faults. Jitter greater than the time between
+//! Loss, duplication and jitter are drawn from a seeded generator, so that a failing
+//! test can be repeated with the same faults. Jitter greater than the time between
 //! two datagrams reorders them.
 
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 
 use crate::lock::lock;
 
-/// Way through a fabric or proxy.
+/// Direction of traffic through a fabric or proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// From the side that opened the flow.
@@ -28,24 +28,24 @@
     Back,
 }
 
-/// What happens to traffic in one direction.
+/// Faults injected into the traffic of one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Faults {
-    /// Share of datagrams lost, from 0 to 1.
+    /// Probability that a datagram is lost, from 0 to 1.
     pub loss: f64,
-    /// Share of datagrams delivered twice, from 0 to 1.
+    /// Probability that a datagram is delivered twice, from 0 to 1.
     pub duplicate: f64,
-    /// Added to every delivery.
+    /// Delay of every delivery.
     pub delay: Duration,
-    /// Most that is added at random to a delivery, for each copy anew.
+    /// Maximum random delay on top, drawn for each delivered copy.
     pub jitter: Duration,
-    /// Lets nothing through: datagrams are lost, a stream waits.
+    /// Cuts the path: datagrams are lost, streams stall.
     pub cut: bool,
-    /// Holds everything back until it is off again.
+    /// Holds back all traffic until the flag is cleared.
     pub frozen: bool,
 }
 
-/// One direction of a path.
+/// One direction of a network path.
 pub(crate) struct Link {
     faults: watch::Sender<Faults>,
     rng: Mutex<StdRng>,
@@ -63,16 +63,16 @@
         self.faults.send_replace(faults);
     }
 
-    pub(crate) fn change(&self, change: impl FnOnce(&mut Faults)) {
-        self.faults.send_modify(change);
+    pub(crate) fn modify(&self, modify: impl FnOnce(&mut Faults)) {
+        self.faults.send_modify(modify);
     }
 
-    /// Delivers a datagram as the faults have it.
-    pub(crate) async fn carry(&self, socket: &Arc<UdpSocket>, to: SocketAddr, datagram: Bytes) {
-        self.until(|faults| !faults.frozen).await;
+    /// Delivers a datagram subject to the current faults.
+    pub(crate) async fn deliver(&self, socket: &Arc<UdpSocket>, to: SocketAddr, datagram: Bytes) {
+        self.wait_until(|faults| !faults.frozen).await;
         for delay in self.deliveries() {
             if delay.is_zero() {
-                // A datagram that cannot be sent is a lost one.
+                // A failed send counts as a lost datagram.
                 let _ = socket.send_to(&datagram, to).await;
             } else {
                 let socket = socket.clone();
@@ -85,35 +85,36 @@
         }
     }
 
-    /// Holds one piece of a stream for as long as the faults have it.
-    pub(crate) async fn hold(&self) {
-        self.until(|faults| !faults.frozen && !faults.cut).await;
+    /// Delays a chunk of a stream for as long as the current faults require.
+    pub(crate) async fn delay_chunk(&self) {
+        self.wait_until(|faults| !faults.frozen && !faults.cut)
+            .await;
         let faults = *self.faults.borrow();
         time::sleep(self.delay(&faults)).await;
     }
 
-    async fn until(&self, open: impl Fn(&Faults) -> bool) {
-        let mut changes = self.faults.subscribe();
-        // The sender lives as long as this link.
-        let _ = changes.wait_for(open).await;
+    async fn wait_until(&self, condition: impl Fn(&Faults) -> bool) {
+        let mut updates = self.faults.subscribe();
+        // `self` owns the sender, so the channel cannot close.
+        let _ = updates.wait_for(condition).await;
     }
 
-    /// How long each copy of a datagram takes; none if it is lost.
+    /// Delays of the copies of a datagram; empty if it is lost.
     fn deliveries(&self) -> Vec<Duration> {
         let faults = *self.faults.borrow();
-        if faults.cut || self.chance(faults.loss) {
+        if faults.cut || self.happens(faults.loss) {
             return Vec::new();
         }
-        let copies = 1 + usize::from(self.chance(faults.duplicate));
+        let copies = 1 + usize::from(self.happens(faults.duplicate));
         (0..copies).map(|_| self.delay(&faults)).collect()
     }
 
     fn delay(&self, faults: &Faults) -> Duration {
-        let share = lock(&self.rng).random_range(0.0..=1.0);
-        faults.delay + faults.jitter.mul_f64(share)
+        let fraction = lock(&self.rng).random_range(0.0..=1.0);
+        faults.delay + faults.jitter.mul_f64(fraction)
     }
 
-    fn chance(&self, share: f64) -> bool {
-        lock(&self.rng).random_bool(share.clamp(0.0, 1.0))
+    fn happens(&self, probability: f64) -> bool {
+        lock(&self.rng).random_bool(probability.clamp(0.0, 1.0))
     }
 }
--- a/standin/src/feed.rs
+++ b/standin/src/feed.rs
@@ -1,7 +1,7 @@
-//! Feeds that a caller holds open.
+//! Feeds (CoAP observations) that a caller keeps open.
 //!
-//! A feed keeps the order of RFC 7641 and counts what it misses, what comes too
-//! late and how often another server takes it over.
+//! A feed orders notifications as RFC 7641 requires and counts missing ones, outdated
+//! ones and changes of the server that sends them.
 
 use std::time::Duration;
 
@@ -11,38 +11,38 @@
 
 use crate::caller::Exchange;
 use crate::caller::Outcome;
-use crate::caller::left;
+use crate::caller::time_left;
 use crate::message;
 
-/// Half of the Observe numbers; a step greater than this is one back.
-const OBSERVE_HALF: u32 = 1 << 23;
-/// After this long any notification counts as newer.
-const OBSERVE_FRESH: Duration = Duration::from_secs(128);
+/// Half of the range of Observe numbers; a greater difference means a wraparound.
+const OBSERVE_HALF_RANGE: u32 = 1 << 23;
+/// Age of the newest notification after which any other counts as newer (RFC 7641).
+const OBSERVE_MAX_AGE: Duration = Duration::from_secs(128);
 
-/// What a feed gives next.
+/// Result of waiting for a feed's next notification.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
-    /// A notification newer than all before it.
+    /// A notification newer than all previous ones.
     Notification {
-        /// Its Observe number.
+        /// Value of its Observe option.
         observe: u32,
         /// Its payload.
         payload: Vec<u8>,
     },
-    /// The feed is over, and this was its last answer.
+    /// The feed has ended with this outcome.
     Ended(Outcome),
-    /// Nothing new came in time.
+    /// No newer notification arrived in time.
     Silent,
 }
 
-/// Server and count that a notification of the stand-in server names.
+/// Server and sequence number in the payload of a stand-in server's notification.
 #[derive(Clone, PartialEq, Eq)]
-struct Position {
+struct SequenceNumber {
     server: String,
     count: u64,
 }
 
-impl Position {
+impl SequenceNumber {
     fn parse(payload: &[u8]) -> Option<Self> {
         let text = std::str::from_utf8(payload).ok()?;
         let (server, count) = text.strip_prefix("server=")?.split_once(",n=")?;
@@ -53,13 +53,13 @@
     }
 }
 
-/// A feed that the caller holds open.
+/// A feed that the caller keeps open.
 pub struct Feed {
     exchange: Exchange,
     path: String,
     newest: Option<(u32, Instant)>,
-    last_heard: Instant,
-    position: Option<Position>,
+    last_received: Instant,
+    last_sequence: Option<SequenceNumber>,
     missed: u64,
     outdated: u64,
     moves: u64,
@@ -71,28 +71,28 @@
             exchange,
             path: path.to_owned(),
             newest: None,
-            last_heard: Instant::now(),
-            position: None,
+            last_received: Instant::now(),
+            last_sequence: None,
             missed: 0,
             outdated: 0,
             moves: 0,
         }
     }
 
-    /// Waits for the next notification and drops older ones.
+    /// Waits for the next notification and drops outdated ones.
     pub async fn next(&mut self, wait: Duration) -> Update {
         let end = Instant::now() + wait;
         loop {
-            let Some((packet, at)) = self.exchange.answer(left(end)).await else {
+            let Some((packet, at)) = self.exchange.answer(time_left(end)).await else {
                 return Update::Silent;
             };
-            let Some(observe) = message::number(&packet, CoapOption::Observe) else {
+            let Some(observe) = message::uint_option(&packet, CoapOption::Observe) else {
                 return Update::Ended(Outcome::of(&packet));
             };
-            self.last_heard = at;
+            self.last_received = at;
             if self.is_newer(observe, at) {
                 self.newest = Some((observe, at));
-                self.locate(&packet.payload);
+                self.record_sequence(&packet.payload);
                 let payload = packet.payload;
                 return Update::Notification { observe, payload };
             }
@@ -100,17 +100,17 @@
         }
     }
 
-    /// Registers again under the same token; the answer comes as an update.
+    /// Registers again under the same token; [`Feed::next`] returns the answer.
     pub async fn renew(&mut self) {
-        self.register(0).await;
+        self.send_registration(0).await;
     }
 
-    /// Ends the feed and waits for the answer to that.
+    /// Cancels the feed and waits for the answer to the cancellation.
     pub async fn cancel(mut self, deadline: Duration) -> Outcome {
-        self.register(1).await;
+        self.send_registration(1).await;
         let end = Instant::now() + deadline;
         loop {
-            match self.next(left(end)).await {
+            match self.next(time_left(end)).await {
                 Update::Notification { .. } => {}
                 Update::Ended(outcome) => return outcome,
                 Update::Silent => return Outcome::Silent,
@@ -118,32 +118,32 @@
         }
     }
 
-    /// When anything was last heard on it.
-    pub fn last_heard(&self) -> Instant {
-        self.last_heard
+    /// Arrival time of the last notification, outdated ones included.
+    pub fn last_received(&self) -> Instant {
+        self.last_received
     }
 
-    /// Notifications of one server that never came.
+    /// Number of missing notifications, by the sequence numbers of each server.
     pub fn missed(&self) -> u64 {
         self.missed
     }
 
-    /// Notifications dropped because a newer one was there.
+    /// Number of notifications dropped because a newer one had arrived before.
     pub fn outdated(&self) -> u64 {
         self.outdated
     }
 
-    /// How often the feed came to be served by another server.
+    /// Number of times that the notifications came from another server than before.
     pub fn moves(&self) -> u64 {
         self.moves
     }
 
-    /// The server that sent the newest notification.
+    /// Name of the server that sent the newest notification.
     pub fn server(&self) -> Option<&str> {
-        self.position.as_ref().map(|at| at.server.as_str())
+        self.last_sequence.as_ref().map(|last| last.server.as_str())
     }
 
-    async fn register(&mut self, observe: u32) {
+    async fn send_registration(&mut self, observe: u32) {
         let shared = self.exchange.shared.clone();
         let mut packet = shared.request(RequestType::Get, &self.path);
         packet.set_observe_value(observe);
@@ -151,27 +151,27 @@
         self.exchange.send(&packet).await;
     }
 
-    /// The rule of RFC 7641, section 3.4.
+    /// Whether a notification is newer than the newest one (RFC 7641, section 3.4).
     fn is_newer(&self, observe: u32, at: Instant) -> bool {
-        let Some((newest, heard)) = self.newest else {
+        let Some((newest, newest_at)) = self.newest else {
             return true;
         };
-        (newest < observe && observe - newest < OBSERVE_HALF)
-            || (newest > observe && newest - observe > OBSERVE_HALF)
-            || at > heard + OBSERVE_FRESH
+        (newest < observe && observe - newest < OBSERVE_HALF_RANGE)
+            || (newest > observe && newest - observe > OBSERVE_HALF_RANGE)
+            || at > newest_at + OBSERVE_MAX_AGE
     }
 
-    fn locate(&mut self, payload: &[u8]) {
-        let Some(now) = Position::parse(payload) else {
+    fn record_sequence(&mut self, payload: &[u8]) {
+        let Some(current) = SequenceNumber::parse(payload) else {
             return;
         };
-        match &self.position {
-            Some(before) if before.server == now.server => {
-                self.missed += now.count.saturating_sub(before.count + 1);
+        match &self.last_sequence {
+            Some(previous) if previous.server == current.server => {
+                self.missed += current.count.saturating_sub(previous.count + 1);
             }
             Some(_) => self.moves += 1,
             None => {}
         }
-        self.position = Some(now);
+        self.last_sequence = Some(current);
     }
 }
--- a/standin/src/health.rs
+++ b/standin/src/health.rs
@@ -1,4 +1,5 @@
-//! The health endpoint of a backend server, which may lag, lie or be gone.
+//! The health endpoint of a backend server, with injectable delays, wrong values and
+//! outages.
 
 use std::sync::Arc;
 use std::sync::Weak;
@@ -15,24 +16,24 @@
 use tokio::net::TcpListener;
 use tokio::time;
 
-use crate::gate::Gate;
-use crate::gate::Line;
+use crate::listener::ClosableListener;
+use crate::listener::Connection;
 use crate::lock::lock;
 use crate::server::Shared;
-use crate::server::thawed;
+use crate::server::wait_until_unfrozen;
 
-/// What the health endpoint says in place of the truth.
+/// Values that the health endpoint reports instead of the actual ones.
 #[derive(Clone, Debug, Default)]
 pub struct Lies {
-    /// The state.
+    /// State of the server.
     pub state: Option<String>,
-    /// The requests in progress.
+    /// Number of requests in progress.
     pub outstanding: Option<usize>,
-    /// The service.
+    /// Name of the service.
     pub service: Option<String>,
 }
 
-/// What the health endpoint answers.
+/// Response body of the health endpoint.
 #[derive(Serialize)]
 struct Health {
     service: String,
@@ -42,39 +43,40 @@
     slots: usize,
 }
 
-/// Answers health checks until it is dropped.
+/// Serves health checks until the future is dropped.
 pub(crate) async fn serve(listener: TcpListener, shared: Arc<Shared>) {
     let routes = Router::new()
         .route("/health", get(health))
         .with_state(Arc::downgrade(&shared));
     drop(shared);
-    let service = routes.into_make_service_with_connect_info::<Line>();
-    // Serving ends only with the task.
-    let _ = axum::serve(Gate::new(listener), service).await;
+    let service = routes.into_make_service_with_connect_info::<Connection>();
+    // `serve` never returns; serving ends when the task is aborted.
+    let _ = axum::serve(ClosableListener::new(listener), service).await;
 }
 
 async fn health(
     State(shared): State<Weak<Shared>>,
-    ConnectInfo(line): ConnectInfo<Line>,
+    ConnectInfo(connection): ConnectInfo<Connection>,
 ) -> Response {
-    // A kept connection must not hold the addresses of a server that has ended.
+    // The reference is weak because a kept-alive connection must not keep the addresses
+    // of a stopped server bound.
     let Some(shared) = shared.upgrade() else {
-        line.cut();
+        connection.abort();
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     };
     let delay = lock(&shared.state).health_delay;
     time::sleep(delay).await;
-    thawed(&shared).await;
+    wait_until_unfrozen(&shared).await;
     let state = lock(&shared.state);
     if state.health_down {
-        line.cut();
+        connection.abort();
     }
-    let truth = if state.draining { "draining" } else { "up" };
+    let actual_state = if state.draining { "draining" } else { "up" };
     let lies = state.lies.clone();
     Json(Health {
         service: lies.service.unwrap_or(shared.settings.service.clone()),
         server: shared.settings.name.clone(),
-        state: lies.state.unwrap_or(truth.to_owned()),
+        state: lies.state.unwrap_or(actual_state.to_owned()),
         outstanding: lies.outstanding.unwrap_or(state.outstanding),
         slots: shared.settings.slots,
     })
--- a/standin/src/lock.rs
+++ b/standin/src/lock.rs
@@ -1,13 +1,13 @@
-//! Locking that outlives a panicked test.
+//! Locking that ignores poisoning.
 //!
-//! A failed assertion on one task must not turn into a poisoned lock on all
-//! others and hide the first message.
+//! A failed assertion in one task must not make all other tasks fail on a poisoned
+//! lock, because their messages would hide the first one.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
 use std::sync::PoisonError;
 
-/// Locks, whether or not another holder has panicked.
+/// Locks the mutex even if a previous holder has panicked.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/standin/src/main.rs
+++ b/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process of its own.
+//! Runs a stand-in as a separate process.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -90,7 +90,7 @@
     },
 }
 
-/// What a caller does.
+/// Action of the caller command.
 #[derive(Clone, Copy, Debug)]
 enum Method {
     Request(RequestType),
@@ -107,7 +107,7 @@
             "put" => Ok(Self::Request(RequestType::Put)),
             "delete" => Ok(Self::Request(RequestType::Delete)),
             "observe" => Ok(Self::Observe),
-            _ => Err(format!("no such method: {name}")),
+            _ => Err(format!("unknown method: {name}")),
         }
     }
 }
@@ -119,7 +119,7 @@
             let platform = platform::start(listen).await?;
             if let Some(file) = seed_file {
                 let text = std::fs::read_to_string(file)?;
-                seed(&platform, &text)?;
+                load_seed(&platform, &text)?;
             }
             println!("platform on {}", platform.address());
             tokio::signal::ctrl_c().await?;
@@ -166,13 +166,13 @@
             settings.seed = rand::random();
             let caller = caller::start(settings).await?;
             let deadline = Duration::from_millis(deadline);
-            call(&caller, method, &path, payload, deadline).await;
+            run_caller(&caller, method, &path, payload, deadline).await;
         }
     }
     Ok(())
 }
 
-fn seed(platform: &platform::Handle, text: &str) -> serde_json::Result<()> {
+fn load_seed(platform: &platform::Handle, text: &str) -> serde_json::Result<()> {
     let values: BTreeMap<String, serde_json::Value> = serde_json::from_str(text)?;
     for (key, value) in values {
         platform.put(&key, value.to_string());
@@ -180,7 +180,7 @@
     Ok(())
 }
 
-async fn call(
+async fn run_caller(
     caller: &caller::Caller,
     method: Method,
     path: &str,
@@ -188,29 +188,29 @@
     deadline: Duration,
 ) {
     let Method::Request(method) = method else {
-        return follow(caller, path, deadline).await;
+        return print_feed(caller, path, deadline).await;
     };
     let outcome = caller.request(method, path, payload, deadline).await;
-    print(&outcome);
+    print_outcome(&outcome);
 }
 
-async fn follow(caller: &caller::Caller, path: &str, deadline: Duration) {
+async fn print_feed(caller: &caller::Caller, path: &str, deadline: Duration) {
     let mut feed = match caller.observe(path, deadline).await {
         Ok(feed) => feed,
-        Err(outcome) => return print(&outcome),
+        Err(outcome) => return print_outcome(&outcome),
     };
     loop {
         match feed.next(deadline).await {
             caller::Update::Notification { observe, payload } => {
                 println!("{observe}: {}", String::from_utf8_lossy(&payload));
             }
-            caller::Update::Ended(outcome) => return print(&outcome),
+            caller::Update::Ended(outcome) => return print_outcome(&outcome),
             caller::Update::Silent => println!("silent"),
         }
     }
 }
 
-fn print(outcome: &caller::Outcome) {
+fn print_outcome(outcome: &caller::Outcome) {
     match outcome {
         caller::Outcome::Answered { code, payload } => {
             println!("{code:?}: {}", String::from_utf8_lossy(payload));
--- a/standin/src/message.rs
+++ b/standin/src/message.rs
@@ -1,4 +1,4 @@
-//! What CoAP messages have in common here: option values, paths and blocks.
+//! Helpers for CoAP messages: option values, paths and blocks.
 
 use coap_lite::CoapOption;
 use coap_lite::MessageClass;
@@ -8,34 +8,34 @@
 use coap_lite::block_handler::BlockValue;
 use coap_lite::option_value::OptionValueU32;
 
-/// Largest block that fits a datagram on every path.
+/// Largest block size; such a block fits in a datagram on every path.
 pub(crate) const MAX_BLOCK: usize = 1024;
 /// Largest datagram that is read.
 pub(crate) const MAX_DATAGRAM: usize = 65_536;
-/// Keeps the blocks of two bodies to one resource apart (RFC 9175).
+/// Distinguishes the blocks of two bodies sent to one resource (RFC 9175).
 pub(crate) const REQUEST_TAG: CoapOption = CoapOption::Unknown(292);
-/// Largest value of the Observe option, which has three bytes.
+/// Largest value of the Observe option, which has 24 bits.
 pub(crate) const OBSERVE_MASK: u32 = 0xff_ffff;
 
-/// An unsigned option, if it is there and sound.
-pub(crate) fn number(packet: &Packet, option: CoapOption) -> Option<u32> {
+/// Value of an unsigned option; none if the option is absent or malformed.
+pub(crate) fn uint_option(packet: &Packet, option: CoapOption) -> Option<u32> {
     let value = packet.get_first_option_as::<OptionValueU32>(option)?;
     value.ok().map(|value| value.0)
 }
 
 /// Sets an unsigned option.
-pub(crate) fn set_number(packet: &mut Packet, option: CoapOption, value: u32) {
+pub(crate) fn set_uint_option(packet: &mut Packet, option: CoapOption, value: u32) {
     packet.clear_option(option);
     packet.add_option_as(option, OptionValueU32(value));
 }
 
-/// A block option, if it is there and sound.
-pub(crate) fn block(packet: &Packet, option: CoapOption) -> Option<BlockValue> {
+/// Value of a block option; none if the option is absent or malformed.
+pub(crate) fn block_option(packet: &Packet, option: CoapOption) -> Option<BlockValue> {
     packet.get_first_option_as::<BlockValue>(option)?.ok()
 }
 
-/// The resource, with its leading slash.
-pub(crate) fn path(packet: &Packet) -> String {
+/// Path of the requested resource, with a leading slash.
+pub(crate) fn uri_path(packet: &Packet) -> String {
     let segments = packet.get_option(CoapOption::UriPath);
     let mut path = String::new();
     for segment in segments.into_iter().flatten() {
@@ -45,14 +45,14 @@
     path
 }
 
-/// Sets the resource.
-pub(crate) fn set_path(packet: &mut Packet, path: &str) {
+/// Sets the Uri-Path options.
+pub(crate) fn set_uri_path(packet: &mut Packet, path: &str) {
     for segment in path.split('/').filter(|segment| !segment.is_empty()) {
         packet.add_option(CoapOption::UriPath, segment.into());
     }
 }
 
-/// An answer that is not yet addressed to a request.
+/// An answer without the message ID, type and token that match it to a request.
 pub(crate) fn answer(code: ResponseType, payload: impl Into<Vec<u8>>) -> Packet {
     let mut packet = Packet::new();
     packet.header.code = MessageClass::Response(code);
@@ -60,8 +60,8 @@
     packet
 }
 
-/// A message without code, token and payload.
-pub(crate) fn empty(kind: MessageType, message_id: u16) -> Packet {
+/// An empty message (code 0.00, no token, no payload).
+pub(crate) fn empty_message(kind: MessageType, message_id: u16) -> Packet {
     let mut packet = Packet::new();
     packet.header.code = MessageClass::Empty;
     packet.header.set_type(kind);
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -1,9 +1,9 @@
-//! The platform's key-value service, in the shape of the etcd v3 JSON gateway.
+//! The platform's key-value service, with the API of the etcd v3 JSON gateway.
 //!
-//! It serves reads, writes, transactions, leases and watches from memory and
-//! counts every call. Its faults are those that the users report: it is down or
-//! slow, a write takes effect and its answer is lost, reads lag behind, a lease
-//! lasts longer than its holder expects.
+//! It serves reads, writes, transactions, leases and watches from memory and counts
+//! every call. Its injectable faults are those that users report: outages, slow
+//! answers, writes that take effect but whose answer is lost, stale reads, and leases
+//! that last longer than their holder expects.
 
 use std::io;
 use std::net::SocketAddr;
@@ -34,35 +34,35 @@
 use tokio::time;
 
 use crate::etcd;
-use crate::gate::Gate;
-use crate::gate::Line;
+use crate::listener::ClosableListener;
+use crate::listener::Connection;
 use crate::lock::lock;
 use crate::store;
 use crate::store::Store;
 
-/// How often leases are looked at.
-const LEASE_TICK: Duration = Duration::from_millis(20);
-/// Largest request body; a value of a megabyte grows by a third in base64.
-const MAX_BODY: usize = 4 << 20;
-/// gRPC code for a request that does not parse.
+/// Interval between checks for expired leases.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Largest request body in bytes; base64 makes a value of 1 MiB a third larger.
+const MAX_BODY_LEN: usize = 4 << 20;
+/// gRPC code for a request that cannot be parsed.
 const INVALID_ARGUMENT: u32 = 3;
-/// gRPC code for something that is not there.
+/// gRPC code for an object that does not exist.
 const NOT_FOUND: u32 = 5;
 
-/// Calls so far, by kind, and watches.
+/// Number of calls so far, by kind, and of open watches.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Calls of `range`.
+    /// Calls to `range`.
     pub reads: u64,
-    /// Calls of `put`, `deleterange` and `txn`.
+    /// Calls to `put`, `deleterange` and `txn`.
     pub writes: u64,
-    /// Calls about leases.
+    /// Calls to grant, renew and revoke leases.
     pub leases: u64,
-    /// Watches opened.
+    /// Watches opened so far.
     pub watches: u64,
-    /// Watches waiting now.
+    /// Watches open now.
     pub watching: u64,
-    /// Most watches that waited at once.
+    /// Maximum number of watches open at the same time.
     pub watching_peak: u64,
 }
 
@@ -77,16 +77,16 @@
     store: Mutex<Store>,
     faults: Mutex<Faults>,
     counters: Mutex<Counters>,
-    /// Wakes the watches after a change of the store or of the faults.
+    /// Wakes the watches when the store or the faults change.
     changed: watch::Sender<()>,
 }
 
 impl Shared {
-    /// Works on the store and wakes the watches.
-    fn change<T>(&self, work: impl FnOnce(&mut Store) -> T) -> T {
+    /// Runs an operation on the store and wakes the watches.
+    fn change<T>(&self, operation: impl FnOnce(&mut Store) -> T) -> T {
         let mut store = lock(&self.store);
-        store.expire();
-        let result = work(&mut store);
+        store.expire_leases();
+        let result = operation(&mut store);
         drop(store);
         self.changed.send_replace(());
         result
@@ -100,26 +100,26 @@
         lock(&self.faults).down
     }
 
-    fn loses_answer(&self) -> bool {
+    fn take_lost_answer(&self) -> bool {
         let mut faults = lock(&self.faults);
-        let loses = faults.lost_answers > 0;
-        faults.lost_answers -= u32::from(loses);
-        loses
+        let is_lost = faults.lost_answers > 0;
+        faults.lost_answers -= u32::from(is_lost);
+        is_lost
     }
 }
 
-/// A running platform; it ends when this is dropped.
+/// Handle of a running platform. Dropping it stops the platform.
 pub struct Handle {
     address: SocketAddr,
     shared: Arc<Shared>,
     _tasks: JoinSet<()>,
 }
 
-/// Starts a platform with no keys.
+/// Starts a platform with an empty store.
 ///
 /// # Errors
 ///
-/// The address cannot be listened on.
+/// The address cannot be bound.
 pub async fn start(bind: SocketAddr) -> io::Result<Handle> {
     let listener = TcpListener::bind(bind).await?;
     let address = listener.local_addr()?;
@@ -131,7 +131,7 @@
     });
     let mut tasks = JoinSet::new();
     tasks.spawn(serve(listener, shared.clone()));
-    tasks.spawn(expire(shared.clone()));
+    tasks.spawn(expire_leases(shared.clone()));
     Ok(Handle {
         address,
         shared,
@@ -140,29 +140,29 @@
 }
 
 impl Handle {
-    /// Where it listens.
+    /// Address of the HTTP gateway.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Value of a key, past all faults.
+    /// Reads a key directly from the store, unaffected by faults and not counted.
     pub fn get(&self, key: &str) -> Option<Vec<u8>> {
         let store = lock(&self.shared.store);
         store.get(key.as_bytes()).map(|kv| kv.value.clone())
     }
 
-    /// Writes a key, past all faults and uncounted.
+    /// Writes a key directly to the store, unaffected by faults and not counted.
     pub fn put(&self, key: &str, value: impl Into<Vec<u8>>) {
         let put = etcd::Put {
             key: key.into(),
             value: value.into(),
             lease: 0,
         };
-        // Only an oversized value is refused, which a test will see at its first read.
+        // Only an oversized value is rejected; a test notices that when it reads the key.
         let _ = self.shared.change(|store| store.put(&put));
     }
 
-    /// Deletes a key, past all faults and uncounted.
+    /// Deletes a key directly from the store, unaffected by faults and not counted.
     pub fn delete(&self, key: &str) {
         let range = etcd::DeleteRange {
             key: key.into(),
@@ -171,12 +171,12 @@
         self.shared.change(|store| store.delete_range(&range));
     }
 
-    /// Calls so far.
+    /// Counters of the calls so far.
     pub fn counters(&self) -> Counters {
         *lock(&self.shared.counters)
     }
 
-    /// Closes every connection without an answer, watches included.
+    /// Starts or ends an outage: every call and every watch is closed without an answer.
     pub fn down(&self, on: bool) {
         lock(&self.shared.faults).down = on;
         self.shared.changed.send_replace(());
@@ -187,17 +187,17 @@
         lock(&self.shared.faults).delay = delay;
     }
 
-    /// Lets the next writes take effect and loses their answers.
+    /// Lets the next `count` writes take effect without sending their answers.
     pub fn lose_answers(&self, count: u32) {
         lock(&self.shared.faults).lost_answers = count;
     }
 
-    /// Shows reads and watches the state of now for as long as it is on.
+    /// Starts or ends stale reads: reads and watches see the state at the start.
     pub fn stale(&self, on: bool) {
-        self.shared.change(|store| store.stale(on));
+        self.shared.change(|store| store.set_stale(on));
     }
 
-    /// Stops the clock by which leases expire.
+    /// Stops or resumes the clock by which leases expire.
     pub fn freeze_leases(&self, on: bool) {
         self.shared.change(|store| store.freeze_leases(on));
     }
@@ -214,41 +214,44 @@
         .route("/v3/lease/revoke", post(revoke))
         .route("/v3/kv/lease/revoke", post(revoke))
         .route("/v3/watch", post(watch))
-        .layer(DefaultBodyLimit::max(MAX_BODY))
-        .layer(middleware::from_fn_with_state(shared.clone(), disturb))
+        .layer(DefaultBodyLimit::max(MAX_BODY_LEN))
+        .layer(middleware::from_fn_with_state(
+            shared.clone(),
+            inject_faults,
+        ))
         .with_state(shared);
-    let service = routes.into_make_service_with_connect_info::<Line>();
-    // Serving ends only with the task.
-    let _ = axum::serve(Gate::new(listener), service).await;
+    let service = routes.into_make_service_with_connect_info::<Connection>();
+    // `serve` never returns; serving ends when the task is aborted.
+    let _ = axum::serve(ClosableListener::new(listener), service).await;
 }
 
-async fn expire(shared: Arc<Shared>) {
-    let mut tick = time::interval(LEASE_TICK);
+async fn expire_leases(shared: Arc<Shared>) {
+    let mut tick = time::interval(LEASE_CHECK_INTERVAL);
     loop {
         tick.tick().await;
-        if lock(&shared.store).expire() {
+        if lock(&shared.store).expire_leases() {
             shared.changed.send_replace(());
         }
     }
 }
 
-/// Applies the faults that do not depend on the call.
-async fn disturb(
+/// Injects the faults that apply to every call: delay and outage.
+async fn inject_faults(
     State(shared): State<Arc<Shared>>,
-    ConnectInfo(line): ConnectInfo<Line>,
+    ConnectInfo(connection): ConnectInfo<Connection>,
     request: Request,
     next: Next,
 ) -> Response {
     let delay = lock(&shared.faults).delay;
     time::sleep(delay).await;
     if shared.is_down() {
-        line.cut();
+        connection.abort();
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     }
     next.run(request).await
 }
 
-/// Why a call failed, as the gateway reports it.
+/// Error response of the gateway.
 #[derive(Serialize)]
 struct Failure {
     error: String,
@@ -283,66 +286,68 @@
     }
 }
 
-type Answer<T> = Result<axum::Json<T>, Failure>;
+type CallResult<T> = Result<axum::Json<T>, Failure>;
 
-/// Parses a body, whatever content type it claims, as the gateway does.
+/// Parses a JSON body whatever its content type, as the gateway does.
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, Failure> {
     serde_json::from_slice(body).map_err(|error| Failure::new(INVALID_ARGUMENT, error.to_string()))
 }
 
-async fn range(State(shared): State<Arc<Shared>>, body: Bytes) -> Answer<etcd::RangeResponse> {
+async fn range(State(shared): State<Arc<Shared>>, body: Bytes) -> CallResult<etcd::RangeResponse> {
     let request: etcd::Range = parse(&body)?;
     shared.count(|counters| counters.reads += 1);
     let mut store = lock(&shared.store);
-    store.expire();
-    Ok(axum::Json(store.shown_range(&request)))
+    store.expire_leases();
+    Ok(axum::Json(store.visible_range(&request)))
 }
 
-/// Counts a write, runs it and may lose its answer if it changed anything.
+/// Counts and applies a write; its answer may be lost if it changed the store.
 fn write<T>(
     shared: &Shared,
-    line: &Line,
-    work: impl FnOnce(&mut Store) -> Result<T, store::Error>,
-) -> Answer<T> {
+    connection: &Connection,
+    operation: impl FnOnce(&mut Store) -> Result<T, store::Error>,
+) -> CallResult<T> {
     shared.count(|counters| counters.writes += 1);
-    let (result, took_effect) = shared.change(|store| {
+    let (result, has_changed) = shared.change(|store| {
         let before = store.header().revision;
-        (work(store), store.header().revision > before)
+        (operation(store), store.header().revision > before)
     });
-    if took_effect && shared.loses_answer() {
-        line.cut();
+    if has_changed && shared.take_lost_answer() {
+        connection.abort();
     }
     Ok(axum::Json(result?))
 }
 
 async fn put(
     State(shared): State<Arc<Shared>>,
-    ConnectInfo(line): ConnectInfo<Line>,
+    ConnectInfo(connection): ConnectInfo<Connection>,
     body: Bytes,
-) -> Answer<etcd::PutResponse> {
+) -> CallResult<etcd::PutResponse> {
     let request: etcd::Put = parse(&body)?;
-    write(&shared, &line, |store| store.put(&request))
+    write(&shared, &connection, |store| store.put(&request))
 }
 
 async fn delete_range(
     State(shared): State<Arc<Shared>>,
-    ConnectInfo(line): ConnectInfo<Line>,
+    ConnectInfo(connection): ConnectInfo<Connection>,
     body: Bytes,
-) -> Answer<etcd::DeleteRangeResponse> {
+) -> CallResult<etcd::DeleteRangeResponse> {
     let request: etcd::DeleteRange = parse(&body)?;
-    write(&shared, &line, |store| Ok(store.delete_range(&request)))
+    write(&shared, &connection, |store| {
+        Ok(store.delete_range(&request))
+    })
 }
 
 async fn txn(
     State(shared): State<Arc<Shared>>,
-    ConnectInfo(line): ConnectInfo<Line>,
+    ConnectInfo(connection): ConnectInfo<Connection>,
     body: Bytes,
-) -> Answer<etcd::TxnResponse> {
+) -> CallResult<etcd::TxnResponse> {
     let request: etcd::Txn = parse(&body)?;
-    write(&shared, &line, |store| store.txn(&request))
+    write(&shared, &connection, |store| store.txn(&request))
 }
 
-async fn grant(State(shared): State<Arc<Shared>>, body: Bytes) -> Answer<etcd::LeaseResponse> {
+async fn grant(State(shared): State<Arc<Shared>>, body: Bytes) -> CallResult<etcd::LeaseResponse> {
     let request: etcd::Lease = parse(&body)?;
     shared.count(|counters| counters.leases += 1);
     let response = shared.change(|store| store.grant(request.id, request.ttl));
@@ -352,79 +357,79 @@
 async fn keep_alive(
     State(shared): State<Arc<Shared>>,
     body: Bytes,
-) -> Answer<etcd::Line<etcd::LeaseResponse>> {
+) -> CallResult<etcd::StreamLine<etcd::LeaseResponse>> {
     let request: etcd::Lease = parse(&body)?;
     shared.count(|counters| counters.leases += 1);
     let result = shared.change(|store| store.keep_alive(request.id));
-    Ok(axum::Json(etcd::Line { result }))
+    Ok(axum::Json(etcd::StreamLine { result }))
 }
 
-async fn revoke(State(shared): State<Arc<Shared>>, body: Bytes) -> Answer<etcd::LeaseResponse> {
+async fn revoke(State(shared): State<Arc<Shared>>, body: Bytes) -> CallResult<etcd::LeaseResponse> {
     let request: etcd::Lease = parse(&body)?;
     shared.count(|counters| counters.leases += 1);
     let response = shared.change(|store| store.revoke(request.id))?;
     Ok(axum::Json(response))
 }
 
-/// One open watch.
+/// An open watch.
 struct Watch {
     shared: Arc<Shared>,
-    line: Line,
+    connection: Connection,
     changed: watch::Receiver<()>,
     key: Vec<u8>,
-    end: Vec<u8>,
-    place: usize,
-    announced: bool,
+    range_end: Vec<u8>,
+    history_index: usize,
+    is_announced: bool,
 }
 
 impl Watch {
-    fn open(shared: Arc<Shared>, line: Line, create: etcd::Create) -> Self {
+    fn open(shared: Arc<Shared>, connection: Connection, create: etcd::Create) -> Self {
         shared.count(|counters| {
             counters.watches += 1;
             counters.watching += 1;
             counters.watching_peak = counters.watching_peak.max(counters.watching);
         });
-        let place = lock(&shared.store).place(create.start_revision);
+        let history_index = lock(&shared.store).start_index(create.start_revision);
         Self {
-            line,
+            connection,
             changed: shared.changed.subscribe(),
             key: create.key,
-            end: create.range_end,
-            place,
-            announced: false,
+            range_end: create.range_end,
+            history_index,
+            is_announced: false,
             shared,
         }
     }
 
-    /// The next line; an error ends the stream and the connection.
-    async fn next(&mut self) -> io::Result<Bytes> {
+    /// Waits for the next line; an error ends the stream and closes the connection.
+    async fn next_line(&mut self) -> io::Result<Bytes> {
         loop {
             self.changed.borrow_and_update();
             if self.shared.is_down() {
-                self.line.cut();
+                self.connection.abort();
                 return Err(io::ErrorKind::ConnectionAborted.into());
             }
-            if let Some(response) = self.ready() {
+            if let Some(response) = self.next_response() {
                 return encode(response);
             }
-            // The sender lives as long as the shared state that this watch holds.
+            // This watch keeps the shared state alive, which owns the sender.
             let _ = self.changed.changed().await;
         }
     }
 
-    fn ready(&mut self) -> Option<etcd::WatchResponse> {
+    fn next_response(&mut self) -> Option<etcd::WatchResponse> {
         let store = lock(&self.shared.store);
-        let header = store.shown_header();
-        if !self.announced {
-            self.announced = true;
+        let header = store.visible_header();
+        if !self.is_announced {
+            self.is_announced = true;
             return Some(etcd::WatchResponse {
                 header,
                 created: true,
                 events: Vec::new(),
             });
         }
-        let (events, place) = store.events(self.place, &self.key, &self.end);
-        self.place = place;
+        let (events, history_index) = store.events(self.history_index, &self.key, &self.range_end);
+        self.history_index = history_index;
         (!events.is_empty()).then_some(etcd::WatchResponse {
             header,
             created: false,
@@ -440,19 +445,21 @@
 }
 
 fn encode(result: etcd::WatchResponse) -> io::Result<Bytes> {
-    let mut line = serde_json::to_vec(&etcd::Line { result })?;
+    let mut line = serde_json::to_vec(&etcd::StreamLine { result })?;
     line.push(b'\n');
     Ok(line.into())
 }
 
 async fn watch(
     State(shared): State<Arc<Shared>>,
-    ConnectInfo(line): ConnectInfo<Line>,
+    ConnectInfo(connection): ConnectInfo<Connection>,
     body: Bytes,
 ) -> Result<Response, Failure> {
     let request: etcd::Watch = parse(&body)?;
-    let watch = Watch::open(shared, line, request.create_request);
-    let lines = stream::unfold(watch, async |mut watch| Some((watch.next().await, watch)));
-    let kind = [(CONTENT_TYPE, "application/json")];
-    Ok((kind, Body::from_stream(lines)).into_response())
+    let watch = Watch::open(shared, connection, request.create_request);
+    let lines = stream::unfold(watch, async |mut watch| {
+        Some((watch.next_line().await, watch))
+    });
+    let headers = [(CONTENT_TYPE, "application/json")];
+    Ok((headers, Body::from_stream(lines)).into_response())
 }
--- a/standin/src/proxy.rs
+++ b/standin/src/proxy.rs
@@ -1,9 +1,9 @@
-//! A fault-injecting proxy, for datagrams and for streams.
+//! A fault-injecting proxy for UDP and TCP.
 //!
-//! It stands between two parties that were told its address in place of the
-//! other's. A stream loses and doubles nothing, as TCP repairs that: cutting or
-//! freezing a direction leaves connections open and silent, and what was held
-//! back comes through once the direction is open again.
+//! A client connects to the proxy's address in place of the target's. Loss and
+//! duplication do not apply to streams, because TCP would repair them. Cutting or
+//! freezing a direction of a stream keeps the connection open without traffic; the
+//! data held back is delivered once the direction is open again.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -28,45 +28,45 @@
 use crate::relay;
 use crate::relay::Links;
 
-/// Most that is read from a stream at once.
-const CHUNK: usize = 65_536;
+/// Maximum number of bytes read from a stream at once.
+const CHUNK_SIZE: usize = 65_536;
 
-/// A running proxy; it ends when this is dropped.
+/// Handle of a running proxy. Dropping it stops the proxy.
 pub struct Handle {
     address: SocketAddr,
     target: Arc<Mutex<SocketAddr>>,
-    /// Senders whose datagrams are lost.
-    blocked: Arc<Mutex<BTreeSet<SocketAddr>>>,
+    /// Senders whose datagrams are dropped.
+    blocked_senders: Arc<Mutex<BTreeSet<SocketAddr>>>,
     links: Links,
-    /// Changes when all connections are to be closed.
+    /// Signals that all connections must be closed.
     resets: watch::Sender<()>,
     tasks: JoinSet<()>,
 }
 
-/// Starts passing datagrams on to a target.
+/// Starts a proxy that relays datagrams to a target.
 ///
 /// # Errors
 ///
-/// The address cannot be listened on.
+/// The address cannot be bound.
 pub async fn udp(bind: SocketAddr, target: SocketAddr, seed: u64) -> io::Result<Handle> {
     let public = Arc::new(UdpSocket::bind(bind).await?);
     let mut handle = Handle::new(public.local_addr()?, target, seed);
     let target = handle.target.clone();
-    let blocked = handle.blocked.clone();
-    let choose = Box::new(move |from| {
-        let open = !lock(&blocked).contains(&from);
-        open.then(|| *lock(&target))
+    let blocked_senders = handle.blocked_senders.clone();
+    let choose_target = Box::new(move |from| {
+        let is_allowed = !lock(&blocked_senders).contains(&from);
+        is_allowed.then(|| *lock(&target))
     });
     let links = handle.links.clone();
-    handle.tasks.spawn(relay::run(public, links, choose));
+    handle.tasks.spawn(relay::run(public, links, choose_target));
     Ok(handle)
 }
 
-/// Starts passing connections on to a target.
+/// Starts a proxy that relays TCP connections to a target.
 ///
 /// # Errors
 ///
-/// The address cannot be listened on.
+/// The address cannot be bound.
 pub async fn tcp(bind: SocketAddr, target: SocketAddr, seed: u64) -> io::Result<Handle> {
     let listener = TcpListener::bind(bind).await?;
     let mut handle = Handle::new(listener.local_addr()?, target, seed);
@@ -82,19 +82,19 @@
         Self {
             address,
             target: Arc::new(Mutex::new(target)),
-            blocked: Arc::default(),
+            blocked_senders: Arc::default(),
             links: Links::new(seed),
             resets: watch::Sender::default(),
             tasks: JoinSet::new(),
         }
     }
 
-    /// The address to use in place of the target's.
+    /// Address for clients to use in place of the target's.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Passes new connections and further datagrams on to another target.
+    /// Relays new connections and further datagrams to another target.
     pub fn set_target(&self, target: SocketAddr) {
         *lock(&self.target) = target;
     }
@@ -104,31 +104,31 @@
         self.links.get(direction).set(faults);
     }
 
-    /// Lets nothing through in one direction.
+    /// Cuts one direction, or restores it.
     pub fn cut(&self, direction: Direction, on: bool) {
-        self.links.get(direction).change(|faults| faults.cut = on);
+        self.links.get(direction).modify(|faults| faults.cut = on);
     }
 
-    /// Loses the datagrams of these senders alone; it does nothing to streams.
+    /// Drops the datagrams of these senders and of no others. Streams are not affected.
     pub fn block(&self, senders: BTreeSet<SocketAddr>) {
-        *lock(&self.blocked) = senders;
+        *lock(&self.blocked_senders) = senders;
     }
 
-    /// Lets nothing through in either direction.
+    /// Cuts both directions, or restores them.
     pub fn cut_both(&self, on: bool) {
         self.cut(Direction::Forward, on);
         self.cut(Direction::Back, on);
     }
 
-    /// Holds back everything in both directions until it is off again.
+    /// Holds back all traffic in both directions until called with `false`.
     pub fn freeze(&self, on: bool) {
         for direction in [Direction::Forward, Direction::Back] {
             let link = self.links.get(direction);
-            link.change(|faults| faults.frozen = on);
+            link.modify(|faults| faults.frozen = on);
         }
     }
 
-    /// Closes the connections of now; it does nothing to datagrams.
+    /// Closes all current connections. Datagrams are not affected.
     pub fn reset(&self) {
         self.resets.send_replace(());
     }
@@ -145,41 +145,55 @@
         tokio::select! {
             Some(_) = connections.join_next() => {}
             accepted = listener.accept() => {
-                let Ok((near, _)) = accepted else { continue };
-                let to = *lock(&target);
-                connections.spawn(connect(near, to, links.clone(), resets.subscribe()));
+                let Ok((client, _)) = accepted else { continue };
+                let target = *lock(&target);
+                connections.spawn(serve_connection(
+                    client,
+                    target,
+                    links.clone(),
+                    resets.subscribe(),
+                ));
             }
         }
     }
 }
 
-async fn connect(near: TcpStream, to: SocketAddr, links: Links, mut resets: watch::Receiver<()>) {
+async fn serve_connection(
+    client: TcpStream,
+    target: SocketAddr,
+    links: Links,
+    mut resets: watch::Receiver<()>,
+) {
     tokio::select! {
         _ = resets.changed() => {}
-        // A failed connection closes the near side, which is all there is to report.
-        _ = pass(near, to, &links) => {}
+        // An error closes the client's connection and needs no further report.
+        _ = relay_connection(client, target, &links) => {}
     }
 }
 
-async fn pass(near: TcpStream, to: SocketAddr, links: &Links) -> io::Result<()> {
-    links.forward.hold().await;
-    let far = TcpStream::connect(to).await?;
-    near.set_nodelay(true)?;
-    far.set_nodelay(true)?;
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let forward = pump(near_read, far_write, &links.forward);
-    let back = pump(far_read, near_write, &links.back);
+async fn relay_connection(client: TcpStream, target: SocketAddr, links: &Links) -> io::Result<()> {
+    links.forward.delay_chunk().await;
+    let upstream = TcpStream::connect(target).await?;
+    client.set_nodelay(true)?;
+    upstream.set_nodelay(true)?;
+    let (client_read, client_write) = client.into_split();
+    let (upstream_read, upstream_write) = upstream.into_split();
+    let forward = copy_direction(client_read, upstream_write, &links.forward);
+    let back = copy_direction(upstream_read, client_write, &links.back);
     tokio::try_join!(forward, back)?;
     Ok(())
 }
 
-/// Copies one direction and passes its end on.
-async fn pump(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, link: &Link) -> io::Result<()> {
-    let mut buffer = vec![0; CHUNK];
+/// Copies one direction of a connection, including the end of the stream.
+async fn copy_direction(
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
+    link: &Link,
+) -> io::Result<()> {
+    let mut buffer = vec![0; CHUNK_SIZE];
     loop {
         let size = from.read(&mut buffer).await?;
-        link.hold().await;
+        link.delay_chunk().await;
         if size == 0 {
             return to.shutdown().await;
         }
--- a/standin/src/relay.rs
+++ b/standin/src/relay.rs
@@ -1,7 +1,7 @@
-//! Datagrams passed on in both directions, the part that fabric and proxy share.
+//! Relays datagrams in both directions, for the fabric and the proxy.
 //!
-//! Each caller gets an upstream socket of its own, so that the far side sees a
-//! stable endpoint for it and answers find their way back.
+//! Each caller gets its own upstream socket, so that the target sees a stable
+//! endpoint for the caller and answers can be routed back.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -18,10 +18,10 @@
 use crate::fault::Link;
 use crate::message::MAX_DATAGRAM;
 
-/// Chooses where the next datagram of a sender goes; none drops it.
-pub(crate) type Choose = Box<dyn Fn(SocketAddr) -> Option<SocketAddr> + Send + Sync>;
+/// Chooses the target of a sender's next datagram; none drops the datagram.
+pub(crate) type ChooseTarget = Box<dyn Fn(SocketAddr) -> Option<SocketAddr> + Send + Sync>;
 
-/// The two directions of a path.
+/// Both directions of a network path.
 #[derive(Clone)]
 pub(crate) struct Links {
     pub(crate) forward: Arc<Link>,
@@ -32,7 +32,7 @@
     pub(crate) fn new(seed: u64) -> Self {
         Self {
             forward: Link::new(seed),
-            // Any other seed does, as long as it follows from the first.
+            // Differs from the forward seed and is still reproducible.
             back: Link::new(!seed),
         }
     }
@@ -45,36 +45,44 @@
     }
 }
 
-/// Passes datagrams on until it is dropped.
-pub(crate) async fn run(public: Arc<UdpSocket>, links: Links, choose: Choose) {
+/// Relays datagrams until the future is dropped.
+pub(crate) async fn run(public: Arc<UdpSocket>, links: Links, choose_target: ChooseTarget) {
     let mut upstreams = HashMap::new();
-    let mut returns = JoinSet::new();
+    let mut return_tasks = JoinSet::new();
     let mut buffer = vec![0; MAX_DATAGRAM];
     loop {
         let Ok((size, caller)) = public.recv_from(&mut buffer).await else {
             continue;
         };
         if let Entry::Vacant(entry) = upstreams.entry(caller) {
-            let Ok(upstream) = bind().await else {
+            let Ok(upstream) = bind_upstream().await else {
                 continue;
             };
             let back = links.back.clone();
-            returns.spawn(send_back(upstream.clone(), public.clone(), caller, back));
+            return_tasks.spawn(relay_answers(
+                upstream.clone(),
+                public.clone(),
+                caller,
+                back,
+            ));
             entry.insert(upstream);
         }
-        if let Some(to) = choose(caller) {
+        if let Some(target) = choose_target(caller) {
             let datagram = Bytes::copy_from_slice(&buffer[..size]);
-            links.forward.carry(&upstreams[&caller], to, datagram).await;
+            links
+                .forward
+                .deliver(&upstreams[&caller], target, datagram)
+                .await;
         }
     }
 }
 
-async fn bind() -> io::Result<Arc<UdpSocket>> {
+async fn bind_upstream() -> io::Result<Arc<UdpSocket>> {
     let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     Ok(Arc::new(socket))
 }
 
-async fn send_back(
+async fn relay_answers(
     upstream: Arc<UdpSocket>,
     public: Arc<UdpSocket>,
     caller: SocketAddr,
@@ -86,6 +94,6 @@
             continue;
         };
         let datagram = Bytes::copy_from_slice(&buffer[..size]);
-        link.carry(&public, caller, datagram).await;
+        link.deliver(&public, caller, datagram).await;
     }
 }
--- a/standin/src/server.rs
+++ b/standin/src/server.rs
@@ -1,9 +1,10 @@
 //! A backend server: CoAP over UDP and a health endpoint over HTTP.
 //!
-//! It runs requests in a few slots, queues a bounded number and sheds the rest.
-//! It never removes duplicates: every copy that reaches it starts again and is
-//! counted under the request's payload, so that a test sees each second start.
-//! Observers, block-wise transfers and deadlines follow the published protocols.
+//! It executes requests in a fixed number of slots, queues a bounded number of further
+//! ones and refuses all others. It does not deduplicate: every copy of a request is
+//! executed and counted under the request's payload, so that a test detects repeated
+//! execution. Observers, block-wise transfers and deadlines follow the published
+//! protocols.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -42,45 +43,46 @@
 use crate::message::OBSERVE_MASK;
 use crate::message::REQUEST_TAG;
 
-/// Option with the time that a request may wait for a slot, in milliseconds.
+/// Number of the CoAP option that holds the longest wait for a slot, in milliseconds.
 pub const DEADLINE_OPTION: u16 = 65_000;
-/// Resource whose answer needs several blocks.
+/// Path of a resource whose representation takes several blocks.
 pub const LARGE_PATH: &str = "/large";
-/// Size of that answer.
+/// Size of the representation of [`LARGE_PATH`] in bytes.
 pub const LARGE_SIZE: usize = 5_000;
 
-/// An answer that takes longer is sent apart from its acknowledgement.
+/// Time after which a request is acknowledged with an empty message and answered
+/// separately.
 const ACK_DELAY: Duration = Duration::from_millis(100);
-/// Notifications of one observer that a reset can still refer to.
+/// Number of recent notifications of an observer that a reset can refer to.
 const RECENT_NOTIFICATIONS: usize = 8;
-/// Bytes of a payload that an answer repeats.
+/// Maximum number of payload bytes that an answer echoes.
 const ECHO_SIZE: usize = 64;
 
-/// What a server is and can do.
+/// Identity, addresses and capacity of a server.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its own name.
+    /// Name of the server.
     pub name: String,
-    /// The service that it runs.
+    /// Service that the server runs.
     pub service: String,
-    /// Where it takes requests.
+    /// Local address for requests.
     pub bind: SocketAddr,
-    /// Where it answers health checks.
+    /// Local address for health checks.
     pub health_bind: SocketAddr,
-    /// Requests that it runs at once.
+    /// Number of requests executed concurrently.
     pub slots: usize,
-    /// Requests that wait for a slot before it sheds.
+    /// Number of requests that may wait for a slot; further ones are refused.
     pub queue: usize,
-    /// How long one request runs.
+    /// Execution time of a request.
     pub service_time: Duration,
     /// Time between two notifications to an observer.
     pub notify_interval: Duration,
-    /// What a refused caller is told to wait, in whole seconds.
+    /// Max-Age of refusals, rounded down to whole seconds.
     pub retry_after: Duration,
 }
 
 impl Settings {
-    /// A fast server with two slots on ports from the system.
+    /// Settings of a fast server with two slots and ephemeral ports.
     pub fn new(name: &str, service: &str) -> Self {
         Self {
             name: name.to_owned(),
@@ -96,20 +98,21 @@
     }
 }
 
-/// A request that reached the server, whether or not it ran.
+/// A request that reached the server, whether or not it was executed.
 #[derive(Clone, Debug)]
 pub struct Seen {
-    /// When it was read.
+    /// Time at which the request was read.
     pub at: Instant,
-    /// Who sent it.
+    /// Address of the sender.
     pub remote: SocketAddr,
-    /// Its method.
+    /// Method of the request.
     pub method: RequestType,
-    /// Its resource.
+    /// Path of the requested resource.
     pub path: String,
-    /// Its payload as text.
+    /// Payload of the request as text, which serves as its identifier.
     pub id: String,
-    /// Whether it is new work, not the continuation of a feed or a block-wise transfer.
+    /// Whether the request is new work: it neither renews or cancels a known feed nor
+    /// transfers a later block.
     pub fresh: bool,
 }
 
@@ -149,15 +152,15 @@
 
 #[derive(Default)]
 struct Observer {
-    sent: u64,
-    recent: VecDeque<u16>,
+    sent_count: u64,
+    recent_message_ids: VecDeque<u16>,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct UploadKey {
     remote: SocketAddr,
     path: String,
-    tag: Option<Vec<u8>>,
+    request_tag: Option<Vec<u8>>,
 }
 
 impl State {
@@ -166,25 +169,30 @@
         self.message_id
     }
 
-    /// One sequence for all observers, so that it also rises for one that registers anew.
+    /// Next Observe number. All observers share one sequence, so that the numbers also
+    /// rise for an observer that registers again.
     fn next_observe(&mut self) -> u32 {
         self.observe = (self.observe + 1) & OBSERVE_MASK;
         self.observe
     }
 
-    fn is_fresh(&self, remote: SocketAddr, request: &Packet) -> bool {
-        let observes = message::number(request, CoapOption::Observe).is_some();
-        let continues = |option| message::block(request, option).is_some_and(|b| b.num > 0);
-        let known = observes
+    fn is_new_work(&self, remote: SocketAddr, request: &Packet) -> bool {
+        let has_observe = message::uint_option(request, CoapOption::Observe).is_some();
+        let is_later_block =
+            |option| message::block_option(request, option).is_some_and(|b| b.num > 0);
+        let is_known_observer = has_observe
             && self
                 .observers
                 .contains_key(&ObserverKey::new(remote, request));
-        !known && !continues(CoapOption::Block1) && !continues(CoapOption::Block2)
+        !is_known_observer
+            && !is_later_block(CoapOption::Block1)
+            && !is_later_block(CoapOption::Block2)
     }
 
-    fn reset(&mut self, remote: SocketAddr, message_id: u16) {
-        self.observers
-            .retain(|key, observer| key.remote != remote || !observer.recent.contains(&message_id));
+    fn remove_reset_observer(&mut self, remote: SocketAddr, message_id: u16) {
+        self.observers.retain(|key, observer| {
+            key.remote != remote || !observer.recent_message_ids.contains(&message_id)
+        });
     }
 }
 
@@ -197,7 +205,7 @@
     pub(crate) state: Mutex<State>,
 }
 
-/// A running server; it ends when this is dropped.
+/// Handle of a running server. Dropping it stops the server.
 pub struct Handle {
     address: SocketAddr,
     health_address: SocketAddr,
@@ -209,7 +217,7 @@
 ///
 /// # Errors
 ///
-/// One of its addresses cannot be listened on.
+/// One of the addresses cannot be bound.
 pub async fn start(settings: Settings) -> io::Result<Handle> {
     let socket = UdpSocket::bind(settings.bind).await?;
     let address = socket.local_addr()?;
@@ -236,95 +244,96 @@
 }
 
 impl Handle {
-    /// Where it takes requests.
+    /// Address for requests.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where it answers health checks.
+    /// Address for health checks.
     pub fn health_address(&self) -> SocketAddr {
         self.health_address
     }
 
-    /// Refuses new work; feeds and begun transfers go on.
+    /// Sets the draining state: new work is refused, open feeds and started transfers
+    /// continue.
     pub fn drain(&self, on: bool) {
         lock(&self.shared.state).draining = on;
     }
 
-    /// Refuses new work without saying so in its health.
+    /// Refuses new work while the health endpoint reports the normal state.
     pub fn shed(&self, on: bool) {
         lock(&self.shared.state).shedding = on;
     }
 
-    /// Stands still as a paused process: it reads and sends nothing.
+    /// Pauses the server like a stopped process: it reads and sends nothing.
     pub fn freeze(&self, on: bool) {
         self.shared.frozen.send_replace(on);
     }
 
-    /// Drops all observers without a word, as a middlebox that lost its table.
+    /// Removes all observers without notice, like a middlebox that loses its state.
     pub fn forget(&self) {
         lock(&self.shared.state).observers.clear();
     }
 
-    /// Changes how long requests run from now on.
+    /// Changes the execution time of requests that start from now on.
     pub fn set_service_time(&self, time: Duration) {
         self.shared.service_time.send_replace(time);
     }
 
-    /// Lets the health endpoint lie.
+    /// Replaces values that the health endpoint reports.
     pub fn lie(&self, lies: Lies) {
         lock(&self.shared.state).lies = lies;
     }
 
-    /// Closes health checks without an answer.
+    /// Sets whether health checks are closed without an answer.
     pub fn health_down(&self, on: bool) {
         lock(&self.shared.state).health_down = on;
     }
 
-    /// Delays the answers to health checks.
+    /// Sets the delay of answers to health checks.
     pub fn health_slow(&self, delay: Duration) {
         lock(&self.shared.state).health_delay = delay;
     }
 
-    /// How often the request with this payload was started.
+    /// Number of times that a request with this payload was started.
     pub fn starts(&self, id: &str) -> u64 {
         let state = lock(&self.shared.state);
         state.starts.get(id).copied().unwrap_or(0)
     }
 
-    /// Starts of every payload.
+    /// Number of starts by payload.
     pub fn all_starts(&self) -> BTreeMap<String, u64> {
         lock(&self.shared.state).starts.clone()
     }
 
-    /// Requests running or waiting now.
+    /// Number of requests that are being executed or wait for a slot.
     pub fn outstanding(&self) -> usize {
         lock(&self.shared.state).outstanding
     }
 
-    /// Most requests that ran at once.
+    /// Maximum number of requests that were executed concurrently.
     pub fn peak(&self) -> usize {
         lock(&self.shared.state).peak
     }
 
-    /// Observers registered now.
+    /// Number of registered observers.
     pub fn observers(&self) -> usize {
         lock(&self.shared.state).observers.len()
     }
 
-    /// Requests that named another service.
+    /// Number of requests whose Uri-Host names another service.
     pub fn wrong_service(&self) -> u64 {
         lock(&self.shared.state).wrong_service
     }
 
-    /// Requests read at this instant or later.
+    /// Requests received at this instant or later.
     pub fn seen_since(&self, since: Instant) -> Vec<Seen> {
         let state = lock(&self.shared.state);
         let recent = state.seen.iter().filter(|seen| seen.at >= since);
         recent.cloned().collect()
     }
 
-    /// Ends it at once and frees its addresses.
+    /// Stops the server immediately and releases its addresses.
     pub async fn stop(mut self) {
         self.tasks.shutdown().await;
     }
@@ -334,11 +343,11 @@
     let mut running = JoinSet::new();
     let mut buffer = vec![0; MAX_DATAGRAM];
     loop {
-        thawed(&shared).await;
+        wait_until_unfrozen(&shared).await;
         tokio::select! {
             Some(_) = running.join_next() => {}
             received = shared.socket.recv_from(&mut buffer) => {
-                thawed(&shared).await;
+                wait_until_unfrozen(&shared).await;
                 let Ok((size, remote)) = received else { continue };
                 let Ok(packet) = Packet::from_bytes(&buffer[..size]) else { continue };
                 running.spawn(handle(shared.clone(), remote, packet));
@@ -348,15 +357,15 @@
 }
 
 /// Waits until the server is not frozen.
-pub(crate) async fn thawed(shared: &Shared) {
-    // The sender lives as long as the shared state.
+pub(crate) async fn wait_until_unfrozen(shared: &Shared) {
+    // `shared` owns the sender, so the channel cannot close.
     let _ = shared.frozen.subscribe().wait_for(|frozen| !frozen).await;
 }
 
 async fn send(shared: &Shared, to: SocketAddr, packet: &Packet) {
-    thawed(shared).await;
+    wait_until_unfrozen(shared).await;
     if let Ok(datagram) = packet.to_bytes() {
-        // A datagram that cannot be sent is a lost one.
+        // A failed send counts as a lost datagram.
         let _ = shared.socket.send_to(&datagram, to).await;
     }
 }
@@ -372,10 +381,10 @@
             };
             respond(&shared, &request).await;
         }
-        (_, MessageType::Reset) => lock(&shared.state).reset(remote, message_id),
+        (_, MessageType::Reset) => lock(&shared.state).remove_reset_observer(remote, message_id),
         (MessageClass::Empty, MessageType::Confirmable) => {
-            // An empty confirmable message is a ping.
-            let reset = message::empty(MessageType::Reset, message_id);
+            // An empty confirmable message is a CoAP ping.
+            let reset = message::empty_message(MessageType::Reset, message_id);
             send(&shared, remote, &reset).await;
         }
         _ => {}
@@ -388,7 +397,8 @@
     packet: Packet,
 }
 
-/// Answers with the acknowledgement when it is quick, else apart from it.
+/// Answers a request: within [`ACK_DELAY`] in the acknowledgement, later in a separate
+/// message.
 async fn respond(shared: &Shared, request: &Request) {
     let work = answer(shared, request);
     tokio::pin!(work);
@@ -398,7 +408,7 @@
             let kind = MessageType::Acknowledgement;
             return send_answer(shared, request, answer, kind, message_id).await;
         }
-        let ack = message::empty(MessageType::Acknowledgement, message_id);
+        let ack = message::empty_message(MessageType::Acknowledgement, message_id);
         send(shared, request.remote, &ack).await;
     }
     let answer = work.await;
@@ -421,31 +431,31 @@
 }
 
 async fn answer(shared: &Shared, request: &Request) -> Packet {
-    if let Some(refusal) = refuse(shared, request) {
+    if let Some(refusal) = record_or_refuse(shared, request) {
         return refusal;
     }
-    let Some(block) = message::block(&request.packet, CoapOption::Block1) else {
+    let Some(block) = message::block_option(&request.packet, CoapOption::Block1) else {
         return run(shared, request, &request.packet.payload).await;
     };
-    let mut answer = match collect(shared, request, &block) {
-        Upload::Whole(body) => run(shared, request, &body).await,
-        Upload::More => message::answer(ResponseType::Continue, []),
-        Upload::Incomplete => message::answer(ResponseType::RequestEntityIncomplete, []),
+    let mut answer = match collect_block(shared, request, &block) {
+        UploadProgress::Complete(body) => run(shared, request, &body).await,
+        UploadProgress::More => message::answer(ResponseType::Continue, []),
+        UploadProgress::Incomplete => message::answer(ResponseType::RequestEntityIncomplete, []),
     };
     answer.add_option_as(CoapOption::Block1, block);
     answer
 }
 
-/// Notes a request and answers it if it is not to run.
-fn refuse(shared: &Shared, request: &Request) -> Option<Packet> {
+/// Records a request; returns the answer if the request must not be executed.
+fn record_or_refuse(shared: &Shared, request: &Request) -> Option<Packet> {
     let mut state = lock(&shared.state);
-    let fresh = state.is_fresh(request.remote, &request.packet);
+    let fresh = state.is_new_work(request.remote, &request.packet);
     state.seen.push(Seen {
         at: Instant::now(),
         remote: request.remote,
         method: request.method,
-        path: message::path(&request.packet),
-        id: text(&request.packet.payload),
+        path: message::uri_path(&request.packet),
+        id: lossy_text(&request.packet.payload),
         fresh,
     });
     let host = request.packet.get_first_option(CoapOption::UriHost);
@@ -453,60 +463,60 @@
         state.wrong_service += 1;
         return Some(message::answer(ResponseType::NotFound, "wrong service"));
     }
-    let refusing = state.draining || state.shedding;
-    (refusing && fresh).then(|| unavailable(shared))
+    let refuses_new_work = state.draining || state.shedding;
+    (refuses_new_work && fresh).then(|| unavailable(shared))
 }
 
 fn unavailable(shared: &Shared) -> Packet {
     let mut answer = message::answer(ResponseType::ServiceUnavailable, []);
     let seconds = shared.settings.retry_after.as_secs();
     let seconds = u32::try_from(seconds).unwrap_or(u32::MAX);
-    message::set_number(&mut answer, CoapOption::MaxAge, seconds);
+    message::set_uint_option(&mut answer, CoapOption::MaxAge, seconds);
     answer
 }
 
-enum Upload {
-    Whole(Vec<u8>),
+enum UploadProgress {
+    Complete(Vec<u8>),
     More,
     Incomplete,
 }
 
-/// Takes one block of a body (RFC 7959); the first one starts afresh.
-fn collect(shared: &Shared, request: &Request, block: &BlockValue) -> Upload {
+/// Adds a block to an uploaded body (RFC 7959). The first block starts a new body.
+fn collect_block(shared: &Shared, request: &Request, block: &BlockValue) -> UploadProgress {
     let key = UploadKey {
         remote: request.remote,
-        path: message::path(&request.packet),
-        tag: request.packet.get_first_option(REQUEST_TAG).cloned(),
+        path: message::uri_path(&request.packet),
+        request_tag: request.packet.get_first_option(REQUEST_TAG).cloned(),
     };
     let mut state = lock(&shared.state);
     if block.num == 0 {
         state.uploads.insert(key.clone(), Vec::new());
     }
     let Some(body) = state.uploads.get_mut(&key) else {
-        return Upload::Incomplete;
+        return UploadProgress::Incomplete;
     };
     let offset = usize::from(block.num) * block.size();
     if offset > body.len() {
-        return Upload::Incomplete;
+        return UploadProgress::Incomplete;
     }
-    // A block that arrives again replaces its first copy.
+    // A retransmitted block replaces the copy received before.
     body.truncate(offset);
     body.extend_from_slice(&request.packet.payload);
     if block.more {
-        return Upload::More;
+        return UploadProgress::More;
     }
     state
         .uploads
         .remove(&key)
-        .map_or(Upload::Incomplete, Upload::Whole)
+        .map_or(UploadProgress::Incomplete, UploadProgress::Complete)
 }
 
-/// Counts a request in progress until it is dropped.
-struct Outstanding<'a>(&'a Shared);
+/// Counts a request as outstanding until the guard is dropped.
+struct OutstandingGuard<'a>(&'a Shared);
 
-impl<'a> Outstanding<'a> {
-    /// None if slots and queue are full.
-    fn enter(shared: &'a Shared) -> Option<Self> {
+impl<'a> OutstandingGuard<'a> {
+    /// Counts a request; none if the slots and the queue are full.
+    fn try_new(shared: &'a Shared) -> Option<Self> {
         let mut state = lock(&shared.state);
         if state.outstanding >= shared.settings.slots + shared.settings.queue {
             return None;
@@ -516,109 +526,120 @@
     }
 }
 
-impl Drop for Outstanding<'_> {
+impl Drop for OutstandingGuard<'_> {
     fn drop(&mut self) {
         lock(&self.0.state).outstanding -= 1;
     }
 }
 
-/// Waits for a slot and executes.
+/// Waits for a slot and executes a request.
 async fn run(shared: &Shared, request: &Request, body: &[u8]) -> Packet {
-    let Some(_outstanding) = Outstanding::enter(shared) else {
+    let Some(_outstanding) = OutstandingGuard::try_new(shared) else {
         return unavailable(shared);
     };
-    let deadline = message::number(&request.packet, CoapOption::Unknown(DEADLINE_OPTION));
+    let deadline = message::uint_option(&request.packet, CoapOption::Unknown(DEADLINE_OPTION));
     let deadline = deadline.map_or(Duration::MAX, |ms| Duration::from_millis(ms.into()));
-    // A request that waited out its deadline in a frozen server must not start late.
+    // Waiting for the freeze to end counts against the deadline, so that a request whose
+    // deadline passed in a frozen server does not start.
     let slot = async {
         let slot = shared.slots.acquire().await;
-        thawed(shared).await;
+        wait_until_unfrozen(shared).await;
         slot
     };
     let Ok(Ok(_slot)) = time::timeout(deadline, slot).await else {
         return unavailable(shared);
     };
-    begin(shared, body);
+    record_start(shared, body);
     let service_time = *shared.service_time.borrow();
     time::sleep(service_time).await;
     lock(&shared.state).running -= 1;
     execute(shared, request, body)
 }
 
-fn begin(shared: &Shared, body: &[u8]) {
+fn record_start(shared: &Shared, body: &[u8]) {
     let mut state = lock(&shared.state);
     state.running += 1;
     state.peak = state.peak.max(state.running);
     if !body.is_empty() {
-        *state.starts.entry(text(body)).or_default() += 1;
+        *state.starts.entry(lossy_text(body)).or_default() += 1;
     }
 }
 
 fn execute(shared: &Shared, request: &Request, body: &[u8]) -> Packet {
     match request.method {
-        RequestType::Get => read(shared, request),
-        RequestType::Post => written(shared, request, body, ResponseType::Created),
-        RequestType::Put => written(shared, request, body, ResponseType::Changed),
-        RequestType::Delete => written(shared, request, body, ResponseType::Deleted),
+        RequestType::Get => read_answer(shared, request),
+        RequestType::Post => write_answer(shared, request, body, ResponseType::Created),
+        RequestType::Put => write_answer(shared, request, body, ResponseType::Changed),
+        RequestType::Delete => write_answer(shared, request, body, ResponseType::Deleted),
         _ => message::answer(ResponseType::MethodNotAllowed, []),
     }
 }
 
-fn written(shared: &Shared, request: &Request, body: &[u8], code: ResponseType) -> Packet {
-    let echo = text(&body[..body.len().min(ECHO_SIZE)]);
-    let place = place(shared, request);
+fn write_answer(shared: &Shared, request: &Request, body: &[u8], code: ResponseType) -> Packet {
+    let echo = lossy_text(&body[..body.len().min(ECHO_SIZE)]);
+    let resource_description = resource_description(shared, request);
     let size = body.len();
-    message::answer(code, format!("{place},size={size},id={echo}"))
+    message::answer(
+        code,
+        format!("{resource_description},size={size},id={echo}"),
+    )
 }
 
-fn read(shared: &Shared, request: &Request) -> Packet {
+fn read_answer(shared: &Shared, request: &Request) -> Packet {
     let key = ObserverKey::new(request.remote, &request.packet);
-    match message::number(&request.packet, CoapOption::Observe) {
+    match message::uint_option(&request.packet, CoapOption::Observe) {
         Some(0) => return register(shared, key),
         Some(_) => drop(lock(&shared.state).observers.remove(&key)),
         None => {}
     }
-    let mut payload = place(shared, request).into_bytes();
-    if message::path(&request.packet) == LARGE_PATH {
+    let mut payload = resource_description(shared, request).into_bytes();
+    if message::uri_path(&request.packet) == LARGE_PATH {
         payload = payload.into_iter().cycle().take(LARGE_SIZE).collect();
     }
-    slice(
+    content_answer(
         &payload,
-        message::block(&request.packet, CoapOption::Block2),
+        message::block_option(&request.packet, CoapOption::Block2),
     )
 }
 
-fn place(shared: &Shared, request: &Request) -> String {
-    let path = message::path(&request.packet);
+fn resource_description(shared: &Shared, request: &Request) -> String {
+    let path = message::uri_path(&request.packet);
     format!("server={},path={path}", shared.settings.name)
 }
 
 fn register(shared: &Shared, key: ObserverKey) -> Packet {
     let mut state = lock(&shared.state);
-    let sent = state.observers.entry(key).or_default().sent;
-    notification(shared, &mut state, sent)
+    let sent_count = state.observers.entry(key).or_default().sent_count;
+    notification_packet(shared, &mut state, sent_count)
 }
 
-fn notification(shared: &Shared, state: &mut State, sent: u64) -> Packet {
-    let payload = format!("server={},n={sent}", shared.settings.name);
+fn notification_packet(shared: &Shared, state: &mut State, sent_count: u64) -> Packet {
+    let payload = format!("server={},n={sent_count}", shared.settings.name);
     let mut packet = message::answer(ResponseType::Content, payload);
     packet.set_observe_value(state.next_observe());
     packet
 }
 
-/// Cuts the asked block out of an answer that is larger than one.
-fn slice(payload: &[u8], asked: Option<BlockValue>) -> Packet {
-    let (num, size) = asked.map_or((0, MAX_BLOCK), |block| (block.num, block.size()));
+/// Answers with the payload, or with the requested block if the payload is larger than
+/// one block (RFC 7959).
+fn content_answer(payload: &[u8], requested: Option<BlockValue>) -> Packet {
+    let (num, size) = requested.map_or((0, MAX_BLOCK), |block| (block.num, block.size()));
     let size = size.min(MAX_BLOCK);
     if num == 0 && payload.len() <= size {
         return message::answer(ResponseType::Content, payload);
     }
     let num = usize::from(num);
-    let Some(rest) = payload.get(num * size..).filter(|rest| !rest.is_empty()) else {
+    let Some(remaining) = payload
+        .get(num * size..)
+        .filter(|remaining| !remaining.is_empty())
+    else {
         return message::answer(ResponseType::BadOption, []);
     };
-    let more = rest.len() > size;
-    let mut answer = message::answer(ResponseType::Content, &rest[..rest.len().min(size)]);
+    let more = remaining.len() > size;
+    let mut answer = message::answer(
+        ResponseType::Content,
+        &remaining[..remaining.len().min(size)],
+    );
     if let Ok(block) = BlockValue::new(num, more, size) {
         answer.add_option_as(CoapOption::Block2, block);
     }
@@ -628,13 +649,13 @@
     answer
 }
 
-/// Sends every observer its notification at each tick.
+/// Periodically sends a notification to every observer.
 async fn notify(shared: Arc<Shared>) {
     let interval = shared.settings.notify_interval;
     let mut tick = time::interval_at(Instant::now() + interval, interval);
     loop {
         tick.tick().await;
-        thawed(&shared).await;
+        wait_until_unfrozen(&shared).await;
         for (to, packet) in notifications(&shared) {
             send(&shared, to, &packet).await;
         }
@@ -645,15 +666,15 @@
     let mut state = lock(&shared.state);
     let mut observers = std::mem::take(&mut state.observers);
     let packets = observers.iter_mut().map(|(key, observer)| {
-        observer.sent += 1;
-        let mut packet = notification(shared, &mut state, observer.sent);
+        observer.sent_count += 1;
+        let mut packet = notification_packet(shared, &mut state, observer.sent_count);
         let message_id = state.next_message_id();
         packet.header.set_type(MessageType::NonConfirmable);
         packet.header.message_id = message_id;
         packet.set_token(key.token.clone());
-        observer.recent.push_back(message_id);
-        if observer.recent.len() > RECENT_NOTIFICATIONS {
-            observer.recent.pop_front();
+        observer.recent_message_ids.push_back(message_id);
+        if observer.recent_message_ids.len() > RECENT_NOTIFICATIONS {
+            observer.recent_message_ids.pop_front();
         }
         (key.remote, packet)
     });
@@ -662,6 +683,6 @@
     packets
 }
 
-fn text(bytes: &[u8]) -> String {
+fn lossy_text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
--- a/standin/src/store.rs
+++ b/standin/src/store.rs
@@ -1,8 +1,8 @@
-//! Keys, leases and history of the platform, without any network.
+//! In-memory key-value store of the platform: keys, leases and history.
 //!
-//! Every change raises the revision by one and is kept in the history, from
-//! which watches are served; nothing is compacted. Leases run on a clock that a
-//! test can freeze.
+//! Every change increments the revision and is recorded in the history, from which
+//! watches are served. The history is never compacted. Leases expire by a clock that
+//! a test can freeze.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -14,8 +14,8 @@
 use crate::etcd::DeleteRange;
 use crate::etcd::DeleteRangeResponse;
 use crate::etcd::Event;
+use crate::etcd::EventKind;
 use crate::etcd::Header;
-use crate::etcd::Kind;
 use crate::etcd::Kv;
 use crate::etcd::LeaseResponse;
 use crate::etcd::Operation;
@@ -31,14 +31,14 @@
 use crate::etcd::Txn;
 use crate::etcd::TxnResponse;
 
-/// Largest value, as the users' platform holds it.
+/// Largest value in bytes, the limit of the users' platform.
 const MAX_VALUE: usize = 1 << 20;
-/// Most operations in one branch of a transaction, etcd's own default.
+/// Maximum number of operations in a branch of a transaction, the default of etcd.
 const MAX_OPERATIONS: usize = 128;
-/// Marks the end of a range that has none.
-const OPEN_END: &[u8] = b"\0";
+/// Value of `range_end` that stands for a range without an upper bound.
+const UNBOUNDED_END: &[u8] = b"\0";
 
-/// Why a call was refused, with the gRPC code that the gateway shows.
+/// Reason why a call was rejected, with the message that etcd reports.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 pub(crate) enum Error {
     #[error("etcdserver: requested lease not found")]
@@ -50,7 +50,7 @@
 }
 
 impl Error {
-    /// The gRPC status code.
+    /// The gRPC status code that the gateway reports.
     pub(crate) fn code(self) -> u32 {
         match self {
             Self::LeaseNotFound => 5,
@@ -63,32 +63,32 @@
 
 struct Lease {
     ttl: i64,
-    /// On the lease clock.
-    expires: Duration,
+    /// Expiry time on the lease clock.
+    expires_at: Duration,
 }
 
-/// Clock of the leases, which a test may freeze.
-struct Clock {
-    started: Instant,
-    lost: Duration,
-    frozen: Option<Duration>,
+/// Clock by which leases expire; a test can freeze it.
+struct LeaseClock {
+    started_at: Instant,
+    frozen_total: Duration,
+    frozen_at: Option<Duration>,
 }
 
-impl Clock {
+impl LeaseClock {
     fn now(&self) -> Duration {
-        self.frozen
-            .unwrap_or_else(|| self.started.elapsed() - self.lost)
+        self.frozen_at
+            .unwrap_or_else(|| self.started_at.elapsed() - self.frozen_total)
     }
 
     fn freeze(&mut self, on: bool) {
         let now = self.now();
-        self.lost = self.started.elapsed() - now;
-        self.frozen = on.then_some(now);
+        self.frozen_total = self.started_at.elapsed() - now;
+        self.frozen_at = on.then_some(now);
     }
 }
 
-/// What readers are shown while the platform serves stale state.
-struct Image {
+/// State that readers see while the platform serves stale reads.
+struct StaleSnapshot {
     revision: i64,
     keys: Keys,
 }
@@ -98,47 +98,47 @@
     keys: Keys,
     history: Vec<Event>,
     leases: BTreeMap<i64, Lease>,
-    last_lease: i64,
-    clock: Clock,
-    image: Option<Image>,
+    last_lease_id: i64,
+    clock: LeaseClock,
+    stale_snapshot: Option<StaleSnapshot>,
 }
 
 impl Store {
     pub(crate) fn new() -> Self {
         Self {
-            // An empty etcd starts at one.
+            // The revision of an empty etcd is 1.
             revision: 1,
             keys: Keys::new(),
             history: Vec::new(),
             leases: BTreeMap::new(),
-            last_lease: 0,
-            clock: Clock {
-                started: Instant::now(),
-                lost: Duration::ZERO,
-                frozen: None,
+            last_lease_id: 0,
+            clock: LeaseClock {
+                started_at: Instant::now(),
+                frozen_total: Duration::ZERO,
+                frozen_at: None,
             },
-            image: None,
+            stale_snapshot: None,
         }
     }
 
-    /// Header with the newest revision.
+    /// Response header with the current revision.
     pub(crate) fn header(&self) -> Header {
         header(self.revision)
     }
 
-    /// Header with the revision that readers are shown.
-    pub(crate) fn shown_header(&self) -> Header {
-        header(self.shown_revision())
+    /// Response header with the revision that readers see.
+    pub(crate) fn visible_header(&self) -> Header {
+        header(self.visible_revision())
     }
 
-    fn shown_revision(&self) -> i64 {
-        self.image
+    fn visible_revision(&self) -> i64 {
+        self.stale_snapshot
             .as_ref()
-            .map_or(self.revision, |image| image.revision)
+            .map_or(self.revision, |stale_snapshot| stale_snapshot.revision)
     }
 
-    pub(crate) fn stale(&mut self, on: bool) {
-        self.image = on.then(|| Image {
+    pub(crate) fn set_stale(&mut self, on: bool) {
+        self.stale_snapshot = on.then(|| StaleSnapshot {
             revision: self.revision,
             keys: self.keys.clone(),
         });
@@ -148,10 +148,13 @@
         self.clock.freeze(on);
     }
 
-    /// Reads as a client would, from the stale image if there is one.
-    pub(crate) fn shown_range(&self, range: &Range) -> RangeResponse {
-        let keys = self.image.as_ref().map_or(&self.keys, |image| &image.keys);
-        read(keys, range, self.shown_header())
+    /// Reads a range as a client sees it, from the stale snapshot if there is one.
+    pub(crate) fn visible_range(&self, range: &Range) -> RangeResponse {
+        let keys = self
+            .stale_snapshot
+            .as_ref()
+            .map_or(&self.keys, |stale_snapshot| &stale_snapshot.keys);
+        read_range(keys, range, self.visible_header())
     }
 
     pub(crate) fn get(&self, key: &[u8]) -> Option<&Kv> {
@@ -176,9 +179,12 @@
         }
     }
 
-    /// Runs one branch as one change, under one revision.
+    /// Applies one branch of a transaction as a single change with one revision.
     pub(crate) fn txn(&mut self, txn: &Txn) -> Result<TxnResponse, Error> {
-        let succeeded = txn.compare.iter().all(|compare| self.holds(compare));
+        let succeeded = txn
+            .compare
+            .iter()
+            .all(|compare| self.comparison_holds(compare));
         let branch = if succeeded {
             &txn.success
         } else {
@@ -191,10 +197,10 @@
         puts.try_for_each(|put| self.check_put(put))?;
 
         let next = self.revision + 1;
-        let recorded = self.history.len();
-        let run = |op| self.operate(op, next);
+        let history_len = self.history.len();
+        let run = |op| self.apply_operation(op, next);
         let responses = branch.iter().filter_map(run).collect();
-        if self.history.len() > recorded {
+        if self.history.len() > history_len {
             self.revision = next;
         }
         Ok(TxnResponse {
@@ -204,7 +210,7 @@
         })
     }
 
-    fn operate(&mut self, op: &Operation, revision: i64) -> Option<OperationResponse> {
+    fn apply_operation(&mut self, op: &Operation, revision: i64) -> Option<OperationResponse> {
         if let Some(put) = &op.request_put {
             self.apply_put(put, revision);
             let header = header(revision);
@@ -217,11 +223,11 @@
             return Some(OperationResponse::DeleteRange(response));
         }
         let range = op.request_range.as_ref()?;
-        let response = read(&self.keys, range, self.header());
+        let response = read_range(&self.keys, range, self.header());
         Some(OperationResponse::Range(response))
     }
 
-    fn holds(&self, compare: &Compare) -> bool {
+    fn comparison_holds(&self, compare: &Compare) -> bool {
         let kv = self.keys.get(&compare.key);
         let number = |field: fn(&Kv) -> i64| kv.map_or(0, field);
         let order = match compare.target {
@@ -230,7 +236,7 @@
             Target::Mod => number(|kv| kv.mod_revision).cmp(&compare.mod_revision),
             Target::Value => match kv {
                 Some(kv) => kv.value.cmp(&compare.value),
-                // A key that is not there equals and differs from no value.
+                // A comparison with the value of a missing key always fails.
                 None => return false,
             },
         };
@@ -263,18 +269,18 @@
             lease: put.lease,
         };
         self.keys.insert(put.key.clone(), kv.clone());
-        let kind = Kind::Put;
+        let kind = EventKind::Put;
         self.history.push(Event { kind, kv });
     }
 
     fn apply_delete(&mut self, key: &[u8], end: &[u8], revision: i64) -> i64 {
-        let doomed: Vec<_> = span(&self.keys, key, end)
+        let deleted_keys: Vec<_> = keys_in_range(&self.keys, key, end)
             .map(|kv| kv.key.clone())
             .collect();
-        for key in &doomed {
+        for key in &deleted_keys {
             self.keys.remove(key);
             self.history.push(Event {
-                kind: Kind::Delete,
+                kind: EventKind::Delete,
                 kv: Kv {
                     key: key.clone(),
                     mod_revision: revision,
@@ -282,23 +288,23 @@
                 },
             });
         }
-        i64::try_from(doomed.len()).unwrap_or(i64::MAX)
+        i64::try_from(deleted_keys.len()).unwrap_or(i64::MAX)
     }
 
     pub(crate) fn grant(&mut self, id: i64, ttl: i64) -> LeaseResponse {
         if id == 0 {
-            self.last_lease += 1;
+            self.last_lease_id += 1;
         }
-        let id = if id == 0 { self.last_lease } else { id };
-        self.leases.insert(id, self.lease(ttl));
+        let id = if id == 0 { self.last_lease_id } else { id };
+        self.leases.insert(id, self.new_lease(ttl));
         self.lease_response(id, ttl)
     }
 
-    /// Renews a lease; the answer has no time to live if it is gone.
+    /// Renews a lease; the time to live in the response is zero if it does not exist.
     pub(crate) fn keep_alive(&mut self, id: i64) -> LeaseResponse {
         let ttl = self.leases.get(&id).map_or(0, |lease| lease.ttl);
         if ttl > 0 {
-            self.leases.insert(id, self.lease(ttl));
+            self.leases.insert(id, self.new_lease(ttl));
         }
         self.lease_response(id, ttl)
     }
@@ -315,19 +321,26 @@
         Ok(self.lease_response(0, 0))
     }
 
-    /// Ends leases whose time is over; tells whether there was one.
-    pub(crate) fn expire(&mut self) -> bool {
+    /// Revokes expired leases; returns whether there were any.
+    pub(crate) fn expire_leases(&mut self) -> bool {
         let now = self.clock.now();
-        let over = self.leases.iter().filter(|(_, lease)| lease.expires <= now);
-        let over: Vec<_> = over.map(|(id, _)| *id).collect();
-        over.iter().filter(|id| self.revoke(**id).is_ok()).count() > 0
-    }
-
-    fn lease(&self, ttl: i64) -> Lease {
-        let time = Duration::from_secs(ttl.try_into().unwrap_or(0));
+        let expired = self
+            .leases
+            .iter()
+            .filter(|(_, lease)| lease.expires_at <= now);
+        let expired: Vec<_> = expired.map(|(id, _)| *id).collect();
+        expired
+            .iter()
+            .filter(|id| self.revoke(**id).is_ok())
+            .count()
+            > 0
+    }
+
+    fn new_lease(&self, ttl: i64) -> Lease {
+        let duration = Duration::from_secs(ttl.try_into().unwrap_or(0));
         Lease {
             ttl,
-            expires: self.clock.now() + time,
+            expires_at: self.clock.now() + duration,
         }
     }
 
@@ -339,26 +352,31 @@
         }
     }
 
-    /// Place in the history where a watch from this revision starts.
-    pub(crate) fn place(&self, start_revision: i64) -> usize {
+    /// Index in the history at which a watch from this revision starts.
+    pub(crate) fn start_index(&self, start_revision: i64) -> usize {
         let start = match start_revision {
-            0 => self.shown_revision() + 1,
+            0 => self.visible_revision() + 1,
             revision => revision,
         };
         self.history
             .partition_point(|event| event.kv.mod_revision < start)
     }
 
-    /// Events of a range from a place on, and the place to go on from.
-    pub(crate) fn events(&self, place: usize, key: &[u8], end: &[u8]) -> (Vec<Event>, usize) {
-        let shown = self.shown_revision();
-        let reached = self
+    /// Events of a range from a history index on, and the index to continue from.
+    pub(crate) fn events(
+        &self,
+        history_index: usize,
+        key: &[u8],
+        end: &[u8],
+    ) -> (Vec<Event>, usize) {
+        let visible_revision = self.visible_revision();
+        let next_index = self
             .history
-            .partition_point(|event| event.kv.mod_revision <= shown)
-            .max(place);
-        let fresh = self.history[place..reached].iter();
-        let wanted = fresh.filter(|event| covers(key, end, &event.kv.key));
-        (wanted.cloned().collect(), reached)
+            .partition_point(|event| event.kv.mod_revision <= visible_revision)
+            .max(history_index);
+        let new_events = self.history[history_index..next_index].iter();
+        let matching_events = new_events.filter(|event| range_contains(key, end, &event.kv.key));
+        (matching_events.cloned().collect(), next_index)
     }
 }
 
@@ -371,9 +389,9 @@
     }
 }
 
-fn read(keys: &Keys, range: &Range, header: Header) -> RangeResponse {
-    let mut found: Vec<_> = span(keys, &range.key, &range.range_end).collect();
-    sort(&mut found, range);
+fn read_range(keys: &Keys, range: &Range, header: Header) -> RangeResponse {
+    let mut found: Vec<_> = keys_in_range(keys, &range.key, &range.range_end).collect();
+    sort_keys(&mut found, range);
     let limit = match usize::try_from(range.limit) {
         Ok(limit @ 1..) => limit,
         _ => found.len(),
@@ -385,13 +403,13 @@
         kvs: found
             .into_iter()
             .take(limit)
-            .map(|kv| show(kv, range))
+            .map(|kv| select_fields(kv, range))
             .collect(),
     }
 }
 
-/// Puts keys, which stand in their own order, into that of the request.
-fn sort(found: &mut [&Kv], range: &Range) {
+/// Sorts keys, which are in ascending order, as the request asks.
+fn sort_keys(found: &mut [&Kv], range: &Range) {
     if range.sort_target == SortTarget::Mod {
         found.sort_by_key(|kv| kv.mod_revision);
     }
@@ -400,7 +418,7 @@
     }
 }
 
-fn show(kv: &Kv, range: &Range) -> Kv {
+fn select_fields(kv: &Kv, range: &Range) -> Kv {
     let mut kv = kv.clone();
     if range.keys_only {
         kv.value.clear();
@@ -408,16 +426,16 @@
     kv
 }
 
-fn span<'a>(keys: &'a Keys, key: &'a [u8], end: &'a [u8]) -> impl Iterator<Item = &'a Kv> {
+fn keys_in_range<'a>(keys: &'a Keys, key: &'a [u8], end: &'a [u8]) -> impl Iterator<Item = &'a Kv> {
     keys.range::<[u8], _>((Bound::Included(key), Bound::Unbounded))
         .map(|(_, kv)| kv)
-        .take_while(move |kv| covers(key, end, &kv.key))
+        .take_while(move |kv| range_contains(key, end, &kv.key))
 }
 
-fn covers(key: &[u8], end: &[u8], candidate: &[u8]) -> bool {
+fn range_contains(key: &[u8], end: &[u8], candidate: &[u8]) -> bool {
     match end {
         [] => candidate == key,
-        OPEN_END => candidate >= key,
+        UNBOUNDED_END => candidate >= key,
         _ => candidate >= key && candidate < end,
     }
 }
--- a/standin/src/transfer.rs
+++ b/standin/src/transfer.rs
@@ -1,7 +1,7 @@
 //! Block-wise transfers of a caller (RFC 7959).
 //!
-//! They go one step at a time, so that a test can let something fail between
-//! two blocks.
+//! Each step transfers one block, so that a test can inject a fault between two
+//! blocks.
 
 use std::time::Duration;
 
@@ -14,12 +14,12 @@
 
 use crate::caller::Caller;
 use crate::caller::Outcome;
-use crate::caller::left;
+use crate::caller::time_left;
 use crate::message;
 use crate::message::MAX_BLOCK;
 use crate::message::REQUEST_TAG;
 
-/// A body on its way out, block by block (RFC 7959).
+/// A request body that is uploaded block by block (RFC 7959).
 pub struct Upload<'a> {
     caller: &'a Caller,
     method: RequestType,
@@ -27,7 +27,7 @@
     body: Vec<u8>,
     block_size: usize,
     tag: [u8; 4],
-    num: usize,
+    block_number: usize,
 }
 
 impl<'a> Upload<'a> {
@@ -46,16 +46,16 @@
             body,
             block_size,
             tag,
-            num: 0,
+            block_number: 0,
         }
     }
 
-    /// Sends the next block; the outcome is there once no further one is wanted.
+    /// Sends the next block; returns the outcome once the server wants no further block.
     pub async fn step(&mut self, deadline: Duration) -> Option<Outcome> {
-        let sent = self.num * self.block_size;
+        let sent = self.block_number * self.block_size;
         let end = self.body.len().min(sent + self.block_size);
         let more = end < self.body.len();
-        let Ok(block) = BlockValue::new(self.num, more, self.block_size) else {
+        let Ok(block) = BlockValue::new(self.block_number, more, self.block_size) else {
             return Some(Outcome::Silent);
         };
         let mut packet = self.caller.shared.request(self.method, &self.path);
@@ -67,24 +67,24 @@
             return Some(Outcome::Silent);
         };
         if more && answer.header.code == MessageClass::Response(ResponseType::Continue) {
-            self.num += 1;
+            self.block_number += 1;
             return None;
         }
         Some(Outcome::of(&answer))
     }
 
-    /// Sends all blocks that are left.
+    /// Sends all remaining blocks.
     pub async fn finish(&mut self, deadline: Duration) -> Outcome {
         let end = Instant::now() + deadline;
         loop {
-            if let Some(outcome) = self.step(left(end)).await {
+            if let Some(outcome) = self.step(time_left(end)).await {
                 return outcome;
             }
         }
     }
 }
 
-/// An answer on its way in, block by block (RFC 7959).
+/// An answer that is downloaded block by block (RFC 7959).
 pub struct Download<'a> {
     caller: &'a Caller,
     path: String,
@@ -104,23 +104,23 @@
         }
     }
 
-    /// Asks for the next block; the outcome is there after the last one.
+    /// Requests the next block; returns the outcome after the last one.
     pub async fn step(&mut self, deadline: Duration) -> Option<Outcome> {
-        let num = self.body.len() / self.size;
+        let block_number = self.body.len() / self.size;
         let mut packet = self.caller.shared.request(RequestType::Get, &self.path);
-        if let Ok(block) = BlockValue::new(num, false, self.size) {
+        if let Ok(block) = BlockValue::new(block_number, false, self.size) {
             packet.add_option_as(CoapOption::Block2, block);
         }
         let mut exchange = self.caller.exchange(packet).await;
         let Some((answer, _)) = exchange.answer(deadline).await else {
             return Some(Outcome::Silent);
         };
-        let Some(block) = message::block(&answer, CoapOption::Block2) else {
+        let Some(block) = message::block_option(&answer, CoapOption::Block2) else {
             return Some(Outcome::of(&answer));
         };
         let tag = answer.get_first_option(CoapOption::ETag).cloned();
-        if num > 0 && tag != self.tag {
-            // Blocks of two versions do not make one answer, so it starts over.
+        if block_number > 0 && tag != self.tag {
+            // The representation has changed, so the download starts over.
             self.body.clear();
             return None;
         }
@@ -133,11 +133,11 @@
         })
     }
 
-    /// Asks for all blocks that are left.
+    /// Requests all remaining blocks.
     pub async fn finish(&mut self, deadline: Duration) -> Outcome {
         let end = Instant::now() + deadline;
         loop {
-            if let Some(outcome) = self.step(left(end)).await {
+            if let Some(outcome) = self.step(time_left(end)).await {
                 return outcome;
             }
         }
