--- a/standin/tests/caller.rs
+++ b/standin/tests/caller.rs
@@ -1,4 +1,4 @@
-//! How the caller holds to the protocol when the path is bad.
+//! Conformance of the caller to the protocol on an unreliable path.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,8 +18,8 @@
 use tokio::net::UdpSocket;
 use tokio::time;
 
-/// Bound on every wait; nothing is measured by it.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of every wait. It only ends a failed test; no test measures time by it.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn any_port() -> SocketAddr {
     ([127, 0, 0, 1], 0).into()
@@ -27,7 +27,7 @@
 
 async fn receive(socket: &UdpSocket) -> (Packet, SocketAddr) {
     let mut buffer = [0; 2_000];
-    let received = time::timeout(PATIENCE, socket.recv_from(&mut buffer)).await;
+    let received = time::timeout(TIMEOUT, socket.recv_from(&mut buffer)).await;
     let (size, from) = received.expect("a datagram").expect("a datagram");
     let packet = Packet::from_bytes(&buffer[..size]).expect("a message");
     (packet, from)
@@ -36,11 +36,11 @@
 async fn send(socket: &UdpSocket, to: SocketAddr, packet: &Packet) {
     let datagram = packet.to_bytes().expect("a datagram");
     let sent = socket.send_to(&datagram, to).await;
-    sent.expect("it is sent");
+    sent.expect("the datagram is sent");
 }
 
-/// Server and proxy before it, and a caller that calls through the proxy.
-async fn behind_proxy() -> (server::Handle, proxy::Handle, caller::Caller) {
+/// Starts a server, a proxy in front of it and a caller that uses the proxy.
+async fn start_behind_proxy() -> (server::Handle, proxy::Handle, caller::Caller) {
     let mut settings = server::Settings::new("d1", "dispatch");
     settings.notify_interval = Duration::from_millis(20);
     let server = server::start(settings).await.expect("the server starts");
@@ -55,21 +55,21 @@
 
 #[tokio::test]
 async fn a_lost_request_is_sent_again() {
-    let (server, proxy, caller) = behind_proxy().await;
+    let (server, proxy, caller) = start_behind_proxy().await;
     proxy.cut_both(true);
     let mut exchange = caller.begin(RequestType::Put, "/x", "p-1").await;
     let lost = exchange.outcome(Duration::from_millis(10)).await;
     assert_eq!(lost, Outcome::Silent);
     proxy.cut_both(false);
-    let outcome = exchange.outcome(PATIENCE).await;
+    let outcome = exchange.outcome(TIMEOUT).await;
     assert!(matches!(outcome, Outcome::Answered { .. }), "{outcome:?}");
     assert!(server.starts("p-1") >= 1);
 }
 
 #[tokio::test]
-async fn a_feed_never_goes_back() {
-    let (_server, proxy, caller) = behind_proxy().await;
-    let mut feed = caller.observe("/x", PATIENCE).await.expect("a feed");
+async fn a_feed_drops_older_notifications() {
+    let (_server, proxy, caller) = start_behind_proxy().await;
+    let mut feed = caller.observe("/x", TIMEOUT).await.expect("a feed");
     let jitter = Faults {
         jitter: Duration::from_millis(200),
         ..Faults::default()
@@ -77,7 +77,7 @@
     proxy.set_faults(Direction::Back, jitter);
     let mut newest = 0;
     for _ in 0..10 {
-        let update = feed.next(PATIENCE).await;
+        let update = feed.next(TIMEOUT).await;
         let Update::Notification { observe, .. } = update else {
             panic!("no notification: {update:?}");
         };
@@ -103,7 +103,7 @@
     answer.header.message_id = 77;
     answer.set_token(request.get_token().to_vec());
     send(&socket, from, &answer).await;
-    assert_eq!(exchange.outcome(PATIENCE).await, Outcome::Unknown);
+    assert_eq!(exchange.outcome(TIMEOUT).await, Outcome::Unknown);
     let (ack, _) = receive(&socket).await;
     assert_eq!(ack.header.get_type(), MessageType::Acknowledgement);
     assert_eq!(ack.header.message_id, 77);
--- a/standin/tests/fabric.rs
+++ b/standin/tests/fabric.rs
@@ -1,4 +1,4 @@
-//! How the fabric sprays, and what the proxy does to traffic.
+//! Distribution of datagrams by the fabric and fault injection by the proxy.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 use tokio::net::UdpSocket;
 use tokio::time;
 
-/// Bound on every wait; nothing is measured by it.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Long enough for a datagram on loopback that should not come.
-const SILENCE: Duration = Duration::from_millis(200);
+/// Timeout of every wait. It only ends a failed test; no test measures time by it.
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// Time within which a loopback datagram would have arrived.
+const QUIET_PERIOD: Duration = Duration::from_millis(200);
 
 fn any_port() -> SocketAddr {
     ([127, 0, 0, 1], 0).into()
@@ -33,18 +33,18 @@
 
 async fn send(from: &UdpSocket, to: SocketAddr, text: &str) {
     let sent = from.send_to(text.as_bytes(), to).await;
-    sent.expect("it is sent");
+    sent.expect("the datagram is sent");
 }
 
 async fn receive(socket: &UdpSocket) -> (String, SocketAddr) {
     let mut buffer = [0; 100];
-    let received = time::timeout(PATIENCE, socket.recv_from(&mut buffer)).await;
+    let received = time::timeout(TIMEOUT, socket.recv_from(&mut buffer)).await;
     let (size, from) = received.expect("a datagram").expect("a datagram");
     (String::from_utf8_lossy(&buffer[..size]).into_owned(), from)
 }
 
-async fn hears_nothing(socket: &UdpSocket) -> bool {
-    time::timeout(SILENCE, socket.recv(&mut [0; 100]))
+async fn receives_nothing(socket: &UdpSocket) -> bool {
+    time::timeout(QUIET_PERIOD, socket.recv(&mut [0; 100]))
         .await
         .is_err()
 }
@@ -65,76 +65,76 @@
     }
     assert_eq!(upstreams[0], upstreams[1]);
     assert_eq!(upstreams[1], upstreams[2]);
-    // The public address is the only one that a caller hears from.
+    // A caller receives datagrams only from the public address.
     send(&instances[2], upstreams[2], "y").await;
     assert_eq!(receive(&caller).await, ("y".to_owned(), fabric.address()));
 }
 
 #[tokio::test]
 async fn steering_and_membership_choose_the_instance() {
-    let (here, there) = (socket().await, socket().await);
-    let fabric = fabric::start(any_port(), vec![address(&here)], 7).await;
+    let (first, second) = (socket().await, socket().await);
+    let fabric = fabric::start(any_port(), vec![address(&first)], 7).await;
     let fabric = fabric.expect("the fabric starts");
     let caller = socket().await;
-    fabric.steer(address(&there), 1);
+    fabric.steer(address(&second), 1);
     send(&caller, fabric.address(), "steered").await;
-    assert_eq!(receive(&there).await.0, "steered");
+    assert_eq!(receive(&second).await.0, "steered");
     send(&caller, fabric.address(), "sprayed").await;
-    assert_eq!(receive(&here).await.0, "sprayed");
-    fabric.add(address(&there));
-    fabric.remove(address(&here));
+    assert_eq!(receive(&first).await.0, "sprayed");
+    fabric.add(address(&second));
+    fabric.remove(address(&first));
     send(&caller, fabric.address(), "moved").await;
-    assert_eq!(receive(&there).await.0, "moved");
-    assert_eq!(fabric.sent()[&address(&there)], 2);
+    assert_eq!(receive(&second).await.0, "moved");
+    assert_eq!(fabric.sent()[&address(&second)], 2);
 }
 
 #[tokio::test]
 async fn each_direction_has_its_own_faults() {
-    let far = socket().await;
-    let proxy = proxy::udp(any_port(), address(&far), 7).await;
+    let target = socket().await;
+    let proxy = proxy::udp(any_port(), address(&target), 7).await;
     let proxy = proxy.expect("the proxy starts");
-    let near = socket().await;
-    let doubled = Faults {
+    let client = socket().await;
+    let duplicated = Faults {
         duplicate: 1.0,
         ..Faults::default()
     };
-    proxy.set_faults(Direction::Forward, doubled);
-    send(&near, proxy.address(), "x").await;
-    let (_, upstream) = receive(&far).await;
-    receive(&far).await;
+    proxy.set_faults(Direction::Forward, duplicated);
+    send(&client, proxy.address(), "x").await;
+    let (_, upstream) = receive(&target).await;
+    receive(&target).await;
 
     proxy.cut(Direction::Back, true);
-    send(&far, upstream, "lost").await;
-    assert!(hears_nothing(&near).await);
+    send(&target, upstream, "lost").await;
+    assert!(receives_nothing(&client).await);
     proxy.cut(Direction::Back, false);
-    send(&far, upstream, "heard").await;
-    assert_eq!(receive(&near).await.0, "heard");
+    send(&target, upstream, "heard").await;
+    assert_eq!(receive(&client).await.0, "heard");
 
     proxy.set_faults(Direction::Forward, Faults::default());
     proxy.freeze(true);
-    send(&near, proxy.address(), "held").await;
-    assert!(hears_nothing(&far).await);
+    send(&client, proxy.address(), "held").await;
+    assert!(receives_nothing(&target).await);
     proxy.freeze(false);
-    assert_eq!(receive(&far).await.0, "held");
+    assert_eq!(receive(&target).await.0, "held");
 }
 
 #[tokio::test]
 async fn jitter_reorders() {
-    let far = socket().await;
-    let proxy = proxy::udp(any_port(), address(&far), 7).await;
+    let target = socket().await;
+    let proxy = proxy::udp(any_port(), address(&target), 7).await;
     let proxy = proxy.expect("the proxy starts");
     let jitter = Faults {
-        jitter: SILENCE,
+        jitter: QUIET_PERIOD,
         ..Faults::default()
     };
     proxy.set_faults(Direction::Forward, jitter);
-    let near = socket().await;
+    let client = socket().await;
     for n in 0..10 {
-        send(&near, proxy.address(), &n.to_string()).await;
+        send(&client, proxy.address(), &n.to_string()).await;
     }
     let mut order = Vec::new();
     for _ in 0..10 {
-        order.push(receive(&far).await.0);
+        order.push(receive(&target).await.0);
     }
     let mut sorted = order.clone();
     sorted.sort();
@@ -143,23 +143,23 @@
 }
 
 #[tokio::test]
-async fn a_cut_connection_is_silent_heals_and_can_be_reset() {
+async fn a_cut_connection_stalls_recovers_and_can_be_reset() {
     let listener = TcpListener::bind(any_port()).await.expect("a listener");
     let target = listener.local_addr().expect("an address");
     let proxy = proxy::tcp(any_port(), target, 7).await;
     let proxy = proxy.expect("the proxy starts");
-    let near = TcpStream::connect(proxy.address()).await;
-    let mut near = near.expect("a connection");
-    let (mut far, _) = listener.accept().await.expect("a connection");
+    let client = TcpStream::connect(proxy.address()).await;
+    let mut client = client.expect("a connection");
+    let (mut target_stream, _) = listener.accept().await.expect("a connection");
 
     proxy.cut_both(true);
-    near.write_all(b"x").await.expect("it is written");
-    let early = time::timeout(SILENCE, far.read_u8()).await;
-    assert!(early.is_err(), "a cut connection gave {early:?}");
+    client.write_all(b"x").await.expect("the byte is written");
+    let early = time::timeout(QUIET_PERIOD, target_stream.read_u8()).await;
+    assert!(early.is_err(), "a cut connection delivered {early:?}");
     proxy.cut_both(false);
-    let late = time::timeout(PATIENCE, far.read_u8()).await;
+    let late = time::timeout(TIMEOUT, target_stream.read_u8()).await;
     assert_eq!(late.expect("a byte").expect("a byte"), b'x');
     proxy.reset();
-    let end = time::timeout(PATIENCE, near.read_u8()).await;
+    let end = time::timeout(TIMEOUT, client.read_u8()).await;
     assert!(end.expect("the end").is_err());
 }
--- a/standin/tests/path.rs
+++ b/standin/tests/path.rs
@@ -1,4 +1,4 @@
-//! One request through every stand-in on the way.
+//! A request and a feed through caller, fabric and server.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use standin::fabric;
 use standin::server;
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 #[tokio::test]
 async fn a_request_and_a_feed_pass_the_fabric() {
@@ -29,7 +29,7 @@
     let caller = caller::start(settings).await.expect("the caller starts");
 
     let outcome = caller
-        .request(RequestType::Post, "/pickups", "p-1", PATIENCE)
+        .request(RequestType::Post, "/pickups", "p-1", TIMEOUT)
         .await;
     let Outcome::Answered { code, payload } = outcome else {
         panic!("not answered: {outcome:?}");
@@ -39,16 +39,16 @@
     assert_eq!(server.starts("p-1"), 1);
 
     let mut feed = caller
-        .observe("/routes", PATIENCE)
+        .observe("/routes", TIMEOUT)
         .await
         .expect("the feed opens");
     for _ in 0..3 {
-        let update = feed.next(PATIENCE).await;
+        let update = feed.next(TIMEOUT).await;
         assert!(matches!(update, Update::Notification { .. }), "{update:?}");
     }
     assert_eq!(feed.missed(), 0);
     assert_eq!(feed.server(), Some("d1"));
     assert_eq!(server.observers(), 1);
-    feed.cancel(PATIENCE).await;
+    feed.cancel(TIMEOUT).await;
     assert_eq!(server.observers(), 0);
 }
--- a/standin/tests/platform.rs
+++ b/standin/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol and its faults, over real connections.
+//! Protocol and fault injection of the platform, tested over real connections.
 
 mod support;
 
@@ -7,11 +7,11 @@
 use serde_json::Value;
 use serde_json::json;
 use standin::platform;
-use support::PATIENCE;
+use support::TIMEOUT;
 use support::any_port;
-use support::ask;
+use support::request_json;
 use support::send;
-use support::until;
+use support::wait_until;
 use tokio::io::AsyncBufReadExt;
 use tokio::io::BufReader;
 use tokio::net::TcpStream;
@@ -28,10 +28,10 @@
 }
 
 async fn call(platform: &platform::Handle, path: &str, body: Value) -> Option<Value> {
-    ask(platform.address(), "POST", path, &body.to_string()).await
+    request_json(platform.address(), "POST", path, &body.to_string()).await
 }
 
-/// The next JSON line of a streamed answer; none at its end.
+/// Reads the next JSON line of a streamed answer; none at its end.
 async fn next_line(stream: &mut BufReader<TcpStream>) -> Option<Value> {
     let read = async {
         loop {
@@ -43,12 +43,12 @@
             }
         }
     };
-    time::timeout(PATIENCE, read)
+    time::timeout(TIMEOUT, read)
         .await
         .expect("a line or the end")
 }
 
-/// Opens a watch of the key and reads the line that announces it.
+/// Opens a watch of the key and reads the line that confirms it.
 async fn watch(platform: &platform::Handle, start_revision: i64) -> BufReader<TcpStream> {
     let create = json!({"key": KEY, "start_revision": start_revision});
     let body = json!({"create_request": create}).to_string();
@@ -59,8 +59,8 @@
     stream
 }
 
-/// Writes the key if its revision is still this one.
-async fn swap(platform: &platform::Handle, revision: Value) -> Option<Value> {
+/// Writes the key if it still has this revision, and else reads it.
+async fn compare_and_swap(platform: &platform::Handle, revision: Value) -> Option<Value> {
     let compare = json!({"key": KEY, "target": "MOD", "result": "EQUAL", "mod_revision": revision});
     let put = json!({"request_put": {"key": KEY, "value": VALUE}});
     let get = json!({"request_range": {"key": KEY}});
@@ -71,12 +71,16 @@
 #[tokio::test]
 async fn one_of_two_swaps_succeeds() {
     let platform = start().await;
-    let first = swap(&platform, json!(0)).await.expect("an answer");
-    let second = swap(&platform, json!("0")).await.expect("an answer");
+    let first = compare_and_swap(&platform, json!(0))
+        .await
+        .expect("an answer");
+    let second = compare_and_swap(&platform, json!("0"))
+        .await
+        .expect("an answer");
 
     assert_eq!(first["succeeded"], true);
     assert_eq!(first["header"]["revision"], "2");
-    // The gateway leaves out what is false.
+    // The gateway omits fields that are false.
     assert_eq!(second.get("succeeded"), None);
     let kv = &second["responses"][0]["response_range"]["kvs"][0];
     assert_eq!(kv["mod_revision"], "2");
@@ -102,7 +106,7 @@
 }
 
 #[tokio::test]
-async fn a_lapsed_lease_takes_its_keys_along() {
+async fn an_expired_lease_deletes_its_keys() {
     let platform = start().await;
     platform.freeze_leases(true);
     let grant = call(&platform, "/v3/lease/grant", json!({"TTL": 1})).await;
@@ -113,7 +117,7 @@
         .expect("an answer");
     let mut watch = watch(&platform, 0).await;
 
-    // The time to live passes twice while the clock stands.
+    // Twice the time to live passes while the lease clock is frozen.
     time::sleep(Duration::from_secs(2)).await;
     let kept = call(&platform, "/v3/lease/keepalive", json!({"ID": id})).await;
     assert_eq!(kept.expect("an answer")["result"]["TTL"], "1");
@@ -145,7 +149,7 @@
     assert_eq!(live["result"]["events"][0]["kv"]["mod_revision"], "5");
     assert_eq!(platform.counters().watching, 1);
     drop(watch);
-    until("the watch ends with its connection", || {
+    wait_until("the watch ends with its connection", || {
         platform.counters().watching == 0
     })
     .await;
@@ -159,24 +163,26 @@
 
     platform.down(true);
     assert_eq!(next_line(&mut watch).await, None);
-    assert_eq!(swap(&platform, json!(0)).await, None);
+    assert_eq!(compare_and_swap(&platform, json!(0)).await, None);
     assert_eq!(platform.get("k"), None);
     platform.down(false);
-    assert!(swap(&platform, json!(0)).await.is_some());
+    assert!(compare_and_swap(&platform, json!(0)).await.is_some());
 }
 
 #[tokio::test]
 async fn a_write_with_a_lost_answer_took_effect() {
     let platform = start().await;
     platform.lose_answers(1);
-    assert_eq!(swap(&platform, json!(0)).await, None);
+    assert_eq!(compare_and_swap(&platform, json!(0)).await, None);
     assert_eq!(platform.get("k"), Some(b"v".to_vec()));
-    let again = swap(&platform, json!(0)).await.expect("an answer");
+    let again = compare_and_swap(&platform, json!(0))
+        .await
+        .expect("an answer");
     assert_eq!(again.get("succeeded"), None);
 }
 
 #[tokio::test]
-async fn a_stale_platform_shows_the_past_and_swaps_in_the_present() {
+async fn a_stale_platform_serves_old_reads_and_compares_current_revisions() {
     let platform = start().await;
     platform.put("k", "1");
     platform.stale(true);
@@ -184,7 +190,9 @@
     let range = json!({"key": KEY});
     let read = call(&platform, "/v3/kv/range", range.clone()).await;
     assert_eq!(read.expect("an answer")["kvs"][0]["version"], "1");
-    let swapped = swap(&platform, json!(2)).await.expect("an answer");
+    let swapped = compare_and_swap(&platform, json!(2))
+        .await
+        .expect("an answer");
     assert_eq!(swapped.get("succeeded"), None);
 
     let mut watch = watch(&platform, 0).await;
@@ -198,8 +206,12 @@
 #[tokio::test]
 async fn a_slow_platform_answers_late() {
     let platform = start().await;
-    platform.slow(PATIENCE * 10);
-    let early = time::timeout(Duration::from_millis(200), swap(&platform, json!(0))).await;
+    platform.slow(TIMEOUT * 10);
+    let early = time::timeout(
+        Duration::from_millis(200),
+        compare_and_swap(&platform, json!(0)),
+    )
+    .await;
     assert!(early.is_err(), "a slow platform answered {early:?}");
     assert_eq!(platform.get("k"), None);
 }
--- a/standin/tests/server.rs
+++ b/standin/tests/server.rs
@@ -1,4 +1,4 @@
-//! What the backend server does with requests, feeds, blocks and faults.
+//! Requests, feeds, block-wise transfers and injected faults of the backend server.
 
 mod support;
 
@@ -20,21 +20,21 @@
 use standin::server;
 use standin::server::Handle;
 use standin::server::Settings;
-use support::PATIENCE;
+use support::TIMEOUT;
 use support::any_port;
-use support::ask;
-use support::until;
+use support::request_json;
+use support::wait_until;
 use tokio::net::UdpSocket;
 use tokio::time;
 use tokio::time::Instant;
 
-/// Long enough for a datagram on loopback that should not come.
-const SILENCE: Duration = Duration::from_millis(200);
-const TICK: Duration = Duration::from_millis(20);
+/// Time within which a loopback datagram would have arrived.
+const QUIET_PERIOD: Duration = Duration::from_millis(200);
+const NOTIFY_INTERVAL: Duration = Duration::from_millis(20);
 
 async fn start(change: impl FnOnce(&mut Settings)) -> (Handle, Caller) {
     let mut settings = Settings::new("d1", "dispatch");
-    settings.notify_interval = TICK;
+    settings.notify_interval = NOTIFY_INTERVAL;
     change(&mut settings);
     let server = server::start(settings).await.expect("the server starts");
     let settings = caller::Settings::new(server.address());
@@ -61,18 +61,18 @@
     UdpSocket::bind(any_port()).await.expect("a socket")
 }
 
-/// Sends a message as it is and waits for the answer.
+/// Sends a message and waits for the answer.
 async fn exchange(server: &Handle, socket: &UdpSocket, packet: &Packet) -> Packet {
     let datagram = packet.to_bytes().expect("a datagram");
     let sent = socket.send_to(&datagram, server.address()).await;
-    sent.expect("it is sent");
+    sent.expect("the datagram is sent");
     let mut buffer = [0; 2_000];
-    let size = time::timeout(PATIENCE, socket.recv(&mut buffer)).await;
+    let size = time::timeout(TIMEOUT, socket.recv(&mut buffer)).await;
     let size = size.expect("an answer").expect("an answer");
     Packet::from_bytes(&buffer[..size]).expect("a message")
 }
 
-fn refused() -> Outcome {
+fn refusal() -> Outcome {
     let retry_after = Duration::from_secs(2);
     Outcome::NotRun { retry_after }
 }
@@ -82,10 +82,11 @@
     let (server, caller) = start(|settings| {
         settings.slots = 2;
         settings.queue = 3;
-        settings.service_time = SILENCE;
+        settings.service_time = QUIET_PERIOD;
     })
     .await;
-    // All are sent before the first is read, so that none finds a slot free again.
+    // All requests are sent before the server reads the first, so that none finds a slot
+    // that was freed in between.
     server.freeze(true);
     let mut exchanges = Vec::new();
     for n in 0..7 {
@@ -93,12 +94,12 @@
         exchanges.push(caller.begin(RequestType::Post, "/x", id).await);
     }
     server.freeze(false);
-    let outcomes = exchanges.iter_mut().map(|one| one.outcome(PATIENCE));
+    let outcomes = exchanges.iter_mut().map(|one| one.outcome(TIMEOUT));
     let outcomes = future::join_all(outcomes).await;
 
     let ran = outcomes.iter().filter(|outcome| code(outcome).is_some());
     assert_eq!(ran.count(), 5);
-    let shed = outcomes.iter().filter(|outcome| **outcome == refused());
+    let shed = outcomes.iter().filter(|outcome| **outcome == refusal());
     assert_eq!(shed.count(), 2);
     assert_eq!(server.peak(), 2);
     assert_eq!(server.all_starts().len(), 5);
@@ -109,24 +110,22 @@
 async fn every_copy_of_a_request_starts() {
     let (server, caller) = start(|_| {}).await;
     let mut exchange = caller.begin(RequestType::Post, "/x", "p-1").await;
-    exchange.outcome(PATIENCE).await;
+    exchange.outcome(TIMEOUT).await;
     caller.send_copy(&exchange.datagram(), None).await;
-    let again = exchange.outcome(PATIENCE).await;
-    assert_eq!(code(&again), Some(ResponseType::Created));
+    let second_outcome = exchange.outcome(TIMEOUT).await;
+    assert_eq!(code(&second_outcome), Some(ResponseType::Created));
     assert_eq!(server.starts("p-1"), 2);
 }
 
 #[tokio::test]
-async fn a_slow_request_is_answered_apart() {
-    // The first retransmission would come long before the answer, were there
-    // no empty acknowledgement; a second start would show it.
-    let (server, _) = start(|settings| settings.service_time = SILENCE * 8).await;
+async fn a_slow_request_gets_a_separate_answer() {
+    // Without the empty acknowledgement the caller would retransmit long before the
+    // answer, and the server would start the request twice.
+    let (server, _) = start(|settings| settings.service_time = QUIET_PERIOD * 8).await;
     let mut settings = caller::Settings::new(server.address());
-    settings.ack_timeout = SILENCE * 3;
+    settings.ack_timeout = QUIET_PERIOD * 3;
     let caller = caller::start(settings).await.expect("the caller starts");
-    let outcome = caller
-        .request(RequestType::Put, "/x", "p-1", PATIENCE)
-        .await;
+    let outcome = caller.request(RequestType::Put, "/x", "p-1", TIMEOUT).await;
     assert_eq!(code(&outcome), Some(ResponseType::Changed));
     assert_eq!(server.starts("p-1"), 1);
 }
@@ -135,11 +134,11 @@
 async fn a_request_past_its_deadline_does_not_start() {
     let (server, caller) = start(|settings| {
         settings.slots = 1;
-        settings.service_time = SILENCE * 5;
+        settings.service_time = QUIET_PERIOD * 5;
     })
     .await;
     let mut first = caller.begin(RequestType::Post, "/x", "p-1").await;
-    until("the slot is taken", || server.starts("p-1") == 1).await;
+    wait_until("the slot is taken", || server.starts("p-1") == 1).await;
 
     let mut packet = post(b"p-2");
     let deadline = CoapOption::Unknown(server::DEADLINE_OPTION);
@@ -147,58 +146,58 @@
     let answer = exchange(&server, &socket().await, &packet).await;
     let unavailable = MessageClass::Response(ResponseType::ServiceUnavailable);
     assert_eq!(answer.header.code, unavailable);
-    assert!(code(&first.outcome(PATIENCE).await).is_some());
+    assert!(code(&first.outcome(TIMEOUT).await).is_some());
     assert_eq!(server.starts("p-2"), 0);
 }
 
 #[tokio::test]
-async fn a_draining_server_keeps_its_feeds_and_refuses_the_rest() {
+async fn a_draining_server_keeps_its_feeds_and_refuses_new_work() {
     let (server, caller) = start(|_| {}).await;
-    let mut feed = caller.observe("/x", PATIENCE).await.expect("a feed");
+    let mut feed = caller.observe("/x", TIMEOUT).await.expect("a feed");
     server.drain(true);
     let since = Instant::now();
 
     let outcome = caller
-        .request(RequestType::Post, "/x", "p-1", PATIENCE)
+        .request(RequestType::Post, "/x", "p-1", TIMEOUT)
         .await;
-    assert_eq!(outcome, refused());
+    assert_eq!(outcome, refusal());
     assert_eq!(server.starts("p-1"), 0);
-    assert_eq!(caller.observe("/x", PATIENCE).await.err(), Some(refused()));
+    assert_eq!(caller.observe("/x", TIMEOUT).await.err(), Some(refusal()));
     feed.renew().await;
     for _ in 0..3 {
-        let update = feed.next(PATIENCE).await;
+        let update = feed.next(TIMEOUT).await;
         assert!(matches!(update, Update::Notification { .. }), "{update:?}");
     }
     let seen = server.seen_since(since);
     assert_eq!(seen.iter().filter(|seen| seen.fresh).count(), 2);
     assert_eq!(feed.missed(), 0);
-    let health = ask(server.health_address(), "GET", "/health", "").await;
+    let health = request_json(server.health_address(), "GET", "/health", "").await;
     assert_eq!(health.expect("an answer")["state"], "draining");
 }
 
 #[tokio::test]
-async fn a_forgotten_feed_goes_silent_until_it_is_renewed() {
+async fn a_feed_without_its_observer_is_silent_until_it_is_renewed() {
     let (server, caller) = start(|_| {}).await;
-    let mut feed = caller.observe("/x", PATIENCE).await.expect("a feed");
+    let mut feed = caller.observe("/x", TIMEOUT).await.expect("a feed");
     server.forget();
-    let mut left = 100;
-    while feed.next(SILENCE).await != Update::Silent {
-        left -= 1;
-        assert!(left > 0, "the feed goes on");
+    let mut attempts_left = 100;
+    while feed.next(QUIET_PERIOD).await != Update::Silent {
+        attempts_left -= 1;
+        assert!(attempts_left > 0, "the feed still receives notifications");
     }
     feed.renew().await;
-    let update = feed.next(PATIENCE).await;
+    let update = feed.next(TIMEOUT).await;
     assert!(matches!(update, Update::Notification { .. }), "{update:?}");
 }
 
 #[tokio::test]
 async fn a_reset_ends_a_feed() {
     let (server, caller) = start(|_| {}).await;
-    let feed = caller.observe("/x", PATIENCE).await.expect("a feed");
+    let feed = caller.observe("/x", TIMEOUT).await.expect("a feed");
     assert_eq!(server.observers(), 1);
-    // The next notification belongs to no exchange and is rejected.
+    // The caller rejects the next notification because its exchange has ended.
     drop(feed);
-    until("the observer is gone", || server.observers() == 0).await;
+    wait_until("the observer is gone", || server.observers() == 0).await;
 }
 
 #[tokio::test]
@@ -206,13 +205,13 @@
     let (server, caller) = start(|_| {}).await;
     let body = "sheet ".repeat(500);
     let mut upload = caller.upload(RequestType::Put, "/x", body.clone(), 256);
-    assert_eq!(upload.step(PATIENCE).await, None);
+    assert_eq!(upload.step(TIMEOUT).await, None);
     assert_eq!(server.starts(&body), 0);
-    let outcome = upload.finish(PATIENCE).await;
+    let outcome = upload.finish(TIMEOUT).await;
     assert_eq!(code(&outcome), Some(ResponseType::Changed));
     assert_eq!(server.starts(&body), 1);
 
-    let outcome = caller.download(server::LARGE_PATH).finish(PATIENCE).await;
+    let outcome = caller.download(server::LARGE_PATH).finish(TIMEOUT).await;
     let Outcome::Answered { payload, .. } = outcome else {
         panic!("not answered: {outcome:?}");
     };
@@ -225,21 +224,21 @@
 async fn an_upload_without_its_first_blocks_is_incomplete() {
     let (server, caller) = start(|_| {}).await;
     let mut upload = caller.upload(RequestType::Put, "/x", vec![b'x'; 600], 256);
-    assert_eq!(upload.step(PATIENCE).await, None);
-    // A restarted server has nothing of the body.
+    assert_eq!(upload.step(TIMEOUT).await, None);
+    // The restarted server has lost the first block.
     let address = server.address();
     server.stop().await;
     let mut settings = Settings::new("d1", "dispatch");
     settings.bind = address;
     let server = server::start(settings).await.expect("the server restarts");
-    let outcome = upload.finish(PATIENCE).await;
+    let outcome = upload.finish(TIMEOUT).await;
     let incomplete = ResponseType::RequestEntityIncomplete;
     assert_eq!(code(&outcome), Some(incomplete));
     assert!(server.all_starts().is_empty());
 }
 
 #[tokio::test]
-async fn an_upload_with_a_hole_is_incomplete() {
+async fn an_upload_with_a_missing_block_is_incomplete() {
     let (server, _) = start(|_| {}).await;
     let socket = socket().await;
     for (num, expected) in [
@@ -262,7 +261,7 @@
     settings.host = Some("ledger".to_owned());
     let caller = caller::start(settings).await.expect("the caller starts");
     let outcome = caller
-        .request(RequestType::Post, "/x", "p-1", PATIENCE)
+        .request(RequestType::Post, "/x", "p-1", TIMEOUT)
         .await;
     assert_eq!(code(&outcome), Some(ResponseType::NotFound));
     assert_eq!(server.wrong_service(), 1);
@@ -274,29 +273,29 @@
     let (server, caller) = start(|_| {}).await;
     server.freeze(true);
     let mut exchange = caller.begin(RequestType::Post, "/x", "p-1").await;
-    assert_eq!(exchange.outcome(SILENCE).await, Outcome::Silent);
+    assert_eq!(exchange.outcome(QUIET_PERIOD).await, Outcome::Silent);
     assert_eq!(server.starts("p-1"), 0);
     server.freeze(false);
-    let outcome = exchange.outcome(PATIENCE).await;
+    let outcome = exchange.outcome(TIMEOUT).await;
     assert_eq!(code(&outcome), Some(ResponseType::Created));
 }
 
 #[tokio::test]
-async fn health_tells_the_truth_lies_and_fails() {
+async fn health_reports_the_state_overridden_values_and_failures() {
     let (server, _) = start(|_| {}).await;
-    let health = async || ask(server.health_address(), "GET", "/health", "").await;
-    let truth = serde_json::json!({
+    let health = async || request_json(server.health_address(), "GET", "/health", "").await;
+    let actual = serde_json::json!({
         "service": "dispatch", "server": "d1", "state": "up", "outstanding": 0, "slots": 2
     });
-    assert_eq!(health().await, Some(truth));
+    assert_eq!(health().await, Some(actual));
     server.lie(server::Lies {
         outstanding: Some(9),
         service: Some("ledger".to_owned()),
         state: None,
     });
-    let lie = health().await.expect("an answer");
-    assert_eq!(lie["outstanding"], 9);
-    assert_eq!(lie["service"], "ledger");
+    let overridden = health().await.expect("an answer");
+    assert_eq!(overridden["outstanding"], 9);
+    assert_eq!(overridden["service"], "ledger");
     server.health_down(true);
     assert_eq!(health().await, None);
 }
--- a/standin/tests/support/mod.rs
+++ b/standin/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A bare HTTP/1.1 client, enough to see connections close without an answer.
+//! A minimal HTTP/1.1 client that reports connections closed without an answer.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,26 +11,26 @@
 use tokio::net::TcpStream;
 use tokio::time;
 
-/// Bound on every wait; nothing is measured by it.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of every wait. It only ends a failed test; no test measures time by it.
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Any port of this host.
+/// Loopback address with an ephemeral port.
 pub(crate) fn any_port() -> SocketAddr {
     ([127, 0, 0, 1], 0).into()
 }
 
 /// Waits until a condition holds.
-pub(crate) async fn until(what: &str, holds: impl Fn() -> bool) {
+pub(crate) async fn wait_until(condition: &str, holds: impl Fn() -> bool) {
     let poll = async {
         while !holds() {
             time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let waited = time::timeout(PATIENCE, poll).await;
-    waited.unwrap_or_else(|_| panic!("waited in vain: {what}"));
+    let waited = time::timeout(TIMEOUT, poll).await;
+    waited.unwrap_or_else(|_| panic!("timed out waiting until {condition}"));
 }
 
-/// Sends a request; returns the connection that the answer comes on.
+/// Sends a request; returns the connection from which to read the answer.
 pub(crate) async fn send(
     to: SocketAddr,
     method: &str,
@@ -45,15 +45,22 @@
     Ok(BufReader::new(stream))
 }
 
-/// Sends a request and reads the whole answer; none if there is no answer.
-pub(crate) async fn ask(to: SocketAddr, method: &str, path: &str, body: &str) -> Option<Value> {
+/// Sends a request and parses the JSON body of the answer; none without an answer.
+pub(crate) async fn request_json(
+    to: SocketAddr,
+    method: &str,
+    path: &str,
+    body: &str,
+) -> Option<Value> {
     let exchange = async {
         let mut stream = send(to, method, path, body).await?;
         let mut answer = String::new();
         stream.read_to_string(&mut answer).await?;
         io::Result::Ok(answer)
     };
-    let answer = time::timeout(PATIENCE, exchange).await.expect("it ends");
+    let answer = time::timeout(TIMEOUT, exchange)
+        .await
+        .expect("the exchange ends");
     let answer = answer.ok()?;
     let (_, body) = answer.split_once("\r\n\r\n")?;
     serde_json::from_str(body).ok()
