--- a/standin/src/health.rs
+++ b/standin/src/health.rs
@@ -24,7 +24,7 @@
 
 /// Values that the health endpoint reports instead of the actual ones.
 #[derive(Clone, Debug, Default)]
-pub struct Lies {
+pub struct HealthOverrides {
     /// State of the server.
     pub state: Option<String>,
     /// Number of requests in progress.
@@ -72,12 +72,12 @@
         connection.abort();
     }
     let actual_state = if state.draining { "draining" } else { "up" };
-    let lies = state.lies.clone();
+    let overrides = state.health_overrides.clone();
     Json(Health {
-        service: lies.service.unwrap_or(shared.settings.service.clone()),
+        service: overrides.service.unwrap_or(shared.settings.service.clone()),
         server: shared.settings.name.clone(),
-        state: lies.state.unwrap_or(actual_state.to_owned()),
-        outstanding: lies.outstanding.unwrap_or(state.outstanding),
+        state: overrides.state.unwrap_or(actual_state.to_owned()),
+        outstanding: overrides.outstanding.unwrap_or(state.outstanding),
         slots: shared.settings.slots,
     })
     .into_response()
--- a/standin/src/server.rs
+++ b/standin/src/server.rs
@@ -35,7 +35,7 @@
 use tokio::time::Instant;
 
 use crate::health;
-pub use crate::health::Lies;
+pub use crate::health::HealthOverrides;
 use crate::lock::lock;
 use crate::message;
 use crate::message::MAX_BLOCK;
@@ -100,7 +100,7 @@
 
 /// A request that reached the server, whether or not it was executed.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// Time at which the request was read.
     pub at: Instant,
     /// Address of the sender.
@@ -113,7 +113,7 @@
     pub id: String,
     /// Whether the request is new work: it neither renews or cancels a known feed nor
     /// transfers a later block.
-    pub fresh: bool,
+    pub is_new_work: bool,
 }
 
 #[derive(Default)]
@@ -122,12 +122,12 @@
     shedding: bool,
     pub(crate) health_down: bool,
     pub(crate) health_delay: Duration,
-    pub(crate) lies: Lies,
+    pub(crate) health_overrides: HealthOverrides,
     pub(crate) outstanding: usize,
     running: usize,
     peak: usize,
     starts: BTreeMap<String, u64>,
-    seen: Vec<Seen>,
+    received_requests: Vec<ReceivedRequest>,
     wrong_service: u64,
     observers: HashMap<ObserverKey, Observer>,
     uploads: HashMap<UploadKey, Vec<u8>>,
@@ -271,7 +271,7 @@
     }
 
     /// Removes all observers without notice, like a middlebox that loses its state.
-    pub fn forget(&self) {
+    pub fn clear_observers(&self) {
         lock(&self.shared.state).observers.clear();
     }
 
@@ -281,8 +281,8 @@
     }
 
     /// Replaces values that the health endpoint reports.
-    pub fn lie(&self, lies: Lies) {
-        lock(&self.shared.state).lies = lies;
+    pub fn override_health(&self, overrides: HealthOverrides) {
+        lock(&self.shared.state).health_overrides = overrides;
     }
 
     /// Sets whether health checks are closed without an answer.
@@ -327,9 +327,12 @@
     }
 
     /// Requests received at this instant or later.
-    pub fn seen_since(&self, since: Instant) -> Vec<Seen> {
+    pub fn received_since(&self, since: Instant) -> Vec<ReceivedRequest> {
         let state = lock(&self.shared.state);
-        let recent = state.seen.iter().filter(|seen| seen.at >= since);
+        let recent = state
+            .received_requests
+            .iter()
+            .filter(|request| request.at >= since);
         recent.cloned().collect()
     }
 
@@ -449,14 +452,14 @@
 /// Records a request; returns the answer if the request must not be executed.
 fn record_or_refuse(shared: &Shared, request: &Request) -> Option<Packet> {
     let mut state = lock(&shared.state);
-    let fresh = state.is_new_work(request.remote, &request.packet);
-    state.seen.push(Seen {
+    let is_new_work = state.is_new_work(request.remote, &request.packet);
+    state.received_requests.push(ReceivedRequest {
         at: Instant::now(),
         remote: request.remote,
         method: request.method,
         path: message::uri_path(&request.packet),
         id: lossy_text(&request.packet.payload),
-        fresh,
+        is_new_work,
     });
     let host = request.packet.get_first_option(CoapOption::UriHost);
     if host.is_some_and(|host| host != shared.settings.service.as_bytes()) {
@@ -464,7 +467,7 @@
         return Some(message::answer(ResponseType::NotFound, "wrong service"));
     }
     let refuses_new_work = state.draining || state.shedding;
-    (refuses_new_work && fresh).then(|| unavailable(shared))
+    (refuses_new_work && is_new_work).then(|| unavailable(shared))
 }
 
 fn unavailable(shared: &Shared) -> Packet {
--- a/standin/tests/server.rs
+++ b/standin/tests/server.rs
@@ -168,8 +168,14 @@
         let update = feed.next(TIMEOUT).await;
         assert!(matches!(update, Update::Notification { .. }), "{update:?}");
     }
-    let seen = server.seen_since(since);
-    assert_eq!(seen.iter().filter(|seen| seen.fresh).count(), 2);
+    let received = server.received_since(since);
+    assert_eq!(
+        received
+            .iter()
+            .filter(|request| request.is_new_work)
+            .count(),
+        2
+    );
     assert_eq!(feed.missed(), 0);
     let health = request_json(server.health_address(), "GET", "/health", "").await;
     assert_eq!(health.expect("an answer")["state"], "draining");
@@ -179,7 +185,7 @@
 async fn a_feed_without_its_observer_is_silent_until_it_is_renewed() {
     let (server, caller) = start(|_| {}).await;
     let mut feed = caller.observe("/x", TIMEOUT).await.expect("a feed");
-    server.forget();
+    server.clear_observers();
     let mut attempts_left = 100;
     while feed.next(QUIET_PERIOD).await != Update::Silent {
         attempts_left -= 1;
@@ -288,7 +294,7 @@
         "service": "dispatch", "server": "d1", "state": "up", "outstanding": 0, "slots": 2
     });
     assert_eq!(health().await, Some(actual));
-    server.lie(server::Lies {
+    server.override_health(server::HealthOverrides {
         outstanding: Some(9),
         service: Some("ledger".to_owned()),
         state: None,
--- a/tests/blocks.rs
+++ b/tests/blocks.rs
@@ -66,7 +66,7 @@
 fn places(cluster: &Cluster, path: &str, since: Instant) -> BTreeSet<(String, SocketAddr)> {
     let mut places = BTreeSet::new();
     for (name, server) in &cluster.servers {
-        let seen = server.seen_since(since);
+        let seen = server.received_since(since);
         let seen = seen.into_iter().filter(|seen| seen.path == path);
         places.extend(seen.map(|seen| (name.clone(), seen.remote)));
     }
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -7,7 +7,7 @@
 use coap_lite::RequestType;
 use serde_json::json;
 use standin::caller::Outcome;
-use standin::server::Lies;
+use standin::server::HealthOverrides;
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 use tokio::time::Instant;
@@ -68,9 +68,9 @@
     let server = &cluster.servers[name];
     let signalled = Instant::now();
     let fresh = |since| {
-        let seen = server.seen_since(since);
+        let seen = server.received_since(since);
         seen.into_iter()
-            .filter(|seen| seen.fresh)
+            .filter(|seen| seen.is_new_work)
             .collect::<Vec<_>>()
     };
     sleep(NOTICE + WATCH).await;
@@ -102,9 +102,9 @@
     }
     cluster.list_server("dispatch-0", "leaving");
     assert_eq!(new_work(&cluster, "dispatch-0").await, 0);
-    cluster.servers["dispatch-1"].lie(Lies {
+    cluster.servers["dispatch-1"].override_health(HealthOverrides {
         state: Some("draining".to_owned()),
-        ..Lies::default()
+        ..HealthOverrides::default()
     });
     assert_eq!(new_work(&cluster, "dispatch-1").await, 0);
     let key = "godwitreel/drain/servers/dispatch-2";
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -37,7 +37,7 @@
     for round in 0..2 {
         let dropped_at = Instant::now();
         for server in cluster.servers.values() {
-            server.forget();
+            server.clear_observers();
         }
         let outcome = driver
             .request(RequestType::Get, "/sheet", b"", PATIENCE)
--- a/tests/wrong.rs
+++ b/tests/wrong.rs
@@ -70,7 +70,7 @@
             .await;
         number += 1;
     }
-    let seen = other.seen_since(taken);
+    let seen = other.received_since(taken);
     let last = seen.last().map(|seen| seen.at - taken);
     println!(
         "{number} bookings, {} reached the other service, the last after {last:?}",
@@ -119,7 +119,7 @@
     let seen: Vec<_> = cluster
         .servers
         .values()
-        .flat_map(|server| server.seen_since(begun))
+        .flat_map(|server| server.received_since(begun))
         .collect();
     let backend = seen.first().expect("a request").remote;
     // The first byte of a token names a worker, which may not exist.
