--- a/standin/src/caller.rs
+++ b/standin/src/caller.rs
@@ -94,7 +94,7 @@
 }
 
 impl Outcome {
-    pub(crate) fn of(answer: &Packet) -> Self {
+    pub(crate) fn from_answer(answer: &Packet) -> Self {
         let MessageClass::Response(code) = answer.header.code else {
             return Self::Silent;
         };
@@ -121,7 +121,7 @@
 
 struct State {
     rng: StdRng,
-    message_id: u16,
+    last_message_id: u16,
     /// Channels of the exchanges that wait for answers, by token.
     exchanges: HashMap<Vec<u8>, mpsc::UnboundedSender<Incoming>>,
     /// Tokens of unacknowledged confirmable requests, by message ID.
@@ -142,8 +142,8 @@
 
     fn next_message_id(&self) -> u16 {
         let mut state = lock(&self.state);
-        state.message_id = state.message_id.wrapping_add(1);
-        state.message_id
+        state.last_message_id = state.last_message_id.wrapping_add(1);
+        state.last_message_id
     }
 
     /// Registers a new token; returns it with the receiver of its incoming messages.
@@ -191,13 +191,13 @@
 pub async fn start(settings: Settings) -> io::Result<Caller> {
     let socket = UdpSocket::bind(settings.bind).await?;
     let mut rng = StdRng::seed_from_u64(settings.seed);
-    let message_id = rng.random();
+    let last_message_id = rng.random();
     let shared = Arc::new(Shared {
         settings,
         socket,
         state: Mutex::new(State {
             rng,
-            message_id,
+            last_message_id,
             exchanges: HashMap::new(),
             unacknowledged: HashMap::new(),
         }),
@@ -378,7 +378,7 @@
     /// Waits for an answer; each further call waits for another one.
     pub async fn outcome(&mut self, deadline: Duration) -> Outcome {
         match self.answer(deadline).await {
-            Some((packet, _)) => Outcome::of(&packet),
+            Some((packet, _)) => Outcome::from_answer(&packet),
             None => Outcome::Silent,
         }
     }
--- a/standin/src/feed.rs
+++ b/standin/src/feed.rs
@@ -39,16 +39,16 @@
 #[derive(Clone, PartialEq, Eq)]
 struct SequenceNumber {
     server: String,
-    count: u64,
+    number: u64,
 }
 
 impl SequenceNumber {
     fn parse(payload: &[u8]) -> Option<Self> {
         let text = std::str::from_utf8(payload).ok()?;
-        let (server, count) = text.strip_prefix("server=")?.split_once(",n=")?;
+        let (server, number) = text.strip_prefix("server=")?.split_once(",n=")?;
         Some(Self {
             server: server.to_owned(),
-            count: count.parse().ok()?,
+            number: number.parse().ok()?,
         })
     }
 }
@@ -87,7 +87,7 @@
                 return Update::Silent;
             };
             let Some(observe) = message::uint_option(&packet, CoapOption::Observe) else {
-                return Update::Ended(Outcome::of(&packet));
+                return Update::Ended(Outcome::from_answer(&packet));
             };
             self.last_received = at;
             if self.is_newer(observe, at) {
@@ -167,7 +167,7 @@
         };
         match &self.last_sequence {
             Some(previous) if previous.server == current.server => {
-                self.missed += current.count.saturating_sub(previous.count + 1);
+                self.missed += current.number.saturating_sub(previous.number + 1);
             }
             Some(_) => self.moves += 1,
             None => {}
--- a/standin/src/health.rs
+++ b/standin/src/health.rs
@@ -71,7 +71,7 @@
     if state.health_down {
         connection.abort();
     }
-    let actual_state = if state.draining { "draining" } else { "up" };
+    let actual_state = if state.is_draining { "draining" } else { "up" };
     let overrides = state.health_overrides.clone();
     Json(Health {
         service: overrides.service.unwrap_or(shared.settings.service.clone()),
--- a/standin/src/main.rs
+++ b/standin/src/main.rs
@@ -24,7 +24,7 @@
         /// Address to listen on
         #[bpaf(argument("ADDR"))]
         listen: SocketAddr,
-        /// JSON object of keys and values to start with
+        /// JSON file with an object of the initial keys and values
         #[bpaf(argument("FILE"))]
         seed_file: Option<PathBuf>,
     },
@@ -34,7 +34,7 @@
         /// Name of the server
         #[bpaf(argument("NAME"))]
         name: String,
-        /// Service that it runs
+        /// Service that the server runs
         #[bpaf(argument("SERVICE"))]
         service: String,
         /// Address for requests
@@ -43,10 +43,10 @@
         /// Address for health checks
         #[bpaf(argument("ADDR"))]
         health: SocketAddr,
-        /// Requests that run at once
+        /// Number of requests executed concurrently
         #[bpaf(argument("COUNT"), fallback(2), display_fallback)]
         slots: usize,
-        /// How long one request runs, in milliseconds
+        /// Execution time of a request, in milliseconds
         #[bpaf(argument("MS"), fallback(5), display_fallback)]
         service_time: u64,
         /// Time between notifications, in milliseconds
@@ -59,14 +59,14 @@
         /// Public address of the service
         #[bpaf(argument("ADDR"))]
         listen: SocketAddr,
-        /// Seed of the random choice
+        /// Seed of the random choice of instances
         #[bpaf(argument("SEED"), fallback(0), display_fallback)]
         seed: u64,
-        /// Listen address of an instance; may be given often
-        #[bpaf(argument("ADDR"), some("an instance is needed"))]
+        /// Listen address of an instance; may be repeated
+        #[bpaf(argument("ADDR"), some("at least one instance is required"))]
         instance: Vec<SocketAddr>,
     },
-    /// Send one request or hold a feed open
+    /// Send a request or keep a feed open
     #[bpaf(command)]
     Caller {
         /// Address of the service
@@ -75,7 +75,7 @@
         /// Name of the service for the Uri-Host option
         #[bpaf(argument("SERVICE"))]
         host: Option<String>,
-        /// Time for an answer, in milliseconds
+        /// Timeout for an answer, in milliseconds
         #[bpaf(argument("MS"), fallback(10_000), display_fallback)]
         deadline: u64,
         /// Payload of the request
@@ -84,7 +84,7 @@
         /// get, post, put, delete or observe
         #[bpaf(positional("METHOD"))]
         method: Method,
-        /// Resource
+        /// Path of the resource
         #[bpaf(positional("PATH"))]
         path: String,
     },
--- a/standin/src/server.rs
+++ b/standin/src/server.rs
@@ -118,21 +118,21 @@
 
 #[derive(Default)]
 pub(crate) struct State {
-    pub(crate) draining: bool,
-    shedding: bool,
+    pub(crate) is_draining: bool,
+    is_shedding: bool,
     pub(crate) health_down: bool,
     pub(crate) health_delay: Duration,
     pub(crate) health_overrides: HealthOverrides,
     pub(crate) outstanding: usize,
     running: usize,
-    peak: usize,
+    max_running: usize,
     starts: BTreeMap<String, u64>,
     received_requests: Vec<ReceivedRequest>,
     wrong_service: u64,
     observers: HashMap<ObserverKey, Observer>,
     uploads: HashMap<UploadKey, Vec<u8>>,
-    observe: u32,
-    message_id: u16,
+    last_observe: u32,
+    last_message_id: u16,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash)]
@@ -165,15 +165,15 @@
 
 impl State {
     fn next_message_id(&mut self) -> u16 {
-        self.message_id = self.message_id.wrapping_add(1);
-        self.message_id
+        self.last_message_id = self.last_message_id.wrapping_add(1);
+        self.last_message_id
     }
 
     /// Next Observe number. All observers share one sequence, so that the numbers also
     /// rise for an observer that registers again.
     fn next_observe(&mut self) -> u32 {
-        self.observe = (self.observe + 1) & OBSERVE_MASK;
-        self.observe
+        self.last_observe = (self.last_observe + 1) & OBSERVE_MASK;
+        self.last_observe
     }
 
     fn is_new_work(&self, remote: SocketAddr, request: &Packet) -> bool {
@@ -257,12 +257,12 @@
     /// Sets the draining state: new work is refused, open feeds and started transfers
     /// continue.
     pub fn drain(&self, on: bool) {
-        lock(&self.shared.state).draining = on;
+        lock(&self.shared.state).is_draining = on;
     }
 
     /// Refuses new work while the health endpoint reports the normal state.
     pub fn shed(&self, on: bool) {
-        lock(&self.shared.state).shedding = on;
+        lock(&self.shared.state).is_shedding = on;
     }
 
     /// Pauses the server like a stopped process: it reads and sends nothing.
@@ -313,7 +313,7 @@
 
     /// Maximum number of requests that were executed concurrently.
     pub fn peak(&self) -> usize {
-        lock(&self.shared.state).peak
+        lock(&self.shared.state).max_running
     }
 
     /// Number of registered observers.
@@ -438,18 +438,18 @@
         return refusal;
     }
     let Some(block) = message::block_option(&request.packet, CoapOption::Block1) else {
-        return run(shared, request, &request.packet.payload).await;
+        return execute_in_slot(shared, request, &request.packet.payload).await;
     };
     let mut answer = match collect_block(shared, request, &block) {
-        UploadProgress::Complete(body) => run(shared, request, &body).await,
-        UploadProgress::More => message::answer(ResponseType::Continue, []),
-        UploadProgress::Incomplete => message::answer(ResponseType::RequestEntityIncomplete, []),
+        UploadProgress::Complete(body) => execute_in_slot(shared, request, &body).await,
+        UploadProgress::Continue => message::answer(ResponseType::Continue, []),
+        UploadProgress::MissingBlocks => message::answer(ResponseType::RequestEntityIncomplete, []),
     };
     answer.add_option_as(CoapOption::Block1, block);
     answer
 }
 
-/// Records a request; returns the answer if the request must not be executed.
+/// Records a request; returns a refusal if the request must not be executed.
 fn record_or_refuse(shared: &Shared, request: &Request) -> Option<Packet> {
     let mut state = lock(&shared.state);
     let is_new_work = state.is_new_work(request.remote, &request.packet);
@@ -466,7 +466,7 @@
         state.wrong_service += 1;
         return Some(message::answer(ResponseType::NotFound, "wrong service"));
     }
-    let refuses_new_work = state.draining || state.shedding;
+    let refuses_new_work = state.is_draining || state.is_shedding;
     (refuses_new_work && is_new_work).then(|| unavailable(shared))
 }
 
@@ -480,8 +480,8 @@
 
 enum UploadProgress {
     Complete(Vec<u8>),
-    More,
-    Incomplete,
+    Continue,
+    MissingBlocks,
 }
 
 /// Adds a block to an uploaded body (RFC 7959). The first block starts a new body.
@@ -496,22 +496,22 @@
         state.uploads.insert(key.clone(), Vec::new());
     }
     let Some(body) = state.uploads.get_mut(&key) else {
-        return UploadProgress::Incomplete;
+        return UploadProgress::MissingBlocks;
     };
     let offset = usize::from(block.num) * block.size();
     if offset > body.len() {
-        return UploadProgress::Incomplete;
+        return UploadProgress::MissingBlocks;
     }
     // A retransmitted block replaces the copy received before.
     body.truncate(offset);
     body.extend_from_slice(&request.packet.payload);
     if block.more {
-        return UploadProgress::More;
+        return UploadProgress::Continue;
     }
     state
         .uploads
         .remove(&key)
-        .map_or(UploadProgress::Incomplete, UploadProgress::Complete)
+        .map_or(UploadProgress::MissingBlocks, UploadProgress::Complete)
 }
 
 /// Counts a request as outstanding until the guard is dropped.
@@ -536,7 +536,7 @@
 }
 
 /// Waits for a slot and executes a request.
-async fn run(shared: &Shared, request: &Request, body: &[u8]) -> Packet {
+async fn execute_in_slot(shared: &Shared, request: &Request, body: &[u8]) -> Packet {
     let Some(_outstanding) = OutstandingGuard::try_new(shared) else {
         return unavailable(shared);
     };
@@ -562,7 +562,7 @@
 fn record_start(shared: &Shared, body: &[u8]) {
     let mut state = lock(&shared.state);
     state.running += 1;
-    state.peak = state.peak.max(state.running);
+    state.max_running = state.max_running.max(state.running);
     if !body.is_empty() {
         *state.starts.entry(lossy_text(body)).or_default() += 1;
     }
@@ -591,7 +591,7 @@
 fn read_answer(shared: &Shared, request: &Request) -> Packet {
     let key = ObserverKey::new(request.remote, &request.packet);
     match message::uint_option(&request.packet, CoapOption::Observe) {
-        Some(0) => return register(shared, key),
+        Some(0) => return register_observer(shared, key),
         Some(_) => drop(lock(&shared.state).observers.remove(&key)),
         None => {}
     }
@@ -610,7 +610,7 @@
     format!("server={},path={path}", shared.settings.name)
 }
 
-fn register(shared: &Shared, key: ObserverKey) -> Packet {
+fn register_observer(shared: &Shared, key: ObserverKey) -> Packet {
     let mut state = lock(&shared.state);
     let sent_count = state.observers.entry(key).or_default().sent_count;
     notification_packet(shared, &mut state, sent_count)
--- a/standin/src/transfer.rs
+++ b/standin/src/transfer.rs
@@ -70,7 +70,7 @@
             self.block_number += 1;
             return None;
         }
-        Some(Outcome::of(&answer))
+        Some(Outcome::from_answer(&answer))
     }
 
     /// Sends all remaining blocks.
@@ -116,7 +116,7 @@
             return Some(Outcome::Silent);
         };
         let Some(block) = message::block_option(&answer, CoapOption::Block2) else {
-            return Some(Outcome::of(&answer));
+            return Some(Outcome::from_answer(&answer));
         };
         let tag = answer.get_first_option(CoapOption::ETag).cloned();
         if block_number > 0 && tag != self.tag {
