--- a/standin/src/main.rs
+++ b/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process of its own.
+//! Runs a stand-in as a separate process.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -24,7 +24,7 @@
         /// Address to listen on
         #[bpaf(argument("ADDR"))]
         listen: SocketAddr,
-        /// JSON object of keys and values to start with
+        /// JSON file with an object of the initial keys and values
         #[bpaf(argument("FILE"))]
         seed_file: Option<PathBuf>,
     },
@@ -34,7 +34,7 @@
         /// Name of the server
         #[bpaf(argument("NAME"))]
         name: String,
-        /// Service that it runs
+        /// Service that the server runs
         #[bpaf(argument("SERVICE"))]
         service: String,
         /// Address for requests
@@ -43,10 +43,10 @@
         /// Address for health checks
         #[bpaf(argument("ADDR"))]
         health: SocketAddr,
-        /// Requests that run at once
+        /// Number of requests executed concurrently
         #[bpaf(argument("COUNT"), fallback(2), display_fallback)]
         slots: usize,
-        /// How long one request runs, in milliseconds
+        /// Execution time of a request, in milliseconds
         #[bpaf(argument("MS"), fallback(5), display_fallback)]
         service_time: u64,
         /// Time between notifications, in milliseconds
@@ -59,14 +59,14 @@
         /// Public address of the service
         #[bpaf(argument("ADDR"))]
         listen: SocketAddr,
-        /// Seed of the random choice
+        /// Seed of the random choice of instances
         #[bpaf(argument("SEED"), fallback(0), display_fallback)]
         seed: u64,
-        /// Listen address of an instance; may be given often
-        #[bpaf(argument("ADDR"), some("an instance is needed"))]
+        /// Listen address of an instance; may be repeated
+        #[bpaf(argument("ADDR"), some("at least one instance is required"))]
         instance: Vec<SocketAddr>,
     },
-    /// Send one request or hold a feed open
+    /// Send a request or keep a feed open
     #[bpaf(command)]
     Caller {
         /// Address of the service
@@ -75,7 +75,7 @@
         /// Name of the service for the Uri-Host option
         #[bpaf(argument("SERVICE"))]
         host: Option<String>,
-        /// Time for an answer, in milliseconds
+        /// Timeout for an answer, in milliseconds
         #[bpaf(argument("MS"), fallback(10_000), display_fallback)]
         deadline: u64,
         /// Payload of the request
@@ -84,13 +84,13 @@
         /// get, post, put, delete or observe
         #[bpaf(positional("METHOD"))]
         method: Method,
-        /// Resource
+        /// Path of the resource
         #[bpaf(positional("PATH"))]
         path: String,
     },
 }
 
-/// What a caller does.
+/// Action of the caller command.
 #[derive(Clone, Copy, Debug)]
 enum Method {
     Request(RequestType),
@@ -107,7 +107,7 @@
             "put" => Ok(Self::Request(RequestType::Put)),
             "delete" => Ok(Self::Request(RequestType::Delete)),
             "observe" => Ok(Self::Observe),
-            _ => Err(format!("no such method: {name}")),
+            _ => Err(format!("unknown method: {name}")),
         }
     }
 }
@@ -119,7 +119,7 @@
             let platform = platform::start(listen).await?;
             if let Some(file) = seed_file {
                 let text = std::fs::read_to_string(file)?;
-                seed(&platform, &text)?;
+                load_seed(&platform, &text)?;
             }
             println!("platform on {}", platform.address());
             tokio::signal::ctrl_c().await?;
@@ -166,13 +166,13 @@
             settings.seed = rand::random();
             let caller = caller::start(settings).await?;
             let deadline = Duration::from_millis(deadline);
-            call(&caller, method, &path, payload, deadline).await;
+            run_caller(&caller, method, &path, payload, deadline).await;
         }
     }
     Ok(())
 }
 
-fn seed(platform: &platform::Handle, text: &str) -> serde_json::Result<()> {
+fn load_seed(platform: &platform::Handle, text: &str) -> serde_json::Result<()> {
     let values: BTreeMap<String, serde_json::Value> = serde_json::from_str(text)?;
     for (key, value) in values {
         platform.put(&key, value.to_string());
@@ -180,7 +180,7 @@
     Ok(())
 }
 
-async fn call(
+async fn run_caller(
     caller: &caller::Caller,
     method: Method,
     path: &str,
@@ -188,29 +188,29 @@
     deadline: Duration,
 ) {
     let Method::Request(method) = method else {
-        return follow(caller, path, deadline).await;
+        return print_feed(caller, path, deadline).await;
     };
     let outcome = caller.request(method, path, payload, deadline).await;
-    print(&outcome);
+    print_outcome(&outcome);
 }
 
-async fn follow(caller: &caller::Caller, path: &str, deadline: Duration) {
+async fn print_feed(caller: &caller::Caller, path: &str, deadline: Duration) {
     let mut feed = match caller.observe(path, deadline).await {
         Ok(feed) => feed,
-        Err(outcome) => return print(&outcome),
+        Err(outcome) => return print_outcome(&outcome),
     };
     loop {
         match feed.next(deadline).await {
             caller::Update::Notification { observe, payload } => {
                 println!("{observe}: {}", String::from_utf8_lossy(&payload));
             }
-            caller::Update::Ended(outcome) => return print(&outcome),
+            caller::Update::Ended(outcome) => return print_outcome(&outcome),
             caller::Update::Silent => println!("silent"),
         }
     }
 }
 
-fn print(outcome: &caller::Outcome) {
+fn print_outcome(outcome: &caller::Outcome) {
     match outcome {
         caller::Outcome::Answered { code, payload } => {
             println!("{code:?}: {}", String::from_utf8_lossy(payload));
--- a/tests/blocks.rs
+++ b/tests/blocks.rs
@@ -71,7 +71,7 @@
 ) -> BTreeSet<(String, SocketAddr)> {
     let mut found = BTreeSet::new();
     for (name, server) in &cluster.servers {
-        let seen = server.seen_since(since);
+        let seen = server.received_since(since);
         let seen = seen.into_iter().filter(|seen| seen.path == path);
         found.extend(seen.map(|seen| (name.clone(), seen.remote)));
     }
