--- a/src/platform/follow.rs
+++ b/src/platform/follow.rs
@@ -37,7 +37,7 @@
     /// One key changed.
     Change(Change),
     /// The platform no longer answers; told once for each silence.
-    Silent {
+    Unreachable {
         /// When it is last known to have answered, or when the following began.
         since: Instant,
     },
@@ -178,7 +178,7 @@
     async fn fall_silent(&mut self) -> Result<(), End> {
         if !self.is_silent {
             self.is_silent = true;
-            let silent = Update::Silent {
+            let silent = Update::Unreachable {
                 since: self.contact,
             };
             self.sender.send(silent).await?;
--- a/src/steer.rs
+++ b/src/steer.rs
@@ -147,7 +147,7 @@
                     .mark_synced(prefix, change.mod_revision());
                 self.take_change(now, &change);
             }
-            Update::Silent { .. } => {
+            Update::Unreachable { .. } => {
                 if prefix == KEY_PREFIX {
                     warn!(self.shared.log, "platform does not answer");
                     self.shared.control().lose_contact();
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -412,7 +412,7 @@
     next_reset(&mut updates).await;
     let down = Instant::now();
     platform.down(true);
-    let Update::Silent { since } = next(&mut updates).await else {
+    let Update::Unreachable { since } = next(&mut updates).await else {
         panic!("no silence");
     };
     assert!(since >= started && since <= down, "{since:?}");
@@ -437,7 +437,10 @@
     let mut updates = follow(&client);
     assert_eq!(next_reset(&mut updates).await, owned(&[("p/a", "new")]));
     good.down(true);
-    assert!(matches!(next(&mut updates).await, Update::Silent { .. }));
+    assert!(matches!(
+        next(&mut updates).await,
+        Update::Unreachable { .. }
+    ));
     let stale = async {
         while client.counts().stale.load(Ordering::Relaxed) < 3 {
             time::sleep(Duration::from_millis(5)).await;
