--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,12 +1,13 @@
 //! Client for the platform's key-value service.
 //!
-//! All calls to the platform go through [`Client`], so that timeouts, failover,
-//! the allowance of calls and the counts of their outcomes stand in one place.
+//! All calls to the platform go through [`Client`], which handles timeouts,
+//! failover, rate limits and the counters of outcomes.
 //!
-//! A read is tried at each address once. A write goes to another address only
-//! when no connection could be made: once its bytes may have left, an answer
-//! that stays away is [`Error::Unanswered`] and the caller has to find out, for
-//! which there is [`Client::compare_and_swap_resolved`].
+//! A read is tried at each address once. A write is sent to another address
+//! only if no connection could be made. Once its bytes may have left this
+//! process, a missing response is [`Error::Unanswered`], and the caller has to
+//! find out whether the write took effect; [`Client::compare_and_swap_resolved`]
+//! does that.
 
 mod call;
 mod client;
@@ -46,16 +47,16 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self> {
-        let refuse = || Error::Decode {
+        let invalid = || Error::Decode {
             step: "platform address",
             peer: text.to_owned(),
             reason: "want http://IP:PORT".to_owned(),
         };
-        let address = text.strip_prefix("http://").ok_or_else(refuse)?;
+        let address = text.strip_prefix("http://").ok_or_else(invalid)?;
         let address = address.strip_suffix('/').unwrap_or(address);
-        let socket: std::net::SocketAddr = address.parse().map_err(|_| refuse())?;
+        let socket: std::net::SocketAddr = address.parse().map_err(|_| invalid())?;
         if socket.port() == 0 || socket.ip().is_unspecified() {
-            return Err(refuse());
+            return Err(invalid());
         }
         Ok(Self(format!("http://{socket}")))
     }
@@ -81,7 +82,7 @@
     }
 }
 
-/// Identity of a lease.
+/// Identifier of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Lease(pub u64);
@@ -103,42 +104,42 @@
     }
 }
 
-/// One key with its value.
+/// A key with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// The key.
     pub key: String,
-    /// What is stored.
+    /// The stored value.
     pub value: Bytes,
     /// Revision of the store at which this value was written.
     pub mod_revision: u64,
 }
 
-/// All keys of a prefix at one moment.
+/// All keys of a prefix as of one revision of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listing {
-    /// The keys, in order.
+    /// The entries, ordered by key.
     pub entries: Vec<Entry>,
-    /// Revision of the store; a watch goes on from the next one.
+    /// Revision of the store; a watch continues from the next revision.
     pub revision: u64,
 }
 
-/// One change seen by a watch.
+/// One change reported by a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// The key was written.
     Put(Entry),
-    /// The key was deleted, or the lease that held it has lapsed.
+    /// The key was deleted, or the lease it was attached to has expired.
     Delete {
         /// The key.
         key: String,
-        /// Revision of the store at which it went.
+        /// Revision of the store at which the key was deleted.
         mod_revision: u64,
     },
 }
 
 impl Change {
-    /// Revision of the store that the change made.
+    /// Revision of the store at which the change was made.
     pub fn mod_revision(&self) -> u64 {
         match self {
             Self::Put(entry) => entry.mod_revision,
@@ -147,39 +148,40 @@
     }
 }
 
-/// Outcome of a compare-and-swap that was answered.
+/// Outcome of a compare-and-swap for which a response arrived.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SwapOutcome {
-    /// Written, at this revision.
+    /// The write was applied at this revision.
     Done(u64),
-    /// Not written: the key holds this, or nothing.
+    /// The write was not applied; the current entry of the key, if it exists.
     Lost(Option<Entry>),
 }
 
-/// How calls are made.
+/// Timeouts, delays and rate limits of calls to the platform.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Time for one try at one address, connecting included.
+    /// Timeout of one attempt at one address, including the connection setup.
     pub call_timeout: Duration,
-    /// Time for connecting; shorter than the call's, so that a write to an
-    /// address that is gone can still go to the next one.
+    /// Timeout of the connection setup. It is shorter than `call_timeout`, so
+    /// that a write to an unreachable address can still go to the next address.
     pub connect_timeout: Duration,
-    /// Time for finding out what became of an unanswered write.
+    /// Time limit for finding out the outcome of an unanswered write.
     pub resolve_timeout: Duration,
-    /// Delays between tries.
+    /// Delays between attempts.
     pub backoff: pacing::BackoffBounds,
-    /// Time between the probes of [`follow()`].
+    /// Interval of the probes of [`follow()`].
     pub probe_interval: Duration,
-    /// Allowance of reads, watches included.
+    /// Rate limit of reads and watches.
     pub read_rate: Rate,
-    /// Allowance of writes, calls for leases included.
+    /// Rate limit of writes and lease calls.
     pub write_rate: Rate,
-    /// Seed of the jitter; differs between instances.
+    /// Seed of the backoff jitter; should differ between instances.
     pub seed: u64,
 }
 
 impl Default for Options {
-    /// A ninth of what the platform serves, so that nine instances fit.
+    /// The rate limits are a ninth of what the platform serves, so that nine
+    /// instances can share it.
     fn default() -> Self {
         Self {
             call_timeout: Duration::from_secs(2),
@@ -197,25 +199,25 @@
     }
 }
 
-/// Calls by kind and failures by kind, since the start.
+/// Counters of calls and failures by kind since the client was created.
 #[derive(Debug, Default)]
 pub struct CallCounts {
     /// Reads sent.
     pub reads: AtomicU64,
     /// Writes sent.
     pub writes: AtomicU64,
-    /// Calls for leases sent.
+    /// Lease calls sent.
     pub leases: AtomicU64,
     /// Watches opened.
     pub watches: AtomicU64,
-    /// Tries that found no connection.
+    /// Attempts that could not connect.
     pub unreachable: AtomicU64,
-    /// Tries that got no answer, or none that can be read.
+    /// Attempts without a response, or with one that cannot be decoded.
     pub unanswered: AtomicU64,
-    /// Calls that the platform refused.
+    /// Calls that the platform rejected.
     pub refused: AtomicU64,
-    /// Calls that the local allowance refused.
+    /// Calls that the local rate limit rejected.
     pub rate_limited: AtomicU64,
-    /// Answers older than what was known already.
+    /// Responses older than data that was already known.
     pub stale: AtomicU64,
 }
--- a/src/platform/call.rs
+++ b/src/platform/call.rs
@@ -1,4 +1,4 @@
-//! Requests to the etcd v3 JSON gateway.
+//! Request bodies of the etcd v3 JSON gateway.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -7,7 +7,7 @@
 
 use crate::platform::Lease;
 
-/// Body of a request.
+/// Body of a request to the gateway.
 #[derive(Debug, Serialize)]
 #[serde(untagged)]
 pub(crate) enum Body {
@@ -18,17 +18,18 @@
     Watch(Watch),
 }
 
-/// Key or value, in base64.
+/// A key or value, serialized in base64.
 #[derive(Clone, Debug)]
-pub(crate) struct Data(Vec<u8>);
+pub(crate) struct Base64(Vec<u8>);
 
-impl Serialize for Data {
+impl Serialize for Base64 {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.serialize_str(&STANDARD.encode(&self.0))
     }
 }
 
-/// 64-bit number, which JSON's readers take exactly only as text.
+/// 64-bit number, serialized as a string: JSON parsers may lose precision on
+/// large plain numbers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Number(u64);
 
@@ -40,14 +41,14 @@
 
 #[derive(Debug, Serialize)]
 pub(crate) struct Range {
-    key: Data,
+    key: Base64,
     #[serde(skip_serializing_if = "Option::is_none")]
-    range_end: Option<Data>,
+    range_end: Option<Base64>,
     #[serde(flatten)]
     selection: Option<Selection>,
 }
 
-/// Which keys of a range are answered, and how.
+/// Limit and order of the keys returned for a range.
 #[derive(Debug, Serialize)]
 struct Selection {
     limit: Number,
@@ -65,7 +66,7 @@
 
 #[derive(Debug, Serialize)]
 struct Compare {
-    key: Data,
+    key: Base64,
     target: &'static str,
     result: &'static str,
     mod_revision: Number,
@@ -80,8 +81,8 @@
 
 #[derive(Debug, Serialize)]
 struct Put {
-    key: Data,
-    value: Data,
+    key: Base64,
+    value: Base64,
     #[serde(skip_serializing_if = "Option::is_none")]
     lease: Option<Number>,
 }
@@ -110,53 +111,53 @@
 
 #[derive(Debug, Serialize)]
 struct Create {
-    key: Data,
-    range_end: Data,
+    key: Base64,
+    range_end: Base64,
     start_revision: Number,
 }
 
-fn data(bytes: &[u8]) -> Data {
-    Data(bytes.to_vec())
+fn base64(bytes: &[u8]) -> Base64 {
+    Base64(bytes.to_vec())
 }
 
-/// First key after all keys that have the prefix; `\0` stands for "no end".
-fn range_end(prefix: &str) -> Data {
+/// First key after all keys that have the prefix; `\0` means "no end".
+fn range_end(prefix: &str) -> Base64 {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
         if last < u8::MAX {
             end.push(last + 1);
-            return Data(end);
+            return Base64(end);
         }
     }
-    Data(vec![0])
+    Base64(vec![0])
 }
 
-/// One key; a deletion has the same form.
-pub(crate) fn key(key: &str) -> Body {
-    Body::Range(one(key))
+/// Request for one key, to read or to delete it.
+pub(crate) fn single_key_request(key: &str) -> Body {
+    Body::Range(single_key(key))
 }
 
-fn one(key: &str) -> Range {
+fn single_key(key: &str) -> Range {
     Range {
-        key: data(key.as_bytes()),
+        key: base64(key.as_bytes()),
         range_end: None,
         selection: None,
     }
 }
 
-/// All keys of a prefix.
-pub(crate) fn list(prefix: &str) -> Body {
+/// Request for all keys of a prefix.
+pub(crate) fn list_request(prefix: &str) -> Body {
     Body::Range(Range {
-        key: data(prefix.as_bytes()),
+        key: base64(prefix.as_bytes()),
         range_end: Some(range_end(prefix)),
         selection: None,
     })
 }
 
-/// The key of a prefix that was written last, without its value.
-pub(crate) fn probe(prefix: &str) -> Body {
+/// Request for the most recently written key of a prefix, without its value.
+pub(crate) fn probe_request(prefix: &str) -> Body {
     Body::Range(Range {
-        key: data(prefix.as_bytes()),
+        key: base64(prefix.as_bytes()),
         range_end: Some(range_end(prefix)),
         selection: Some(Selection {
             limit: Number(1),
@@ -167,33 +168,39 @@
     })
 }
 
-/// A compare-and-swap that shows the key when it fails.
-pub(crate) fn swap(key: &str, expected: Option<u64>, value: &[u8], lease: Option<Lease>) -> Body {
+/// A compare-and-swap that returns the current entry if the comparison fails.
+pub(crate) fn compare_and_swap(
+    key: &str,
+    expected: Option<u64>,
+    value: &[u8],
+    lease: Option<Lease>,
+) -> Body {
     let compare = Compare {
-        key: data(key.as_bytes()),
+        key: base64(key.as_bytes()),
         target: "MOD",
         result: "EQUAL",
         // A key that does not exist compares as revision 0.
         mod_revision: Number(expected.unwrap_or(0)),
     };
     let put = Put {
-        key: data(key.as_bytes()),
-        value: data(value),
+        key: base64(key.as_bytes()),
+        value: base64(value),
         lease: lease.map(|lease| Number(lease.0)),
     };
     Body::Txn(Txn {
         compare: [compare],
         success: [Success::Write { request_put: put }],
         failure: [Failure {
-            request_range: one(key),
+            request_range: single_key(key),
         }],
     })
 }
 
-/// Deletes a key if it was last written at this revision; shows it otherwise.
-pub(crate) fn erase(key: &str, expected: u64) -> Body {
+/// Deletes a key if its `mod_revision` is `expected`; returns the current entry
+/// otherwise.
+pub(crate) fn compare_and_delete(key: &str, expected: u64) -> Body {
     let compare = Compare {
-        key: data(key.as_bytes()),
+        key: base64(key.as_bytes()),
         target: "MOD",
         result: "EQUAL",
         mod_revision: Number(expected),
@@ -201,33 +208,33 @@
     Body::Txn(Txn {
         compare: [compare],
         success: [Success::Delete {
-            request_delete_range: one(key),
+            request_delete_range: single_key(key),
         }],
         failure: [Failure {
-            request_range: one(key),
+            request_range: single_key(key),
         }],
     })
 }
 
-/// A lease for so many seconds.
-pub(crate) fn grant(seconds: u64) -> Body {
+/// Request to grant a lease with this time to live.
+pub(crate) fn grant_request(seconds: u64) -> Body {
     Body::Grant(Grant {
         ttl: Number(seconds),
     })
 }
 
-/// A lease to be renewed or revoked.
-pub(crate) fn lease(lease: Lease) -> Body {
+/// Request to renew or revoke a lease.
+pub(crate) fn lease_request(lease: Lease) -> Body {
     Body::Renew(Renew {
         id: Number(lease.0),
     })
 }
 
-/// Changes of a prefix from a revision on.
-pub(crate) fn watch(prefix: &str, from_revision: u64) -> Body {
+/// Request to watch a prefix, starting at `from_revision`.
+pub(crate) fn watch_request(prefix: &str, from_revision: u64) -> Body {
     Body::Watch(Watch {
         create_request: Create {
-            key: data(prefix.as_bytes()),
+            key: base64(prefix.as_bytes()),
             range_end: range_end(prefix),
             start_revision: Number(from_revision),
         },
--- a/src/platform/client.rs
+++ b/src/platform/client.rs
@@ -1,4 +1,4 @@
-//! The calls that the platform's key-value service takes.
+//! Calls to the platform's key-value service.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,27 +21,27 @@
 use crate::platform::transport::Kind;
 use crate::platform::transport::Payload;
 use crate::platform::transport::Transport;
-use crate::platform::transport::add;
+use crate::platform::transport::increment;
 use crate::platform::watch;
 
-/// Client for the platform, cheap to clone.
+/// Client for the platform's key-value service; cheap to clone.
 #[derive(Clone)]
 pub struct Client {
     transport: Arc<Transport>,
 }
 
 impl Client {
-    /// A client for the service behind these addresses, which are one store.
+    /// Creates a client for these addresses, all of which serve the same store.
     ///
     /// # Errors
     ///
-    /// Fails when there is no address or the HTTP client cannot be set up.
+    /// Fails if there is no address or the HTTP client cannot be created.
     pub fn new(bases: Vec<BaseUrl>, options: Options) -> Result<Self> {
         let transport = Arc::new(Transport::new(bases, options)?);
         Ok(Self { transport })
     }
 
-    /// How many calls were made and how they ended.
+    /// Counters of calls and failures.
     pub fn counts(&self) -> &CallCounts {
         self.transport.counts()
     }
@@ -63,20 +63,20 @@
     }
 
     pub(crate) fn count_stale(&self) {
-        add(&self.transport.counts().stale);
+        increment(&self.transport.counts().stale);
     }
 
-    pub(crate) fn avoid_stale(&self) {
-        self.transport.avoid_stale();
+    pub(crate) fn leave_stale_address(&self) {
+        self.transport.leave_stale_address();
     }
 
     /// Reads one key.
     ///
     /// # Errors
     ///
-    /// Fails when no address gives an answer, or the allowance is used up.
+    /// Fails if no address responds or the rate limit is exceeded.
     pub async fn get(&self, key: &str) -> Result<Option<Entry>> {
-        let body = call::key(key);
+        let body = call::single_key_request(key);
         let listing = self.read("get", body, gateway::listing).await?;
         Ok(listing.entries.into_iter().next())
     }
@@ -85,24 +85,25 @@
     ///
     /// # Errors
     ///
-    /// Fails when no address gives an answer, or the allowance is used up.
+    /// Fails if no address responds or the rate limit is exceeded.
     pub async fn list(&self, prefix: &str) -> Result<Listing> {
-        let body = call::list(prefix);
+        let body = call::list_request(prefix);
         self.read("list", body, gateway::listing).await
     }
 
     pub(crate) async fn probe(&self, prefix: &str) -> Result<gateway::Probe> {
-        let body = call::probe(prefix);
+        let body = call::probe_request(prefix);
         self.read("probe", body, gateway::probe).await
     }
 
-    /// Writes a key if it is still as expected: last written at this revision,
-    /// or absent for `None`. The key goes with the lease if one is given.
+    /// Writes a key if its `mod_revision` is `expected`, or if the key does not
+    /// exist and `expected` is `None`. The key is deleted with the lease, if one
+    /// is given.
     ///
     /// # Errors
     ///
-    /// After [`crate::Error::Unanswered`] the write may have taken effect, or may do so
-    /// later. After any other error it has not and will not.
+    /// After [`crate::Error::Unanswered`] the write may have taken effect or may
+    /// still do so. After any other error it has not and will not.
     pub async fn compare_and_swap(
         &self,
         key: &str,
@@ -110,7 +111,7 @@
         value: &[u8],
         lease: Option<Lease>,
     ) -> Result<SwapOutcome> {
-        let body = call::swap(key, expected, value, lease);
+        let body = call::compare_and_swap(key, expected, value, lease);
         let call = Call {
             step: "swap",
             kind: Kind::Write,
@@ -118,10 +119,10 @@
             body: Some(Payload::Gateway(Box::new(body))),
             wait: Duration::ZERO,
         };
-        self.transport.call(&call, gateway::swap).await
+        self.transport.call(&call, gateway::swap_outcome).await
     }
 
-    /// Deletes a key if it was last written at this revision.
+    /// Deletes a key if its `mod_revision` is `expected`.
     ///
     /// # Errors
     ///
@@ -131,13 +132,15 @@
             step: "erase",
             kind: Kind::Write,
             path: "/v3/kv/txn".into(),
-            body: Some(Payload::Gateway(Box::new(call::erase(key, expected)))),
+            body: Some(Payload::Gateway(Box::new(call::compare_and_delete(
+                key, expected,
+            )))),
             wait: Duration::ZERO,
         };
-        self.transport.call(&call, gateway::swap).await
+        self.transport.call(&call, gateway::swap_outcome).await
     }
 
-    /// Deletes a key and says whether it was there.
+    /// Deletes a key and returns whether it existed.
     ///
     /// # Errors
     ///
@@ -147,47 +150,50 @@
             step: "delete",
             kind: Kind::Write,
             path: "/v3/kv/deleterange".into(),
-            body: Some(Payload::Gateway(Box::new(call::key(key)))),
+            body: Some(Payload::Gateway(Box::new(call::single_key_request(key)))),
             wait: Duration::ZERO,
         };
         self.transport.call(&call, gateway::deletion).await
     }
 
-    /// Grants a lease for whole seconds.
+    /// Grants a lease; `ttl` is cut to whole seconds.
     ///
     /// # Errors
     ///
-    /// After [`crate::Error::Unanswered`] a lease may exist that nobody knows of; it
-    /// holds no key and lapses by itself.
+    /// After [`crate::Error::Unanswered`] an unused lease may exist; it holds no
+    /// key and expires by itself.
     pub async fn lease_grant(&self, ttl: Duration) -> Result<Lease> {
         let call = Call {
             step: "lease grant",
             kind: Kind::Lease,
             path: "/v3/lease/grant".into(),
-            body: Some(Payload::Gateway(Box::new(call::grant(ttl.as_secs())))),
+            body: Some(Payload::Gateway(Box::new(call::grant_request(
+                ttl.as_secs(),
+            )))),
             wait: Duration::ZERO,
         };
         self.transport.call(&call, gateway::grant).await
     }
 
-    /// Renews a lease and returns the time that remains: nothing when it is gone.
+    /// Renews a lease and returns its remaining time, which is zero if the lease
+    /// has expired.
     ///
     /// # Errors
     ///
-    /// Fails when there is no answer; the lease may then have been renewed.
+    /// Fails if no response arrives; the lease may have been renewed all the same.
     pub async fn lease_keepalive(&self, lease: Lease) -> Result<Duration> {
         let call = Call {
             step: "lease keepalive",
             kind: Kind::Lease,
             path: "/v3/lease/keepalive".into(),
-            body: Some(Payload::Gateway(Box::new(call::lease(lease)))),
+            body: Some(Payload::Gateway(Box::new(call::lease_request(lease)))),
             wait: Duration::ZERO,
         };
         let seconds = self.transport.call(&call, gateway::keepalive).await?;
         Ok(Duration::from_secs(seconds))
     }
 
-    /// Ends a lease; its keys go at once.
+    /// Revokes a lease; its keys are deleted at once.
     ///
     /// # Errors
     ///
@@ -197,18 +203,18 @@
             step: "lease revoke",
             kind: Kind::Lease,
             path: "/v3/lease/revoke".into(),
-            body: Some(Payload::Gateway(Box::new(call::lease(lease)))),
+            body: Some(Payload::Gateway(Box::new(call::lease_request(lease)))),
             wait: Duration::ZERO,
         };
         self.transport.call(&call, gateway::revocation).await
     }
 
-    /// Watches a prefix from a revision on, that one included.
+    /// Watches a prefix, starting with the changes of `from_revision`.
     ///
-    /// The first batch is empty and tells that the watch stands. The stream ends
-    /// with its first error; a watch that is closed is one too. A watch whose
-    /// connection went silent gives no error, which is why
-    /// [`crate::platform::follow()`] probes.
+    /// The first batch is empty and confirms that the watch is established. The
+    /// stream ends with its first error; the end of the connection is an error,
+    /// too. A connection that stops delivering data causes no error, which is why
+    /// [`crate::platform::follow()`] probes the store.
     pub fn watch(
         &self,
         prefix: &str,
@@ -218,7 +224,7 @@
             step: "watch",
             kind: Kind::Watch,
             path: "/v3/watch".into(),
-            body: Some(Payload::Gateway(Box::new(call::watch(
+            body: Some(Payload::Gateway(Box::new(call::watch_request(
                 prefix,
                 from_revision,
             )))),
--- a/src/platform/gateway.rs
+++ b/src/platform/gateway.rs
@@ -1,8 +1,8 @@
-//! Answers of the etcd v3 JSON gateway.
+//! Responses of the etcd v3 JSON gateway.
 //!
-//! Keys and values travel in base64, 64-bit numbers as strings, and fields that
-//! have their default value are left out. Decoding trusts nothing: whatever the
-//! bytes, the outcome is a message or a reason why there is none.
+//! Keys and values are encoded in base64, 64-bit numbers as strings, and fields
+//! with their default value are omitted. Input is untrusted: for any bytes,
+//! decoding returns a value or an error, and never panics.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -17,30 +17,30 @@
 use crate::platform::Listing;
 use crate::platform::SwapOutcome;
 
-/// Outcome of decoding; the error says why the bytes were refused.
+/// Result of decoding; the error says why the bytes are invalid.
 pub type DecodeResult<T> = Result<T, String>;
 
-/// What a probe tells about a prefix without naming its keys.
+/// Summary of a prefix, without its keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Probe {
     /// Revision of the store.
     pub revision: u64,
-    /// Greatest `mod_revision` under the prefix, 0 when it is empty.
-    pub newest: u64,
+    /// Greatest `mod_revision` under the prefix; 0 if the prefix is empty.
+    pub latest_mod_revision: u64,
     /// Number of keys under the prefix.
     pub count: u64,
 }
 
-/// One line of a watch.
+/// One message of a watch stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Changed keys, oldest first; none when the watch was just created.
+    /// Changes, oldest first; empty in the message that confirms the watch.
     Changes(Vec<Change>),
-    /// The platform has ended the watch.
+    /// The platform has cancelled the watch; the reason.
     Cancelled(String),
 }
 
-/// A 64-bit number, written as a string or plainly.
+/// Deserializes a 64-bit number from a string or a JSON number.
 fn number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
@@ -54,7 +54,8 @@
     }
 }
 
-/// Remaining time of a lease, which is -1 for one that is gone.
+/// Deserializes the remaining seconds of a lease; -1, for an expired lease, is
+/// read as 0.
 fn seconds<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
@@ -85,8 +86,8 @@
 }
 
 impl KeyValue {
-    /// Keys of others need not be text; a lossy key is one that nobody reads,
-    /// while refusing it would blind us to all its neighbours.
+    /// Keys of other writers may not be UTF-8. Such a key is converted lossily,
+    /// as no reader uses it; an error would discard the whole response.
     fn key(&self) -> DecodeResult<String> {
         let bytes = STANDARD.decode(&self.key).map_err(|e| e.to_string())?;
         Ok(String::from_utf8_lossy(&bytes).into_owned())
@@ -104,7 +105,7 @@
 }
 
 #[derive(Deserialize, Default)]
-struct RangeAnswer {
+struct RangeResponse {
     #[serde(default)]
     header: Header,
     #[serde(default)]
@@ -113,7 +114,7 @@
     count: u64,
 }
 
-impl RangeAnswer {
+impl RangeResponse {
     fn entries(self) -> DecodeResult<Vec<Entry>> {
         self.kvs.into_iter().map(KeyValue::entry).collect()
     }
@@ -123,60 +124,62 @@
     serde_json::from_slice(bytes).map_err(|e| e.to_string())
 }
 
-/// Reads the answer to a range of keys.
+/// Decodes the response to a range request.
 ///
 /// # Errors
 ///
-/// Says why the bytes are no such answer.
+/// Fails if the bytes are not such a response; the error says why.
 pub fn listing(bytes: &[u8]) -> DecodeResult<Listing> {
-    let answer: RangeAnswer = parse(bytes)?;
-    let revision = known_revision(&answer.header)?;
+    let response: RangeResponse = parse(bytes)?;
+    let revision = store_revision(&response.header)?;
     Ok(Listing {
-        entries: answer.entries()?,
+        entries: response.entries()?,
         revision,
     })
 }
 
-/// Reads the answer to a probe.
+/// Decodes the response to a probe.
 ///
 /// # Errors
 ///
-/// Says why the bytes are no such answer.
+/// Fails if the bytes are not such a response; the error says why.
 pub fn probe(bytes: &[u8]) -> DecodeResult<Probe> {
-    let answer: RangeAnswer = parse(bytes)?;
+    let response: RangeResponse = parse(bytes)?;
     Ok(Probe {
-        revision: known_revision(&answer.header)?,
-        newest: answer
+        revision: store_revision(&response.header)?,
+        latest_mod_revision: response
             .kvs
             .iter()
             .map(|kv| kv.mod_revision)
             .max()
             .unwrap_or(0),
-        count: answer.count,
+        count: response.count,
     })
 }
 
-/// A store's revision starts at 1, so that an answer without one is no answer
-/// of a store: an empty object from a proxy must not look like an empty prefix.
-fn known_revision(header: &Header) -> DecodeResult<u64> {
+/// Returns the store revision in the header.
+///
+/// Store revisions start at 1, so a response without one is not from a store: an
+/// empty object from a proxy must not be taken for an empty prefix.
+fn store_revision(header: &Header) -> DecodeResult<u64> {
     match header.revision {
         0 => Err("no store revision in the header".to_owned()),
         revision => Ok(revision),
     }
 }
 
-/// Reads the answer to a compare-and-swap.
+/// Decodes the response to a compare-and-swap or compare-and-delete.
 ///
 /// # Errors
 ///
-/// Says why the bytes are no such answer.
-pub fn swap(bytes: &[u8]) -> DecodeResult<SwapOutcome> {
+/// Fails if the bytes are not such a response; the error says why.
+pub fn swap_outcome(bytes: &[u8]) -> DecodeResult<SwapOutcome> {
     #[derive(Deserialize)]
     struct Item {
-        response_range: Option<RangeAnswer>,
+        response_range: Option<RangeResponse>,
     }
     #[derive(Deserialize)]
-    struct Answer {
+    struct Response {
         #[serde(default)]
         header: Header,
         #[serde(default)]
@@ -184,12 +187,12 @@
         #[serde(default)]
         responses: Vec<Item>,
     }
-    let answer: Answer = parse(bytes)?;
-    let revision = known_revision(&answer.header)?;
-    if answer.succeeded {
+    let response: Response = parse(bytes)?;
+    let revision = store_revision(&response.header)?;
+    if response.succeeded {
         return Ok(SwapOutcome::Done(revision));
     }
-    let range = answer
+    let range = response
         .responses
         .into_iter()
         .find_map(|item| item.response_range)
@@ -197,82 +200,85 @@
     Ok(SwapOutcome::Lost(range.entries()?.into_iter().next()))
 }
 
-/// Reads the answer to a deletion: whether there was something to delete.
+/// Decodes the response to a deletion: whether a key was deleted.
 ///
 /// # Errors
 ///
-/// Says why the bytes are no such answer.
+/// Fails if the bytes are not such a response; the error says why.
 pub fn deletion(bytes: &[u8]) -> DecodeResult<bool> {
     #[derive(Deserialize)]
-    struct Answer {
+    struct Response {
         #[serde(default)]
         header: Header,
         #[serde(default, deserialize_with = "number")]
         deleted: u64,
     }
-    let answer: Answer = parse(bytes)?;
-    known_revision(&answer.header)?;
-    Ok(answer.deleted > 0)
+    let response: Response = parse(bytes)?;
+    store_revision(&response.header)?;
+    Ok(response.deleted > 0)
 }
 
-/// Reads the answer to the granting of a lease.
+/// Decodes the response to a lease grant.
 ///
 /// # Errors
 ///
-/// Says why the bytes are no such answer.
+/// Fails if the bytes are not such a response; the error says why.
 pub fn grant(bytes: &[u8]) -> DecodeResult<Lease> {
     #[derive(Deserialize)]
-    struct Answer {
+    struct Response {
         #[serde(rename = "ID", deserialize_with = "number")]
         id: u64,
     }
-    parse::<Answer>(bytes).map(|answer| Lease(answer.id))
+    parse::<Response>(bytes).map(|response| Lease(response.id))
 }
 
-/// Reads the first answer to a lease's keepalive: the seconds that remain, 0
-/// when the lease is gone.
+/// Decodes the first response to a lease keepalive: the remaining seconds, 0 if
+/// the lease has expired.
 ///
 /// # Errors
 ///
-/// Says why the bytes are no such answer.
+/// Fails if the bytes are not such a response; the error says why.
 pub fn keepalive(bytes: &[u8]) -> DecodeResult<u64> {
     #[derive(Deserialize)]
-    struct Renewal {
+    struct KeepaliveResult {
         #[serde(rename = "ID", deserialize_with = "number")]
         _id: u64,
         #[serde(rename = "TTL", default, deserialize_with = "seconds")]
         ttl: u64,
     }
     #[derive(Deserialize)]
-    struct Answer {
-        result: Renewal,
+    struct Response {
+        result: KeepaliveResult,
     }
     let first = bytes.split(|b| *b == b'\n').next().unwrap_or_default();
-    parse::<Answer>(first).map(|answer| answer.result.ttl)
+    parse::<Response>(first).map(|response| response.result.ttl)
 }
 
-/// Reads the answer to a lease's revocation.
+/// Decodes the response to a lease revocation.
 ///
 /// # Errors
 ///
-/// Says why the bytes are no such answer.
+/// Fails if the bytes are not such a response; the error says why.
 pub fn revocation(bytes: &[u8]) -> DecodeResult<()> {
     #[derive(Deserialize)]
-    struct Answer {
-        #[expect(dead_code, reason = "read only to check the shape")]
+    struct Response {
+        #[expect(
+            dead_code,
+            reason = "deserialized only to check that the field is present"
+        )]
         header: Header,
     }
-    parse::<Answer>(bytes).map(|_| ())
+    parse::<Response>(bytes).map(|_| ())
 }
 
 #[derive(Deserialize)]
-struct EventAnswer {
+struct EventMessage {
     #[serde(rename = "type", default)]
     kind: Option<String>,
     kv: KeyValue,
 }
 
-impl EventAnswer {
+impl EventMessage {
     fn change(self) -> DecodeResult<Change> {
         match self.kind.as_deref() {
             None | Some("PUT") => self.kv.entry().map(Change::Put),
@@ -285,53 +291,54 @@
     }
 }
 
-/// Reads one line of a watch.
+/// Decodes one line of a watch stream.
 ///
 /// # Errors
 ///
-/// Says why the line is no such message.
+/// Fails if the line is not such a message; the error says why.
 pub fn event(line: &[u8]) -> DecodeResult<Event> {
     #[derive(Deserialize)]
-    struct Watched {
+    struct WatchResult {
         #[serde(default)]
         canceled: bool,
         #[serde(default)]
         cancel_reason: String,
         #[serde(default)]
-        events: Vec<EventAnswer>,
+        events: Vec<EventMessage>,
     }
     #[derive(Deserialize)]
     struct Line {
-        result: Option<Watched>,
+        result: Option<WatchResult>,
         error: Option<Value>,
     }
     let line: Line = parse(line)?;
     if let Some(error) = line.error {
         return Ok(Event::Cancelled(error.to_string()));
     }
-    let watched = line.result.ok_or("neither result nor error")?;
-    if watched.canceled {
-        return Ok(Event::Cancelled(watched.cancel_reason));
+    let watch_result = line.result.ok_or("neither result nor error")?;
+    if watch_result.canceled {
+        return Ok(Event::Cancelled(watch_result.cancel_reason));
     }
-    let changes: DecodeResult<Vec<Change>> = watched
+    let changes: DecodeResult<Vec<Change>> = watch_result
         .events
         .into_iter()
-        .map(EventAnswer::change)
+        .map(EventMessage::change)
         .collect();
     changes.map(Event::Changes)
 }
 
-/// The reason in an answer that refuses a call, or its first bytes.
-pub(crate) fn refusal(bytes: &[u8]) -> String {
-    const LONGEST: usize = 200;
+/// The message of an error response, or the first characters of its body if it
+/// has none.
+pub(crate) fn error_message(bytes: &[u8]) -> String {
+    const MAX_CHARS: usize = 200;
     #[derive(Deserialize)]
-    struct Answer {
+    struct Response {
         message: String,
     }
-    parse::<Answer>(bytes)
-        .map(|answer| answer.message)
+    parse::<Response>(bytes)
+        .map(|response| response.message)
         .unwrap_or_else(|_| String::from_utf8_lossy(bytes).into_owned())
         .chars()
-        .take(LONGEST)
+        .take(MAX_CHARS)
         .collect()
 }
--- a/src/platform/poll.rs
+++ b/src/platform/poll.rs
@@ -1,7 +1,8 @@
-//! Reading a store that answers long polls instead of keeping a stream open.
+//! Client for a store that serves changes by long polls instead of a stream.
 //!
-//! How such a store spells its calls is a value, [`Dialect`]; timeouts, the
-//! allowance and the counts are those of every call to the platform.
+//! [`Dialect`] holds the functions that encode the store's requests and decode
+//! its responses. Timeouts, rate limits and counters are those of all calls to
+//! the platform.
 
 use std::time::Duration;
 
@@ -18,74 +19,75 @@
 use crate::platform::transport::Kind;
 use crate::platform::transport::Payload;
 
-/// A key whose value cannot be read.
+/// A key whose value cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnreadableEntry {
     /// The key.
     pub key: String,
-    /// Why.
+    /// Why the value cannot be decoded.
     pub reason: String,
 }
 
 /// One page of the keys under a prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Page {
-    /// The keys that could be read, in order.
+    /// The decoded entries, ordered by key.
     pub entries: Vec<Entry>,
-    /// Keys whose values could not be read.
+    /// Keys whose values cannot be decoded.
     pub unreadable: Vec<UnreadableEntry>,
-    /// The last key of the page, read or refused; `None` on the last page.
+    /// Last key of the page, decoded or not, after which the next page begins;
+    /// `None` on the last page.
     pub next: Option<String>,
     /// Revision of the store.
     pub revision: u64,
 }
 
-/// What has changed since a revision.
+/// The changes since a revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
-    /// The changes that could be read, oldest first.
+    /// The decoded changes, oldest first.
     pub changes: Vec<Change>,
-    /// Keys whose new values could not be read.
+    /// Keys whose new values cannot be decoded.
     pub unreadable: Vec<UnreadableEntry>,
-    /// Revision of the store; the next poll goes on from here.
+    /// Revision of the store, from which the next poll continues.
     pub revision: u64,
 }
 
-/// A call that posts JSON.
+/// A POST request with a JSON body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Post {
-    /// Path of the call.
+    /// Path of the request.
     pub path: String,
-    /// Body of the call.
+    /// Body of the request.
     pub body: String,
 }
 
-/// How a store spells its calls.
+/// Encoders of a store's requests and decoders of its responses.
 #[derive(Clone, Copy, Debug)]
 pub struct Dialect {
-    /// Path and query of a listing; it begins after a key if one is given.
-    pub list: fn(prefix: &str, after: Option<&str>) -> String,
-    /// Reads the answer to a listing.
-    pub page: fn(&[u8]) -> DecodeResult<Page>,
+    /// Path and query of a listing, which begins after the key `after` if given.
+    pub list_path: fn(prefix: &str, after: Option<&str>) -> String,
+    /// Decodes the response to a listing.
+    pub decode_page: fn(&[u8]) -> DecodeResult<Page>,
     /// Path and query of a read of one key.
-    pub item: fn(key: &str) -> String,
-    /// Reads the answer to that.
-    pub found: fn(&[u8]) -> DecodeResult<Page>,
+    pub get_path: fn(key: &str) -> String,
+    /// Decodes the response to a read of one key.
+    pub decode_single: fn(&[u8]) -> DecodeResult<Page>,
     /// Path and query of a poll for changes after a revision.
-    pub poll: fn(prefix: &str, after: u64, wait: Duration) -> String,
-    /// Reads the answer to a poll.
-    pub batch: fn(&[u8]) -> DecodeResult<Batch>,
-    /// Asks for a lease.
-    pub grant: fn(ttl: Duration) -> Post,
-    /// Reads the answer to that.
-    pub lease: fn(&[u8]) -> DecodeResult<Lease>,
-    /// Writes a key that goes with a lease, whatever it held before.
-    pub put: fn(key: &str, value: &[u8], lease: Lease) -> Post,
-    /// Renews a lease.
-    pub renew: fn(Lease) -> Post,
+    pub poll_path: fn(prefix: &str, after: u64, wait: Duration) -> String,
+    /// Decodes the response to a poll.
+    pub decode_batch: fn(&[u8]) -> DecodeResult<Batch>,
+    /// Request to grant a lease.
+    pub grant_request: fn(ttl: Duration) -> Post,
+    /// Decodes the response to a lease grant.
+    pub decode_lease: fn(&[u8]) -> DecodeResult<Lease>,
+    /// Request to write a key attached to a lease, whatever its current value.
+    pub put_request: fn(key: &str, value: &[u8], lease: Lease) -> Post,
+    /// Request to renew a lease.
+    pub renew_request: fn(Lease) -> Post,
 }
 
-/// Reader of a store, cheap to clone.
+/// Client for a store with a [`Dialect`]; cheap to clone.
 #[derive(Clone)]
 pub struct Reader {
     client: Client,
@@ -93,88 +95,88 @@
 }
 
 impl Reader {
-    /// A reader of the client's store.
+    /// Creates a reader that makes its calls with `client`.
     pub fn new(client: Client, dialect: Dialect) -> Self {
         Self { client, dialect }
     }
 
-    /// What makes the calls.
+    /// The client that makes the calls.
     pub fn client(&self) -> &Client {
         &self.client
     }
 
-    /// Reads one page of a prefix, after a key if one is given.
+    /// Reads one page of a prefix, which begins after the key `after` if given.
     ///
     /// # Errors
     ///
-    /// Fails when no address gives an answer, or the allowance is used up.
+    /// Fails if no address responds or the rate limit is exceeded.
     pub async fn page(&self, prefix: &str, after: Option<&str>) -> Result<Page> {
         let call = Call {
             step: "list",
             kind: Kind::Read,
-            path: (self.dialect.list)(prefix, after).into(),
+            path: (self.dialect.list_path)(prefix, after).into(),
             body: None,
             wait: Duration::ZERO,
         };
-        self.client.call(&call, self.dialect.page).await
+        self.client.call(&call, self.dialect.decode_page).await
     }
 
-    /// Reads one key: a page with its entry, if it exists and can be read.
+    /// Reads one key: a page with its entry, or with the key as unreadable.
     ///
     /// # Errors
     ///
-    /// [`crate::Error::Refused`] when it does not exist; otherwise as
+    /// [`crate::Error::Refused`] if the key does not exist; otherwise as for
     /// [`Reader::page`].
     pub async fn get(&self, key: &str) -> Result<Page> {
         let call = Call {
             step: "read",
             kind: Kind::Read,
-            path: (self.dialect.item)(key).into(),
+            path: (self.dialect.get_path)(key).into(),
             body: None,
             wait: Duration::ZERO,
         };
-        self.client.call(&call, self.dialect.found).await
+        self.client.call(&call, self.dialect.decode_single).await
     }
 
-    /// Waits for changes under a prefix after a revision.
+    /// Waits for changes under a prefix after a revision, for at most `wait`.
     ///
     /// # Errors
     ///
-    /// [`crate::Error::Compacted`] when the store no longer has all of them;
-    /// otherwise as [`Reader::page`].
+    /// [`crate::Error::Compacted`] if the store no longer holds all changes since
+    /// that revision; otherwise as for [`Reader::page`].
     pub async fn poll(&self, prefix: &str, after: u64, wait: Duration) -> Result<Batch> {
         let call = Call {
             step: "poll",
             kind: Kind::Watch,
-            path: (self.dialect.poll)(prefix, after, wait).into(),
+            path: (self.dialect.poll_path)(prefix, after, wait).into(),
             body: None,
             wait,
         };
-        self.client.call(&call, self.dialect.batch).await
+        self.client.call(&call, self.dialect.decode_batch).await
     }
 
     /// Grants a lease.
     ///
     /// # Errors
     ///
-    /// After [`crate::Error::Unanswered`] a lease may exist that nobody knows of;
-    /// it holds no key and lapses by itself.
+    /// After [`crate::Error::Unanswered`] an unused lease may exist; it holds no
+    /// key and expires by itself.
     pub async fn grant(&self, ttl: Duration) -> Result<Lease> {
-        let post = (self.dialect.grant)(ttl);
-        let call = posted("lease grant", Kind::Lease, post);
-        self.client.call(&call, self.dialect.lease).await
+        let post = (self.dialect.grant_request)(ttl);
+        let call = post_call("lease grant", Kind::Lease, post);
+        self.client.call(&call, self.dialect.decode_lease).await
     }
 
-    /// Writes a key that goes with a lease.
+    /// Writes a key attached to a lease.
     ///
     /// # Errors
     ///
-    /// [`crate::Error::Refused`] when the lease has lapsed. After
-    /// [`crate::Error::Unanswered`] the key may have been written, or may be
-    /// later while the lease lasts.
+    /// [`crate::Error::Refused`] if the lease has expired. After
+    /// [`crate::Error::Unanswered`] the key may have been written, or may still be
+    /// written until the lease expires.
     pub async fn put(&self, key: &str, value: &[u8], lease: Lease) -> Result<()> {
-        let post = (self.dialect.put)(key, value, lease);
-        let call = posted("put", Kind::Write, post);
+        let post = (self.dialect.put_request)(key, value, lease);
+        let call = post_call("put", Kind::Write, post);
         self.client.call(&call, |_| Ok(())).await
     }
 
@@ -182,16 +184,16 @@
     ///
     /// # Errors
     ///
-    /// [`crate::Error::Refused`] when it has lapsed; after any other error it may
-    /// have been renewed.
+    /// [`crate::Error::Refused`] if the lease has expired; after any other error
+    /// the lease may have been renewed.
     pub async fn renew(&self, lease: Lease) -> Result<()> {
-        let post = (self.dialect.renew)(lease);
-        let call = posted("lease renewal", Kind::Lease, post);
+        let post = (self.dialect.renew_request)(lease);
+        let call = post_call("lease renewal", Kind::Lease, post);
         self.client.call(&call, |_| Ok(())).await
     }
 }
 
-fn posted(step: &'static str, kind: Kind, post: Post) -> Call {
+fn post_call(step: &'static str, kind: Kind, post: Post) -> Call {
     Call {
         step,
         kind,
--- a/src/platform/rate_limit.rs
+++ b/src/platform/rate_limit.rs
@@ -1,7 +1,7 @@
-//! Token buckets that keep this instance inside its share of what others serve.
+//! Token buckets that limit how much this instance sends to a shared service.
 //!
-//! A call that finds its bucket empty is refused at once. Queueing it instead
-//! would only hide the overload until its caller has given up.
+//! A call is rejected at once if its bucket is empty. Queueing it instead would
+//! only hide the overload until its caller has given up.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-/// Something counted per second.
+/// A number of calls or bytes per second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Rate(pub u32);
@@ -30,89 +30,90 @@
     }
 }
 
-/// Share of a bucket, as a divisor, that only urgent calls may use.
-const RESERVE: f64 = 10.0;
+/// Divisor of the capacity that gives the share reserved for urgent calls.
+const RESERVE_DIVISOR: f64 = 10.0;
 
-/// Longest time in which a debt is paid off, in seconds. A copy of everything
-/// must not silence a peer for good.
-const LONGEST_DEBT: f64 = 60.0;
+/// Longest time in which a debt is paid off, in seconds. Without the bound, a
+/// full copy of the store would block a peer for too long.
+const MAX_DEBT_SECONDS: f64 = 60.0;
 
-/// A token bucket that holds at most one second's worth of calls.
+/// A token bucket whose capacity is the tokens of one second.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     rate: Rate,
     tokens: f64,
-    filled: Instant,
+    refilled_at: Instant,
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(rate: Rate, now: Instant) -> Self {
         Self {
             rate,
             tokens: f64::from(rate.0),
-            filled: now,
+            refilled_at: now,
         }
     }
 
-    /// Calls allowed per second.
+    /// Tokens added per second.
     pub fn rate(&self) -> Rate {
         self.rate
     }
 
-    /// Takes a token for an ordinary call, if one is left beside the reserve.
+    /// Takes a token for an ordinary call, unless only the reserve is left.
     pub fn take(&mut self, now: Instant) -> bool {
-        self.take_above((f64::from(self.rate.0) / RESERVE).floor(), now)
+        self.take_above((f64::from(self.rate.0) / RESERVE_DIVISOR).floor(), now)
     }
 
-    /// Takes a token for a call that must not wait behind ordinary ones.
+    /// Takes a token for an urgent call, from the reserve if need be.
     ///
-    /// Without the reserve a burst of ordinary calls would starve the keepalive
-    /// of a lease, which shows as an instance dying in good health. Keepalives
-    /// come less than once a second, so a tenth of the bucket is enough.
+    /// Without the reserve, a burst of ordinary calls would starve the lease
+    /// keepalives, and a healthy instance would appear to have failed. Keepalives
+    /// are sent less than once a second, so a tenth of the bucket is enough.
     pub fn take_urgent(&mut self, now: Instant) -> bool {
         self.take_above(0.0, now)
     }
 
-    /// Takes this many tokens, if they are left.
+    /// Takes `count` tokens if the bucket holds that many.
     pub fn take_many(&mut self, count: usize, now: Instant) -> bool {
-        self.fill(now);
-        let enough = self.tokens >= count as f64;
-        if enough {
+        self.refill(now);
+        let has_enough = self.tokens >= count as f64;
+        if has_enough {
             self.tokens -= count as f64;
         }
-        enough
+        has_enough
     }
 
-    /// Takes what is left of this many tokens, for what goes out in any case.
+    /// Takes up to `count` tokens, as many as are left, for data that is sent in
+    /// any case.
     pub fn take_available(&mut self, count: usize, now: Instant) {
-        self.fill(now);
-        let left = self.tokens.max(0.0);
-        self.tokens -= left.min(count as f64);
+        self.refill(now);
+        let available = self.tokens.max(0.0);
+        self.tokens -= available.min(count as f64);
     }
 
-    /// Takes this many tokens, on credit if need be, unless there is a debt.
+    /// Takes `count` tokens, on credit if need be, unless there is a debt.
     ///
-    /// What is larger than the bucket can only go out on credit; the debt keeps
+    /// Data larger than the capacity can only be sent on credit; the debt keeps
     /// the mean at the rate.
     pub fn take_on_credit(&mut self, count: usize, now: Instant) -> bool {
-        self.fill(now);
+        self.refill(now);
         if self.tokens < 0.0 {
             return false;
         }
-        let least = -LONGEST_DEBT * f64::from(self.rate.0);
-        self.tokens = (self.tokens - count as f64).max(least);
+        let min_tokens = -MAX_DEBT_SECONDS * f64::from(self.rate.0);
+        self.tokens = (self.tokens - count as f64).max(min_tokens);
         true
     }
 
-    /// Whether it is as good as new.
+    /// Whether the bucket is filled to its capacity.
     pub fn is_full(&mut self, now: Instant) -> bool {
-        self.fill(now);
+        self.refill(now);
         self.tokens >= f64::from(self.rate.0)
     }
 
     fn take_above(&mut self, floor: f64, now: Instant) -> bool {
-        self.fill(now);
+        self.refill(now);
         if self.tokens < floor + 1.0 {
             return false;
         }
@@ -120,10 +121,12 @@
         true
     }
 
-    fn fill(&mut self, now: Instant) {
-        let most = f64::from(self.rate.0);
-        let passed = now.saturating_duration_since(self.filled).as_secs_f64();
-        self.tokens = (self.tokens + passed * most).min(most);
-        self.filled = self.filled.max(now);
+    fn refill(&mut self, now: Instant) {
+        let capacity = f64::from(self.rate.0);
+        let elapsed = now
+            .saturating_duration_since(self.refilled_at)
+            .as_secs_f64();
+        self.tokens = (self.tokens + elapsed * capacity).min(capacity);
+        self.refilled_at = self.refilled_at.max(now);
     }
 }
--- a/src/platform/resolution.rs
+++ b/src/platform/resolution.rs
@@ -1,13 +1,14 @@
-//! Finding out what became of a write whose answer was lost.
+//! Finds out the outcome of a write whose response was lost.
 //!
-//! The value of a write carries a random mark, so that reading it back tells
-//! whose write it was. A read that does not show ours proves nothing yet: the
-//! write may still be on its way, or the read be old. The same compare-and-swap
-//! is then sent again. Both copies compare with the same revision, so at most
-//! one of them can take effect, and its answer is final either way.
+//! The value of a write contains a random identifier, so that reading the key
+//! back shows which writer wrote it. A read that does not return this write
+//! proves nothing yet: the write may still be in transit, or the read may be
+//! stale. The same compare-and-swap is then sent again. Both copies compare with
+//! the same revision, so at most one of them can take effect, and the response
+//! to the second copy is final either way.
 //!
-//! One case is given up on: a key that is created by a write whose answer is
-//! lost, and deleted by another before this module looks, is created again.
+//! One case is not handled: if the lost write created a key and another writer
+//! deleted the key before it is read back, the key is created again.
 
 use tokio::time;
 use tokio::time::Instant;
@@ -20,23 +21,27 @@
 use crate::platform::SwapOutcome;
 use crate::platform::client::Client;
 
-/// What became of a write.
+/// Outcome of a write or a deletion.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResolvedWrite {
-    /// Ours stands, written at this revision.
+    /// The write was applied at this revision.
     Done(u64),
-    /// Ours was refused and never took effect; the key holds this, or nothing.
+    /// The comparison failed and the write never took effect; the current entry
+    /// of the key, if it exists.
     Lost(Option<Entry>),
-    /// The answer was lost and another's value, or nothing, stands: ours never
-    /// took effect or was replaced since, and will not come back. Values that
-    /// carry a counter, raised by one with each write, tell which: if the found
-    /// one has the count that ours had, ours never took effect.
+    /// The response was lost, and the key holds another writer's value or does
+    /// not exist: this write never took effect or has been replaced since, and
+    /// will not take effect later. A counter in the values, incremented by each
+    /// write, tells these cases apart: if the found value has the same count as
+    /// this write, this write never took effect.
     Superseded(Option<Entry>),
-    /// Nothing could be read back in time; ours may stand, or still come to.
+    /// Nothing could be read back in time; the write may have taken effect or
+    /// may still do so.
     Unknown,
 }
 
-/// One write and what it takes to recognise it.
+/// The arguments of a compare-and-swap, to send it again and to recognise its
+/// value.
 struct Write<'a> {
     key: &'a str,
     expected: Option<u64>,
@@ -51,36 +56,37 @@
             .await
     }
 
-    fn is_ours(&self, found: Option<&Entry>) -> Option<u64> {
+    fn own_revision(&self, found: Option<&Entry>) -> Option<u64> {
         found
             .filter(|entry| entry.value == self.value)
             .map(|entry| entry.mod_revision)
     }
 
-    /// Reads back once and, unless ours is there, writes once more.
-    async fn look(&self, client: &Client) -> Result<ResolvedWrite> {
+    /// Reads the key back once and sends the write again unless the key holds
+    /// its value.
+    async fn read_back_or_resend(&self, client: &Client) -> Result<ResolvedWrite> {
         let found = client.get(self.key).await?;
-        if let Some(revision) = self.is_ours(found.as_ref()) {
+        if let Some(revision) = self.own_revision(found.as_ref()) {
             return Ok(ResolvedWrite::Done(revision));
         }
         let found = match self.send(client).await? {
             SwapOutcome::Done(revision) => return Ok(ResolvedWrite::Done(revision)),
             SwapOutcome::Lost(found) => found,
         };
-        Ok(match self.is_ours(found.as_ref()) {
+        Ok(match self.own_revision(found.as_ref()) {
             Some(revision) => ResolvedWrite::Done(revision),
             None => ResolvedWrite::Superseded(found),
         })
     }
 }
 
-/// One deletion.
-struct Erasure<'a> {
+/// The arguments of a compare-and-delete.
+struct Deletion<'a> {
     key: &'a str,
     expected: u64,
 }
 
-impl Erasure<'_> {
+impl Deletion<'_> {
     async fn send(&self, client: &Client) -> Result<ResolvedWrite> {
         Ok(
             match client.compare_and_delete(self.key, self.expected).await? {
@@ -90,7 +96,7 @@
         )
     }
 
-    async fn look(&self, client: &Client) -> Result<ResolvedWrite> {
+    async fn resend(&self, client: &Client) -> Result<ResolvedWrite> {
         Ok(match self.send(client).await? {
             ResolvedWrite::Lost(found) => ResolvedWrite::Superseded(found),
             resolved => resolved,
@@ -98,30 +104,30 @@
     }
 }
 
-/// What was sent and had no answer.
-enum Sent<'a> {
+/// A write or deletion that was sent and got no response.
+enum UnansweredCall<'a> {
     Write(Write<'a>),
-    Erasure(Erasure<'a>),
+    Deletion(Deletion<'a>),
 }
 
-impl Sent<'_> {
-    async fn look(&self, client: &Client) -> Result<ResolvedWrite> {
+impl UnansweredCall<'_> {
+    async fn retry(&self, client: &Client) -> Result<ResolvedWrite> {
         match self {
-            Self::Write(write) => write.look(client).await,
-            Self::Erasure(erasure) => erasure.look(client).await,
+            Self::Write(write) => write.read_back_or_resend(client).await,
+            Self::Deletion(deletion) => deletion.resend(client).await,
         }
     }
 }
 
 impl Client {
-    /// Writes as [`Client::compare_and_swap`] does and, if the answer is lost, finds out what
-    /// became of the write, within [`crate::platform::Options::resolve_timeout`].
+    /// Writes as [`Client::compare_and_swap`] does and, if the response is lost,
+    /// finds out the outcome within [`crate::platform::Options::resolve_timeout`].
     ///
     /// The value must differ from every other value ever written to the key.
     ///
     /// # Errors
     ///
-    /// After an error nothing was written and nothing will be.
+    /// After an error nothing was written and nothing will be written later.
     pub async fn compare_and_swap_resolved(
         &self,
         key: &str,
@@ -138,47 +144,50 @@
         match write.send(self).await {
             Ok(SwapOutcome::Done(revision)) => Ok(ResolvedWrite::Done(revision)),
             Ok(SwapOutcome::Lost(found)) => Ok(ResolvedWrite::Lost(found)),
-            Err(Error::Unanswered { .. }) => Ok(self.resolve(&Sent::Write(write)).await),
+            Err(Error::Unanswered { .. }) => Ok(self.resolve(&UnansweredCall::Write(write)).await),
             Err(error) => Err(error),
         }
     }
 
-    /// Deletes a key as [`Client::compare_and_delete`] does and, if the answer is lost, finds
-    /// out what became of it, within [`crate::platform::Options::resolve_timeout`].
+    /// Deletes a key as [`Client::compare_and_delete`] does and, if the response is
+    /// lost, finds out the outcome within
+    /// [`crate::platform::Options::resolve_timeout`].
     ///
-    /// A key that is found at the expected revision may still be deleted by the
-    /// first copy, so the same deletion is sent again. One that is not found
-    /// there is safe from both copies, as no revision comes twice.
+    /// A key that is still at the expected revision may yet be deleted by the
+    /// first copy, so the same deletion is sent again. A key at any other revision
+    /// cannot be deleted by either copy, as revisions are never reused.
     ///
     /// # Errors
     ///
-    /// After an error nothing was deleted and nothing will be.
+    /// After an error nothing was deleted and nothing will be deleted later.
     pub async fn compare_and_delete_resolved(
         &self,
         key: &str,
         expected: u64,
     ) -> Result<ResolvedWrite> {
-        let erasure = Erasure { key, expected };
-        match erasure.send(self).await {
-            Err(Error::Unanswered { .. }) => Ok(self.resolve(&Sent::Erasure(erasure)).await),
+        let deletion = Deletion { key, expected };
+        match deletion.send(self).await {
+            Err(Error::Unanswered { .. }) => {
+                Ok(self.resolve(&UnansweredCall::Deletion(deletion)).await)
+            }
             outcome => outcome,
         }
     }
 
-    /// Looks again until that succeeds or the time is over.
-    async fn resolve(&self, sent: &Sent<'_>) -> ResolvedWrite {
+    /// Retries while no outcome is known, up to the time limit.
+    async fn resolve(&self, call: &UnansweredCall<'_>) -> ResolvedWrite {
         let options = self.options();
-        let until = Instant::now() + options.resolve_timeout;
+        let deadline = Instant::now() + options.resolve_timeout;
         let mut backoff = Backoff::new(options.backoff, options.seed);
-        let looking = async {
+        let retrying = async {
             loop {
-                if let Ok(resolved) = sent.look(self).await {
+                if let Ok(resolved) = call.retry(self).await {
                     return resolved;
                 }
                 time::sleep(backoff.next_delay()).await;
             }
         };
-        time::timeout_at(until, looking)
+        time::timeout_at(deadline, retrying)
             .await
             .unwrap_or(ResolvedWrite::Unknown)
     }
--- a/src/platform/transport.rs
+++ b/src/platform/transport.rs
@@ -1,4 +1,4 @@
-//! One exchange with the platform: addresses, timeouts, allowance and counts.
+//! HTTP calls to the platform: addresses, timeouts, rate limits and counters.
 
 use std::borrow::Cow;
 use std::sync::Mutex;
@@ -26,44 +26,43 @@
 use crate::platform::gateway::DecodeResult;
 use crate::platform::rate_limit::TokenBucket;
 
-/// Largest answer that is read, in bytes.
+/// Largest response body that is read, in bytes.
 ///
-/// Values hold up to a megabyte; a longer answer than this comes from something
-/// that is no store and would only fill the memory.
+/// Values hold up to a megabyte; a longer response does not come from a store
+/// and would only fill the memory.
 pub(crate) const MAX_RESPONSE_LEN: usize = 64 << 20;
 
-/// Timeouts of a call that the body of its answer may take at [`LEAST_RATE`], while
-/// bytes come.
-const BODY_TIMEOUTS: u32 = 10;
+/// Time limit of a response body, in multiples of the call timeout. Each received byte
+/// extends it by the time that the byte takes at [`MIN_BODY_RATE`].
+const BODY_TIMEOUT_FACTOR: u32 = 10;
 
-/// Bytes a second at which an answer is read on however long it takes: a fifth of the
-/// thinnest link thought of, 0.5 Mbit/s. What comes more slowly comes from a peer that
-/// trickles, or is better asked anew.
-const LEAST_RATE: f64 = 12_500.0;
+/// Bytes a second at which a response body is read however long it takes: a fifth of the
+/// slowest supported link, 0.5 Mbit/s. A slower response comes from a peer that trickles,
+/// or is better requested again.
+const MIN_BODY_RATE: f64 = 12_500.0;
 
-/// Time for the reason of a refusal, which is a line.
-const REASON_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time limit for reading the body of an error response, which is one line.
+const ERROR_BODY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Media type of posted text.
+/// Media type of JSON bodies.
 const JSON: &str = "application/json";
 
 /// Idle connections kept for each address.
 ///
-/// A connection that something in between has forgotten swallows the call that
-/// is sent on it, which shows as a timeout and closes it. Few of them and not
-/// for long, so that after such a fault few calls are lost before new
-/// connections are made.
-const MAX_IDLE: usize = 2;
+/// If a device on the path has dropped the state of a connection, the next call
+/// on it times out, which closes the connection. Few connections are kept, and
+/// not for long, so that few calls are lost after such a fault.
+const MAX_IDLE_CONNECTIONS: usize = 2;
 
 /// Time for which an idle connection is kept.
-const MAX_IDLE_TIME: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Adds one to a count.
-pub(crate) fn add(count: &AtomicU64) {
+/// Adds one to a counter.
+pub(crate) fn increment(count: &AtomicU64) {
     count.fetch_add(1, Ordering::Relaxed);
 }
 
-/// What a call counts as.
+/// Kind of a call, by which calls are rate limited and counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Kind {
     Read,
@@ -72,30 +71,31 @@
     Watch,
 }
 
-/// What a call posts.
+/// Body of a POST request.
 #[derive(Debug)]
 pub(crate) enum Payload {
-    /// A request to the etcd gateway.
+    /// A request to the etcd JSON gateway.
     Gateway(Box<Body>),
-    /// JSON that a dialect has spelled.
+    /// JSON encoded by a [`crate::platform::poll::Dialect`].
     Json(String),
 }
 
-/// One call, whatever the address it goes to.
+/// One call, independent of the address that it is sent to.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub(crate) step: &'static str,
     pub(crate) kind: Kind,
-    /// Path, with the query if there is one.
+    /// Path and query.
     pub(crate) path: Cow<'static, str>,
-    /// What is posted; without it the call is a GET.
+    /// Body of a POST request; without a body the call is a GET request.
     pub(crate) body: Option<Payload>,
-    /// Time that the store may hold the answer back, beside the time of a call.
+    /// Time for which the store may delay its response, in addition to the call
+    /// timeout.
     pub(crate) wait: Duration,
 }
 
 impl Call {
-    /// The error of a call that may have taken effect.
+    /// The error of a call without a valid response, which may have taken effect.
     pub(crate) fn unanswered(&self, peer: &BaseUrl, reason: impl ToString) -> Error {
         Error::Unanswered {
             step: self.step,
@@ -106,9 +106,10 @@
 
     /// Whether another address may be tried after this error.
     ///
-    /// A write whose bytes may have left must not be sent again: it would look
-    /// lost to its own first copy, or take effect after the caller gave up.
-    fn may_move_on(&self, error: &Error) -> bool {
+    /// A write whose bytes may have been sent must not be sent again: the second
+    /// copy would fail because of the first one, or take effect after the caller
+    /// gave up.
+    fn may_try_next_address(&self, error: &Error) -> bool {
         match error {
             Error::Unreachable { .. } => true,
             Error::Unanswered { .. } => self.kind == Kind::Read,
@@ -117,40 +118,40 @@
     }
 }
 
-struct Allowance {
+struct RateLimits {
     reads: TokenBucket,
     writes: TokenBucket,
 }
 
-/// Everything that the clones of a client share.
+/// State shared by the clones of a client.
 pub(crate) struct Transport {
-    /// The client for new calls; a lock that is a leaf.
+    /// The HTTP client for new calls. No other lock is taken while this one is held.
     http: Mutex<reqwest::Client>,
-    bases: Vec<BaseUrl>,
-    /// Index of the address to be tried first.
+    base_urls: Vec<BaseUrl>,
+    /// Index of the address that is tried first.
     current: AtomicUsize,
     options: Options,
-    allowance: Mutex<Allowance>,
+    rate_limits: Mutex<RateLimits>,
     counts: CallCounts,
 }
 
 impl Transport {
-    pub(crate) fn new(bases: Vec<BaseUrl>, options: Options) -> Result<Self> {
-        if bases.is_empty() {
-            return Err(unusable("no address"));
+    pub(crate) fn new(base_urls: Vec<BaseUrl>, options: Options) -> Result<Self> {
+        if base_urls.is_empty() {
+            return Err(invalid_settings("no address"));
         }
         let http = Mutex::new(http_client(&options)?);
         let now = Instant::now();
-        let allowance = Allowance {
+        let rate_limits = RateLimits {
             reads: TokenBucket::new(options.read_rate, now),
             writes: TokenBucket::new(options.write_rate, now),
         };
         Ok(Self {
             http,
-            bases,
+            base_urls,
             current: AtomicUsize::new(0),
             options,
-            allowance: Mutex::new(allowance),
+            rate_limits: Mutex::new(rate_limits),
             counts: CallCounts::default(),
         })
     }
@@ -163,92 +164,93 @@
         &self.options
     }
 
-    /// Makes a call, at each address at most once.
+    /// Makes a call, at most once at each address.
     pub(crate) async fn call<T>(
         &self,
         call: &Call,
         decode: fn(&[u8]) -> DecodeResult<T>,
     ) -> Result<T> {
-        let mut tries_left = self.bases.len();
+        let mut attempts_left = self.base_urls.len();
         loop {
-            tries_left -= 1;
+            attempts_left -= 1;
             let (index, base) = self.preferred();
-            let outcome = self.exchange(call, base, decode).await;
+            let outcome = self.attempt(call, base, decode).await;
             let Err(error) = outcome else { return outcome };
-            self.settle(&error, index);
-            if tries_left == 0 || !call.may_move_on(&error) {
+            self.record_failure(&error, index);
+            if attempts_left == 0 || !call.may_try_next_address(&error) {
                 return Err(error);
             }
         }
     }
 
-    /// Opens a call whose answer is read bit by bit.
+    /// Sends a call whose response is read as a stream.
     pub(crate) async fn open(&self, call: &Call) -> Result<(BaseUrl, Response)> {
         let (index, base) = self.preferred();
-        let outcome = self.start(call, base).await;
+        let outcome = self.send(call, base).await;
         if let Err(error) = &outcome {
-            self.settle(error, index);
+            self.record_failure(error, index);
         }
         outcome.map(|response| (base.clone(), response))
     }
 
-    /// Counts a failure and prefers another address when this one is to blame.
-    fn settle(&self, error: &Error, index: usize) {
+    /// Counts a failure and switches to the next address if this one did not
+    /// respond.
+    fn record_failure(&self, error: &Error, index: usize) {
         match error {
-            Error::Unreachable { .. } => add(&self.counts.unreachable),
-            Error::Unanswered { .. } => add(&self.counts.unanswered),
-            Error::Exhausted { .. } => return add(&self.counts.rate_limited),
-            _ => return add(&self.counts.refused),
+            Error::Unreachable { .. } => increment(&self.counts.unreachable),
+            Error::Unanswered { .. } => increment(&self.counts.unanswered),
+            Error::Exhausted { .. } => return increment(&self.counts.rate_limited),
+            _ => return increment(&self.counts.refused),
         }
-        self.avoid(index);
+        self.switch_from(index);
     }
 
-    /// Prefers the next address, unless another call has done so already.
-    fn avoid(&self, index: usize) {
-        let next = (index + 1) % self.bases.len();
-        // Losing this race means that the address was left already.
+    /// Prefers the next address, unless another call has switched already.
+    fn switch_from(&self, index: usize) {
+        let next = (index + 1) % self.base_urls.len();
+        // A failed exchange means that another call has switched already.
         let _ = self
             .current
             .compare_exchange(index, next, Ordering::Relaxed, Ordering::Relaxed);
     }
 
-    /// Counts an answer that is older than what is known and leaves its address.
-    pub(crate) fn avoid_stale(&self) {
-        add(&self.counts.stale);
-        self.avoid(self.preferred().0);
+    /// Counts a stale response and switches to the next address.
+    pub(crate) fn leave_stale_address(&self) {
+        increment(&self.counts.stale);
+        self.switch_from(self.preferred().0);
     }
 
     fn preferred(&self) -> (usize, &BaseUrl) {
-        let index = self.current.load(Ordering::Relaxed) % self.bases.len();
-        (index, &self.bases[index])
+        let index = self.current.load(Ordering::Relaxed) % self.base_urls.len();
+        (index, &self.base_urls[index])
     }
 
-    async fn exchange<T>(
+    async fn attempt<T>(
         &self,
         call: &Call,
         base: &BaseUrl,
         decode: fn(&[u8]) -> DecodeResult<T>,
     ) -> Result<T> {
-        let response = self.start(call, base).await?;
+        let response = self.send(call, base).await?;
         let body = self.read(call, base, response).await?;
         decode(&body).map_err(|reason| call.unanswered(base, reason))
     }
 
-    /// Reads the body of an answer for as long as bytes keep coming.
+    /// Reads a response body for as long as bytes keep arriving.
     ///
-    /// A megabyte on a link of 0.5 Mbit/s takes 16 s. A timeout for the whole answer
-    /// would end it every time, each try would begin from nothing, and the instance
-    /// would never be ready.
+    /// A megabyte on a link of 0.5 Mbit/s takes 16 s. A fixed timeout for the whole
+    /// response would abort every attempt, each attempt would start from the beginning,
+    /// and the instance would never be ready.
     async fn read(&self, call: &Call, base: &BaseUrl, mut response: Response) -> Result<Bytes> {
-        let slowest = Instant::now() + self.options.call_timeout * BODY_TIMEOUTS;
+        let base_deadline = Instant::now() + self.options.call_timeout * BODY_TIMEOUT_FACTOR;
         let mut body = BytesMut::new();
         loop {
-            let earned = Duration::from_secs_f64(body.len() as f64 / LEAST_RATE);
-            let give_up = slowest + earned;
-            let next = Instant::now() + self.options.call_timeout;
-            let chunk = time::timeout_at(next.min(give_up), response.chunk()).await;
+            let extension = Duration::from_secs_f64(body.len() as f64 / MIN_BODY_RATE);
+            let deadline = base_deadline + extension;
+            let chunk_deadline = Instant::now() + self.options.call_timeout;
+            let chunk = time::timeout_at(chunk_deadline.min(deadline), response.chunk()).await;
             let chunk = chunk.map_err(|_| {
-                self.leave_connections();
+                self.renew_connections();
                 call.unanswered(base, "timed out")
             })?;
             let chunk = chunk.map_err(|e| call.unanswered(base, root_cause(&e)))?;
@@ -256,7 +258,7 @@
                 return Ok(body.freeze());
             };
             if body.len() + chunk.len() > MAX_RESPONSE_LEN {
-                return Err(call.unanswered(base, "answer too long"));
+                return Err(call.unanswered(base, "response too long"));
             }
             body.extend_from_slice(&chunk);
         }
@@ -269,21 +271,21 @@
 
     /// Makes later calls open new connections.
     ///
-    /// When something in between forgets one connection, it has mostly forgotten
-    /// the idle ones, too. Each would swallow a call until its timeout, and a
-    /// change that a poll was to bring would come seconds too late.
-    fn leave_connections(&self) {
-        // The options were accepted once; a client that still cannot be had
-        // leaves the old one in use.
+    /// A device on the path that has dropped the state of one connection has
+    /// usually dropped that of the idle ones, too. Each of these would cost one
+    /// call its timeout, and changes would arrive seconds too late.
+    fn renew_connections(&self) {
+        // The same options were accepted before. If no client can be created all
+        // the same, the old one stays in use.
         if let Ok(fresh) = http_client(&self.options) {
             let http = self.http.lock();
             *http.unwrap_or_else(PoisonError::into_inner) = fresh;
         }
     }
 
-    /// Sends a call and waits for the head of its answer.
-    async fn start(&self, call: &Call, base: &BaseUrl) -> Result<Response> {
-        self.admit(call, base)?;
+    /// Sends a call and waits for the headers of the response.
+    async fn send(&self, call: &Call, base: &BaseUrl) -> Result<Response> {
+        self.check_rate_limit(call, base)?;
         let url = format!("{base}{}", call.path);
         let http = self.http();
         let sending = match &call.body {
@@ -297,25 +299,28 @@
         let response = time::timeout(self.options.call_timeout + call.wait, sending)
             .await
             .map_err(|_| {
-                self.leave_connections();
+                self.renew_connections();
                 call.unanswered(base, "timed out")
             })?
-            .map_err(|e| sending_failed(call, base, &e))?;
+            .map_err(|e| send_error(call, base, &e))?;
         check_status(call, base, response).await
     }
 
-    fn admit(&self, call: &Call, base: &BaseUrl) -> Result<()> {
+    fn check_rate_limit(&self, call: &Call, base: &BaseUrl) -> Result<()> {
         let now = Instant::now();
-        let mut allowance = self
-            .allowance
+        let mut rate_limits = self
+            .rate_limits
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         let (admitted, rate) = match call.kind {
-            Kind::Read | Kind::Watch => (allowance.reads.take(now), allowance.reads.rate()),
-            Kind::Write => (allowance.writes.take(now), allowance.writes.rate()),
-            Kind::Lease => (allowance.writes.take_urgent(now), allowance.writes.rate()),
+            Kind::Read | Kind::Watch => (rate_limits.reads.take(now), rate_limits.reads.rate()),
+            Kind::Write => (rate_limits.writes.take(now), rate_limits.writes.rate()),
+            Kind::Lease => (
+                rate_limits.writes.take_urgent(now),
+                rate_limits.writes.rate(),
+            ),
         };
-        drop(allowance);
+        drop(rate_limits);
         if !admitted {
             return Err(Error::Exhausted {
                 step: call.step,
@@ -323,11 +328,11 @@
                 rate,
             });
         }
-        add(self.sent(call.kind));
+        increment(self.sent_counter(call.kind));
         Ok(())
     }
 
-    fn sent(&self, kind: Kind) -> &AtomicU64 {
+    fn sent_counter(&self, kind: Kind) -> &AtomicU64 {
         match kind {
             Kind::Read => &self.counts.reads,
             Kind::Write => &self.counts.writes,
@@ -337,22 +342,23 @@
     }
 }
 
-/// Nothing below this module may send a write a second time: neither a proxy from
-/// the environment, nor a redirect, nor the library's retries.
+/// Creates an HTTP client that never sends a request twice: proxies from the
+/// environment, redirects and the library's retries are turned off, as each of
+/// them could repeat a write.
 fn http_client(options: &Options) -> Result<reqwest::Client> {
     reqwest::Client::builder()
         .no_proxy()
         .redirect(reqwest::redirect::Policy::none())
         .retry(reqwest::retry::never())
         .connect_timeout(options.connect_timeout)
-        .pool_max_idle_per_host(MAX_IDLE)
-        .pool_idle_timeout(MAX_IDLE_TIME)
+        .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS)
+        .pool_idle_timeout(IDLE_TIMEOUT)
         .tcp_nodelay(true)
         .build()
-        .map_err(unusable)
+        .map_err(invalid_settings)
 }
 
-fn unusable(reason: impl ToString) -> Error {
+fn invalid_settings(reason: impl ToString) -> Error {
     Error::Refused {
         step: "platform client",
         peer: "settings".to_owned(),
@@ -360,7 +366,7 @@
     }
 }
 
-fn sending_failed(call: &Call, base: &BaseUrl, error: &reqwest::Error) -> Error {
+fn send_error(call: &Call, base: &BaseUrl, error: &reqwest::Error) -> Error {
     let reason = root_cause(error);
     if !error.is_connect() {
         return call.unanswered(base, reason);
@@ -372,7 +378,7 @@
     }
 }
 
-/// The innermost error, which is the one that says something.
+/// Message of the innermost error, which is the most specific one.
 pub(crate) fn root_cause(error: &reqwest::Error) -> String {
     let mut cause: &dyn std::error::Error = error;
     while let Some(source) = cause.source() {
@@ -381,10 +387,11 @@
     cause.to_string()
 }
 
-/// Sorts an answer by its status.
+/// Maps the status of a response to an error.
 ///
-/// A server error is no proof that nothing happened: the store answers 503 also
-/// when it has passed a write on and then waited in vain for its outcome.
+/// A server error does not prove that a write had no effect: the store also
+/// responds with 503 if it has forwarded a write and its outcome did not arrive
+/// in time.
 async fn check_status(call: &Call, base: &BaseUrl, response: Response) -> Result<Response> {
     let status = response.status();
     if status.is_success() {
@@ -399,34 +406,34 @@
             peer: base.to_string(),
         });
     }
-    // Unlike a refusal, this says nothing about what was asked for: a lease whose
-    // renewal it answers still lives.
+    // Unlike other client errors, this one says nothing about the requested object:
+    // a lease whose renewal gets this status is still valid.
     if status == StatusCode::TOO_MANY_REQUESTS {
         return Err(Error::Busy {
             step: call.step,
             peer: base.to_string(),
         });
     }
-    // A refusal stands whether its reason can be read or not.
-    let reading = read_limited(response, MAX_RESPONSE_LEN);
-    let body = time::timeout(REASON_TIMEOUT, reading).await;
+    // The call was rejected, whether or not the reason can be read.
+    let body = read_limited(response, MAX_RESPONSE_LEN);
+    let body = time::timeout(ERROR_BODY_TIMEOUT, body).await;
     let body = body.ok().and_then(|body| body.ok()).unwrap_or_default();
     Err(Error::Refused {
         step: call.step,
         peer: base.to_string(),
-        reason: format!("{status}: {}", gateway::refusal(&body)),
+        reason: format!("{status}: {}", gateway::error_message(&body)),
     })
 }
 
-/// Reads a body of at most so many bytes; the error says what was seen.
+/// Reads a body of at most `max_len` bytes; the error says why that failed.
 pub(crate) async fn read_limited(
     mut response: Response,
-    most: usize,
+    max_len: usize,
 ) -> std::result::Result<Bytes, String> {
     let mut body = BytesMut::new();
     while let Some(chunk) = response.chunk().await.map_err(|e| root_cause(&e))? {
-        if body.len() + chunk.len() > most {
-            return Err("answer too long".to_owned());
+        if body.len() + chunk.len() > max_len {
+            return Err("response too long".to_owned());
         }
         body.extend_from_slice(&chunk);
     }
--- a/src/platform/watch.rs
+++ b/src/platform/watch.rs
@@ -1,4 +1,4 @@
-//! The stream of changes under a prefix.
+//! Stream of the changes under a prefix.
 
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
 use crate::platform::transport::MAX_RESPONSE_LEN;
 use crate::platform::transport::Transport;
 
-/// An open watch.
+/// An open watch: its call, the connection and the bytes received so far.
 struct Watch {
     call: Call,
     base: BaseUrl,
@@ -40,40 +40,40 @@
         })
     }
 
-    fn failed(&self, reason: impl ToString) -> Error {
+    fn unanswered(&self, reason: impl ToString) -> Error {
         self.call.unanswered(&self.base, reason)
     }
 
     async fn next(&mut self) -> Result<Vec<Change>> {
         loop {
             let line = self.lines.decode(&mut self.buffer);
-            if let Some(line) = line.map_err(|e| self.failed(e))? {
-                return self.read_line(&line);
+            if let Some(line) = line.map_err(|e| self.unanswered(e))? {
+                return self.decode_line(&line);
             }
             let chunk = self.response.chunk().await;
-            match chunk.map_err(|e| self.failed(e))? {
+            match chunk.map_err(|e| self.unanswered(e))? {
                 Some(chunk) => self.buffer.extend_from_slice(&chunk),
-                None => return Err(self.failed("closed")),
+                None => return Err(self.unanswered("closed")),
             }
         }
     }
 
-    fn read_line(&self, line: &str) -> Result<Vec<Change>> {
+    fn decode_line(&self, line: &str) -> Result<Vec<Change>> {
         match gateway::event(line.as_bytes()) {
             Ok(Event::Changes(changes)) => Ok(changes),
-            Ok(Event::Cancelled(reason)) => Err(self.failed(reason)),
-            Err(reason) => Err(self.failed(reason)),
+            Ok(Event::Cancelled(reason)) => Err(self.unanswered(reason)),
+            Err(reason) => Err(self.unanswered(reason)),
         }
     }
 }
 
-/// State of the stream between two items.
+/// State of the stream: the watch is opened when the first batch is requested.
 enum State {
     Closed(Box<Call>),
     Open(Box<Watch>),
 }
 
-/// The batches of a watch, up to its first error.
+/// The batches of a watch; the stream ends after its first error.
 pub(crate) fn stream(
     transport: Arc<Transport>,
     call: Call,
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -550,7 +550,7 @@
 fn decode_all(bytes: &[u8]) {
     let _ = gateway::listing(bytes);
     let _ = gateway::probe(bytes);
-    let _ = gateway::swap(bytes);
+    let _ = gateway::swap_outcome(bytes);
     let _ = gateway::deletion(bytes);
     let _ = gateway::grant(bytes);
     let _ = gateway::keepalive(bytes);
