--- a/soak/src/backend.rs
+++ b/soak/src/backend.rs
@@ -13,7 +13,7 @@
 use godwitreel::flow::Segment;
 use godwitreel::flow::Tag;
 use platform::packet;
-use platform::packet::HEAD;
+use platform::packet::HEADER_LEN;
 use rand::RngExt;
 use tokio::net::UdpSocket;
 use tokio::sync::Mutex;
@@ -92,7 +92,7 @@
     });
     ledger.started(identity.serial);
     let task = tokio::spawn(async move {
-        let mut buffer = vec![0; ENVELOPE + packet::LARGEST];
+        let mut buffer = vec![0; ENVELOPE + packet::MAX_PACKET_LEN];
         while let Ok((length, from)) = server.socket.recv_from(&mut buffer).await {
             server.take(&buffer[..length], from).await;
         }
@@ -123,7 +123,7 @@
         if segment.opens() {
             self.open(&segment, from).await;
         } else {
-            self.carry(&segment, &bytes[HEAD..]).await;
+            self.carry(&segment, &bytes[HEADER_LEN..]).await;
         }
     }
 
--- a/soak/src/caller.rs
+++ b/soak/src/caller.rs
@@ -13,7 +13,7 @@
 use godwitreel::flow::Segment;
 use godwitreel::flow::Tag;
 use platform::packet;
-use platform::packet::HEAD;
+use platform::packet::HEADER_LEN;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -177,7 +177,7 @@
 }
 
 async fn receive(host: Arc<Host>) {
-    let mut buffer = vec![0; packet::LARGEST + 1];
+    let mut buffer = vec![0; packet::MAX_PACKET_LEN + 1];
     loop {
         let Ok((length, from)) = host.socket.recv_from(&mut buffer).await else {
             continue;
@@ -201,7 +201,7 @@
         let port = segment.flow_key.service.port();
         let inbox = host.inboxes().get(&port).cloned();
         if let Some(inbox) = inbox {
-            let _ = inbox.send((segment, bytes[HEAD..].to_vec(), author));
+            let _ = inbox.send((segment, bytes[HEADER_LEN..].to_vec(), author));
         }
     }
 }
--- a/soak/src/net.rs
+++ b/soak/src/net.rs
@@ -5,7 +5,7 @@
 
 use godwitreel::flow::Tag;
 use platform::packet;
-use platform::packet::HEAD;
+use platform::packet::HEADER_LEN;
 use tokio::net::UdpSocket;
 
 use crate::Error;
@@ -93,7 +93,7 @@
 impl Packet<'_> {
     /// The bytes, with the ends' checksum.
     pub fn encode(&self) -> Vec<u8> {
-        let mut bytes = vec![0; HEAD];
+        let mut bytes = vec![0; HEADER_LEN];
         bytes[..2].copy_from_slice(&(self.data.len() as u16).to_be_bytes());
         bytes[2] = self.flags;
         bytes[10..14].copy_from_slice(&self.seq.to_be_bytes());
@@ -103,7 +103,7 @@
         packet::set_tag(&mut bytes, self.tag);
         bytes.extend_from_slice(self.data);
         let sum = sum(&bytes);
-        bytes[SUM..HEAD].copy_from_slice(&sum.to_be_bytes());
+        bytes[SUM..HEADER_LEN].copy_from_slice(&sum.to_be_bytes());
         bytes
     }
 }
@@ -115,7 +115,7 @@
 
 /// FNV-1a over what the checksum covers; never 0, which marks the system's own.
 fn sum(bytes: &[u8]) -> u32 {
-    let covered = |at: &usize| !UNSUMMED.contains(at) && !(SUM..HEAD).contains(at);
+    let covered = |at: &usize| !UNSUMMED.contains(at) && !(SUM..HEADER_LEN).contains(at);
     let indexes = (0..bytes.len()).filter(covered);
     let hash = indexes.fold(0x811c_9dc5_u32, |hash, at| {
         (hash ^ u32::from(bytes[at])).wrapping_mul(0x0100_0193)
@@ -136,7 +136,7 @@
 
 /// Tells by the checksum who wrote a packet.
 pub fn author(bytes: &[u8]) -> Author {
-    let written = bytes.get(SUM..HEAD).map(|b| [b[0], b[1], b[2], b[3]]);
+    let written = bytes.get(SUM..HEADER_LEN).map(|b| [b[0], b[1], b[2], b[3]]);
     match written.map(u32::from_be_bytes) {
         Some(0) => Author::System,
         Some(written) if written == sum(bytes) => Author::End,
