--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's client against a stand-in, through its faults.
+//! Tests of the platform client against a stand-in with injected faults.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,14 +34,14 @@
 use tokio::time;
 use tokio::time::Instant;
 
-/// Longest that a test waits for anything.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest time that a test waits for an event.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn options() -> Options {
     Options {
         call_timeout: Duration::from_secs(2),
         connect_timeout: Duration::from_secs(1),
-        resolve_timeout: PATIENCE,
+        resolve_timeout: WAIT_TIMEOUT,
         backoff: BackoffBounds {
             first_delay: Duration::from_millis(20),
             max_delay: Duration::from_millis(100),
@@ -73,10 +73,10 @@
     receiver
 }
 
-/// The next update that is more than a sign of life.
+/// The next update other than `Contact`.
 async fn next(updates: &mut mpsc::Receiver<Update>) -> Update {
     loop {
-        match time::timeout(PATIENCE, updates.recv()).await {
+        match time::timeout(WAIT_TIMEOUT, updates.recv()).await {
             Ok(Some(Update::Contact { .. })) => {}
             Ok(Some(update)) => return update,
             other => panic!("no update: {other:?}"),
@@ -86,12 +86,12 @@
 
 async fn next_reset(updates: &mut mpsc::Receiver<Update>) -> Vec<(String, String)> {
     match next(updates).await {
-        Update::Reset { entries, .. } => entries.iter().map(pair).collect(),
+        Update::Reset { entries, .. } => entries.iter().map(key_and_value).collect(),
         other => panic!("no reset: {other:?}"),
     }
 }
 
-fn pair(entry: &Entry) -> (String, String) {
+fn key_and_value(entry: &Entry) -> (String, String) {
     let value = String::from_utf8_lossy(&entry.value).into_owned();
     (entry.key.clone(), value)
 }
@@ -109,7 +109,7 @@
     platform.put("q", "3");
     let client = client(&platform);
     let listing = client.list("p/").await.expect("a list");
-    let pairs: Vec<_> = listing.entries.iter().map(pair).collect();
+    let pairs: Vec<_> = listing.entries.iter().map(key_and_value).collect();
     assert_eq!(pairs, owned(&[("p/a", "1"), ("p/b", "2")]));
     assert_eq!(
         client.get("p/b").await.expect("a read"),
@@ -120,42 +120,43 @@
     assert_eq!(client.get("p/b").await.expect("a read"), None);
 }
 
-// Eight instances try to take the same slice at the same moment. All compare
-// with the same revision, the store applies one write and refuses seven, and
-// each loser is shown the winner's value.
+// Eight instances try to claim the same slice at the same time. All compare with
+// the same revision. The store applies one write and rejects seven, and each
+// loser gets the winner's value.
 #[tokio::test]
 async fn swap_race_has_one_winner() {
     let platform = start().await;
     let client = client(&platform);
     let names: Vec<String> = (0..8).map(|n| format!("holder {n}")).collect();
-    let tries = names
+    let attempts = names
         .iter()
         .map(|name| client.compare_and_swap("p/slice", None, name.as_bytes(), None));
-    let outcomes: Vec<SwapOutcome> = join_all(tries)
+    let outcomes: Vec<SwapOutcome> = join_all(attempts)
         .await
         .into_iter()
         .map(|o| o.expect("an answer"))
         .collect();
     let done = |outcome: &SwapOutcome| matches!(outcome, SwapOutcome::Done(_));
     let winner = outcomes.iter().position(done).expect("a winner");
-    let stands = client
+    let stored = client
         .get("p/slice")
         .await
         .expect("a read")
         .expect("a value");
-    assert_eq!(stands.value, names[winner].as_bytes());
+    assert_eq!(stored.value, names[winner].as_bytes());
     for (index, outcome) in outcomes.iter().enumerate() {
         let want = match index == winner {
-            true => SwapOutcome::Done(stands.mod_revision),
-            false => SwapOutcome::Lost(Some(stands.clone())),
+            true => SwapOutcome::Done(stored.mod_revision),
+            false => SwapOutcome::Lost(Some(stored.clone())),
         };
         assert_eq!(*outcome, want);
     }
 }
 
-// The store applies a write and its answer is lost. The caller is told that
-// nobody knows, and the write is not sent again: its second copy would be
-// refused because of the first and look lost although it stands.
+// The store applies a write and its response is lost. The caller gets an error
+// for an unknown outcome, and the write is not sent again: the second copy would
+// fail because of the first, and the write would appear lost although it was
+// applied.
 #[tokio::test]
 async fn write_is_never_sent_twice_blindly() {
     let platform = start().await;
@@ -174,8 +175,8 @@
     assert_eq!(client.counts().unanswered.load(Ordering::Relaxed), 1);
 }
 
-// The store applies a write and its answer is lost. Reading back shows the
-// writer's own mark, so that the caller is told that it is done.
+// The store applies a write and its response is lost. Reading the key back returns
+// the writer's own value, so that the write is reported as done.
 #[tokio::test]
 async fn lost_answer_of_an_applied_write_is_done() {
     let platform = start().await;
@@ -184,17 +185,17 @@
     let outcome = client
         .compare_and_swap_resolved("p/a", None, b"mine", None)
         .await;
-    let stands = client.get("p/a").await.expect("a read").expect("a value");
+    let stored = client.get("p/a").await.expect("a read").expect("a value");
     assert_eq!(
         outcome.expect("an outcome"),
-        ResolvedWrite::Done(stands.mod_revision)
+        ResolvedWrite::Done(stored.mod_revision)
     );
     assert_eq!(platform.counters().writes, 1);
 }
 
-// The connection closes before the store sees the write. Nothing is found when
-// the store is back, the same compare-and-swap is sent again, and the caller is
-// told that it is done, once.
+// The connection closes before the write reaches the store. When the store is
+// reachable again, the key doesn't exist, so that the same compare-and-swap is
+// sent again, and the write is reported as done.
 #[tokio::test]
 async fn write_that_never_arrived_is_done_by_its_second_copy() {
     let platform = start().await;
@@ -203,13 +204,15 @@
     let resolving = resolve_until_unanswered(&client, 2).await;
     assert_eq!(platform.get("p/a"), None);
     platform.down(false);
-    let outcome = time::timeout(PATIENCE, resolving).await.expect("in time");
+    let outcome = time::timeout(WAIT_TIMEOUT, resolving)
+        .await
+        .expect("in time");
     assert!(matches!(outcome.expect("a task"), ResolvedWrite::Done(_)));
     assert_eq!(platform.get("p/a"), Some(b"mine".to_vec()));
 }
 
-// The connection closes and, before the store is back, another writer changes
-// the key. The caller is told that another's value stands, and which.
+// The connection closes and, before the store is reachable again, another writer
+// changes the key. The write is reported as superseded, with the other value.
 #[tokio::test]
 async fn write_overtaken_by_another_is_not_done() {
     let platform = start().await;
@@ -218,15 +221,20 @@
     let resolving = resolve_until_unanswered(&client, 2).await;
     platform.put("p/a", "theirs");
     platform.down(false);
-    let outcome = time::timeout(PATIENCE, resolving).await.expect("in time");
+    let outcome = time::timeout(WAIT_TIMEOUT, resolving)
+        .await
+        .expect("in time");
     let ResolvedWrite::Superseded(Some(entry)) = outcome.expect("a task") else {
-        panic!("not overtaken");
+        panic!("not superseded");
     };
-    assert_eq!(pair(&entry), ("p/a".to_owned(), "theirs".to_owned()));
+    assert_eq!(
+        key_and_value(&entry),
+        ("p/a".to_owned(), "theirs".to_owned())
+    );
     assert_eq!(platform.get("p/a"), Some(b"theirs".to_vec()));
 }
 
-/// Starts a write and waits until so many calls were left without an answer.
+/// Starts a write and waits until `count` calls got no response.
 async fn resolve_until_unanswered(
     client: &Client,
     count: u64,
@@ -243,20 +251,22 @@
             time::sleep(Duration::from_millis(5)).await;
         }
     };
-    time::timeout(PATIENCE, reached).await.expect("the calls");
+    time::timeout(WAIT_TIMEOUT, reached)
+        .await
+        .expect("the calls");
     resolving
 }
 
-// The answer is lost and the store stays away for longer than the caller wants
-// to wait. Nothing can be read back, so the caller is told just that.
+// The response is lost, and the store stays unreachable for longer than the
+// resolve timeout. Nothing can be read back, so that the outcome is unknown.
 #[tokio::test]
 async fn write_that_cannot_be_read_back_is_unknown() {
     let platform = start().await;
-    let within = Options {
+    let short_resolve = Options {
         resolve_timeout: Duration::from_millis(200),
         ..options()
     };
-    let client = client_with(&[platform.address()], within);
+    let client = client_with(&[platform.address()], short_resolve);
     platform.down(true);
     let outcome = client
         .compare_and_swap_resolved("p/a", None, b"mine", None)
@@ -265,20 +275,22 @@
 }
 
 // One of the platform's addresses refuses connections. Nothing was sent there,
-// so that even a write may go to the next address, where it is done.
+// so that even a write may be sent to the next address, where it is applied.
 #[tokio::test]
 async fn calls_move_on_from_an_address_that_is_gone() {
-    let gone = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let gone_address = gone.local_addr().expect("an address");
-    drop(gone);
+    let refusing = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let refusing_address = refusing.local_addr().expect("an address");
+    drop(refusing);
     let platform = start().await;
-    let client = client_with(&[gone_address, platform.address()], options());
+    let client = client_with(&[refusing_address, platform.address()], options());
     let outcome = client.compare_and_swap("p/a", None, b"mine", None).await;
     assert!(matches!(outcome, Ok(SwapOutcome::Done(_))), "{outcome:?}");
     assert!(client.get("p/a").await.expect("a read").is_some());
     assert_eq!(client.counts().unreachable.load(Ordering::Relaxed), 1);
-    let alone = client_with(&[gone_address], options());
-    let outcome = alone.compare_and_swap("p/a", None, b"mine", None).await;
+    let only_refusing = client_with(&[refusing_address], options());
+    let outcome = only_refusing
+        .compare_and_swap("p/a", None, b"mine", None)
+        .await;
     assert!(
         matches!(outcome, Err(Error::Unreachable { .. })),
         "{outcome:?}"
@@ -308,17 +320,17 @@
     assert!(matches!(outcome, Err(Error::Refused { .. })), "{outcome:?}");
 }
 
-// More calls are asked for than this instance may make. Those above the
-// allowance are refused here with their own error and never reach the platform.
+// More calls are requested than the rate limit allows. Those above the limit fail
+// locally with an error of their own and are never sent to the platform.
 #[tokio::test]
 async fn allowance_refuses_before_anything_is_sent() {
     let platform = start().await;
-    let few = Options {
+    let low_rates = Options {
         read_rate: Rate(1),
         write_rate: Rate(1),
         ..options()
     };
-    let client = client_with(&[platform.address()], few);
+    let client = client_with(&[platform.address()], low_rates);
     let reads = join_all((0..50).map(|_| client.get("p/a"))).await;
     let refused = reads
         .iter()
@@ -352,16 +364,16 @@
 }
 
 #[tokio::test]
-async fn follower_hands_on_changes_in_order() {
+async fn follower_sends_changes_in_order() {
     let platform = start().await;
     platform.put("p/a", "1");
     platform.put("q", "other");
-    // Far between, so that no probe takes a slow machine for a deaf watch.
-    let rarely = Options {
+    // A long interval, so that on a slow machine no probe takes the watch for stuck.
+    let slow_probes = Options {
         probe_interval: Duration::from_secs(1),
         ..options()
     };
-    let mut updates = follow(&client_with(&[platform.address()], rarely));
+    let mut updates = follow(&client_with(&[platform.address()], slow_probes));
     assert_eq!(next_reset(&mut updates).await, owned(&[("p/a", "1")]));
     platform.put("p/a", "2");
     platform.put("q", "other still");
@@ -369,28 +381,28 @@
     let Update::Change(Change::Put(entry)) = next(&mut updates).await else {
         panic!("no put");
     };
-    assert_eq!(pair(&entry), ("p/a".to_owned(), "2".to_owned()));
+    assert_eq!(key_and_value(&entry), ("p/a".to_owned(), "2".to_owned()));
     let Update::Change(Change::Delete { key, .. }) = next(&mut updates).await else {
         panic!("no deletion");
     };
     assert_eq!(key, "p/a");
-    let update = time::timeout(PATIENCE, updates.recv()).await;
+    let update = time::timeout(WAIT_TIMEOUT, updates.recv()).await;
     assert!(
         matches!(update, Ok(Some(Update::Contact { .. }))),
         "{update:?}"
     );
 }
 
-// Nothing changes for a while. Each contact carries the time at which it was
-// asked for, so that a consumer that comes late to it doesn't take it for new.
+// Nothing changes for a while. Each contact carries the time at which its probe
+// was sent, so that a consumer that handles it late knows its age.
 #[tokio::test]
-async fn follower_tells_contact_with_its_time() {
+async fn follower_sends_contacts_with_their_time() {
     let platform = start().await;
     let mut updates = follow(&client(&platform));
     assert!(next_reset(&mut updates).await.is_empty());
     let mut last = Instant::now();
     for _ in 0..3 {
-        let update = time::timeout(PATIENCE, updates.recv()).await;
+        let update = time::timeout(WAIT_TIMEOUT, updates.recv()).await;
         let Ok(Some(Update::Contact { at })) = update else {
             panic!("no contact: {update:?}");
         };
@@ -399,11 +411,11 @@
     }
 }
 
-// The platform goes away for a while, and a change is made before it answers
-// again. The consumer learns since when it is silent, once, and gets the whole
-// prefix, with the change, when it is back.
+// The platform is unreachable for a while, and a change is made before it responds
+// again. The consumer gets the start of the outage, once, and then the whole
+// prefix, with the change, when the platform responds again.
 #[tokio::test]
-async fn follower_tells_silence_and_then_everything() {
+async fn follower_reports_an_outage_and_then_the_whole_prefix() {
     let platform = start().await;
     platform.put("p/a", "1");
     platform.put("p/b", "1");
@@ -413,7 +425,7 @@
     let down = Instant::now();
     platform.down(true);
     let Update::Unreachable { since } = next(&mut updates).await else {
-        panic!("no silence");
+        panic!("no outage reported");
     };
     assert!(since >= started && since <= down, "{since:?}");
     platform.put("p/a", "2");
@@ -422,11 +434,12 @@
     assert_eq!(next_reset(&mut updates).await, owned(&[("p/a", "2")]));
 }
 
-// One of the platform's two addresses lags behind the other. The good one goes
-// away, the follower asks the lagging one, and its old value is not handed on:
-// the consumer sees silence, then the newest value when the good one is back.
+// One of the platform's two addresses lags behind the other. When the current one
+// becomes unreachable, the follower queries the lagging one, whose old value must
+// not be sent to the consumer. The consumer is informed of the outage, then gets
+// the newest value when the current address is reachable again.
 #[tokio::test]
-async fn follower_is_not_taken_back_by_a_lagging_address() {
+async fn follower_rejects_the_older_data_of_a_lagging_address() {
     let good = start().await;
     let lagging = start().await;
     for platform in [&good, &lagging] {
@@ -446,15 +459,18 @@
             time::sleep(Duration::from_millis(5)).await;
         }
     };
-    time::timeout(PATIENCE, stale).await.expect("stale answers");
+    time::timeout(WAIT_TIMEOUT, stale)
+        .await
+        .expect("stale answers");
     good.put("p/b", "newer");
     good.down(false);
     let want = owned(&[("p/a", "new"), ("p/b", "newer")]);
     assert_eq!(next_reset(&mut updates).await, want);
 }
 
-/// Answer to a list of one key, in the gateway's form: `p/a` is `1` or `2`.
-fn list_answer(store_revision: u64, mod_revision: u64, value: &str) -> String {
+/// The gateway's response to a listing with the only key `p/a`; `value` is in
+/// base64.
+fn list_response(store_revision: u64, mod_revision: u64, value: &str) -> String {
     format!(
         r#"{{"header":{{"revision":"{store_revision}"}},"count":"1","kvs":[
             {{"key":"cC9h","value":"{value}","mod_revision":"{mod_revision}"}}]}}"#
@@ -464,9 +480,9 @@
 const ONE: &str = "MQ==";
 const TWO: &str = "Mg==";
 
-/// A platform whose reads answer what is set and whose watches tell nothing.
-async fn deaf_platform(answer: Arc<Mutex<String>>) -> SocketAddr {
-    let range = post(move || async move { answer.lock().expect("no panic").clone() });
+/// A platform whose reads return `response` and whose watches deliver no changes.
+async fn platform_with_stuck_watches(response: Arc<Mutex<String>>) -> SocketAddr {
+    let range = post(move || async move { response.lock().expect("no panic").clone() });
     let watch = post(|| async {
         let created = "{\"result\":{\"header\":{\"revision\":\"5\"},\"created\":true}}\n";
         let first = stream::iter([Ok::<_, std::io::Error>(created)]);
@@ -481,28 +497,28 @@
     address
 }
 
-// Something between the two ends has forgotten the watch's connection, while
-// new calls work. A change is made, the watch tells nothing and gives no error.
-// The probes show that something is missing, and listing again brings it.
+// A device on the path has dropped the state of the watch's connection, while new
+// calls work. A change is made, and the watch delivers nothing and reports no
+// error. The probes show that a change is missing, and a new listing returns it.
 #[tokio::test]
-async fn follower_notices_a_watch_that_has_gone_deaf() {
-    let answer = Arc::new(Mutex::new(list_answer(5, 5, ONE)));
-    let address = deaf_platform(Arc::clone(&answer)).await;
+async fn follower_detects_a_watch_that_delivers_no_changes() {
+    let response = Arc::new(Mutex::new(list_response(5, 5, ONE)));
+    let address = platform_with_stuck_watches(Arc::clone(&response)).await;
     let mut updates = follow(&client_with(&[address], options()));
     assert_eq!(next_reset(&mut updates).await, owned(&[("p/a", "1")]));
-    *answer.lock().expect("no panic") = list_answer(6, 6, TWO);
+    *response.lock().expect("no panic") = list_response(6, 6, TWO);
     assert_eq!(next_reset(&mut updates).await, owned(&[("p/a", "2")]));
 }
 
-// The platform claims a newer revision and yet shows an older value of a key.
-// The consumer keeps the value that it has been handed before.
+// The platform reports a newer revision and yet returns an older value of a key.
+// The follower keeps the newer value that it sent before.
 #[tokio::test]
 async fn follower_keeps_a_key_that_a_later_list_shows_older() {
-    let answer = Arc::new(Mutex::new(list_answer(6, 6, TWO)));
-    let address = deaf_platform(Arc::clone(&answer)).await;
+    let response = Arc::new(Mutex::new(list_response(6, 6, TWO)));
+    let address = platform_with_stuck_watches(Arc::clone(&response)).await;
     let mut updates = follow(&client_with(&[address], options()));
     assert_eq!(next_reset(&mut updates).await, owned(&[("p/a", "2")]));
-    *answer.lock().expect("no panic") = list_answer(7, 5, ONE);
+    *response.lock().expect("no panic") = list_response(7, 5, ONE);
     assert_eq!(next_reset(&mut updates).await, owned(&[("p/a", "2")]));
 }
 
@@ -512,7 +528,7 @@
     let (sender, receiver) = mpsc::channel(1);
     let following = tokio::spawn(platform::follow(client(&platform), "p/".to_owned(), sender));
     drop(receiver);
-    let ended = time::timeout(PATIENCE, following).await;
+    let ended = time::timeout(WAIT_TIMEOUT, following).await;
     ended.expect("in time").expect("no panic");
 }
 
