--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -134,7 +134,7 @@
     let outcomes: Vec<SwapOutcome> = join_all(attempts)
         .await
         .into_iter()
-        .map(|o| o.expect("an answer"))
+        .map(|o| o.expect("a response"))
         .collect();
     let done = |outcome: &SwapOutcome| matches!(outcome, SwapOutcome::Done(_));
     let winner = outcomes.iter().position(done).expect("a winner");
@@ -307,11 +307,14 @@
         .compare_and_swap("p/a", None, b"here", Some(lease))
         .await;
     assert!(matches!(outcome, Ok(SwapOutcome::Done(_))), "{outcome:?}");
-    assert_eq!(client.lease_keepalive(lease).await.expect("an answer"), ttl);
-    client.lease_revoke(lease).await.expect("an answer");
+    assert_eq!(
+        client.lease_keepalive(lease).await.expect("a response"),
+        ttl
+    );
+    client.lease_revoke(lease).await.expect("a response");
     assert_eq!(platform.get("p/a"), None);
     assert_eq!(
-        client.lease_keepalive(lease).await.expect("an answer"),
+        client.lease_keepalive(lease).await.expect("a response"),
         Duration::ZERO
     );
     let outcome = client
@@ -461,7 +464,7 @@
     };
     time::timeout(WAIT_TIMEOUT, stale)
         .await
-        .expect("stale answers");
+        .expect("stale responses");
     good.put("p/b", "newer");
     good.down(false);
     let want = owned(&[("p/a", "new"), ("p/b", "newer")]);
