--- a/soak/src/net.rs
+++ b/soak/src/net.rs
@@ -5,7 +5,7 @@
 
 use godwitreel::flow::Tag;
 use platform::packet;
-use platform::packet::HEAD;
+use platform::packet::HEADER_LEN;
 use tokio::net::UdpSocket;
 
 use crate::Error;
@@ -94,7 +94,7 @@
 impl Packet<'_> {
     /// Encodes the packet with its checksum.
     pub fn encode(&self) -> Vec<u8> {
-        let mut bytes = vec![0; HEAD];
+        let mut bytes = vec![0; HEADER_LEN];
         bytes[..2].copy_from_slice(&(self.data.len() as u16).to_be_bytes());
         bytes[2] = self.flags;
         bytes[10..14].copy_from_slice(&self.seq.to_be_bytes());
@@ -104,7 +104,7 @@
         packet::set_tag(&mut bytes, self.tag);
         bytes.extend_from_slice(self.data);
         let checksum = checksum(&bytes);
-        bytes[CHECKSUM_OFFSET..HEAD].copy_from_slice(&checksum.to_be_bytes());
+        bytes[CHECKSUM_OFFSET..HEADER_LEN].copy_from_slice(&checksum.to_be_bytes());
         bytes
     }
 }
@@ -117,7 +117,7 @@
 /// FNV-1a over the covered bytes. Never 0, which marks packets that the system writes.
 fn checksum(bytes: &[u8]) -> u32 {
     let covered =
-        |at: &usize| !UNCHECKED_BYTES.contains(at) && !(CHECKSUM_OFFSET..HEAD).contains(at);
+        |at: &usize| !UNCHECKED_BYTES.contains(at) && !(CHECKSUM_OFFSET..HEADER_LEN).contains(at);
     let indexes = (0..bytes.len()).filter(covered);
     let hash = indexes.fold(0x811c_9dc5_u32, |hash, at| {
         (hash ^ u32::from(bytes[at])).wrapping_mul(0x0100_0193)
@@ -139,7 +139,7 @@
 /// Determines the author of a packet by its checksum.
 pub fn author(bytes: &[u8]) -> Author {
     let checksum_bytes = bytes
-        .get(CHECKSUM_OFFSET..HEAD)
+        .get(CHECKSUM_OFFSET..HEADER_LEN)
         .map(|b| [b[0], b[1], b[2], b[3]]);
     match checksum_bytes.map(u32::from_be_bytes) {
         Some(0) => Author::System,
--- a/src/steer.rs
+++ b/src/steer.rs
@@ -150,7 +150,7 @@
                     .mark_synced(prefix, change.mod_revision());
                 self.handle_change(now, &change);
             }
-            Update::Silent { .. } => {
+            Update::Unreachable { .. } => {
                 if prefix == KEY_PREFIX {
                     warn!(self.shared.log, "platform does not answer");
                     self.shared.control().lose_contact();
