--- a/tests/decoders.rs
+++ b/tests/decoders.rs
@@ -157,7 +157,7 @@
     Receipt(u16, u16, bool),
     Answer(usize, u8),
     UnknownAttempt(u64),
-    ReplicationStep(u8, u64, u8, u16),
+    Replication(u8, u64, u8, u16),
     ReplicationAck(u64),
     FinalOutcome(u16, bool),
     FeedTransfer(u16, u32),
@@ -176,7 +176,7 @@
         8 => (any::<usize>(), 0..5u8).prop_map(|(w, k)| Step::Answer(w, k)),
         1 => any::<u64>().prop_map(Step::UnknownAttempt),
         3 => (0..3u8, 0..6u64, 0..4u8, 0..8u16)
-            .prop_map(|(f, e, k, c)| Step::ReplicationStep(f, e, k, c)),
+            .prop_map(|(f, e, k, c)| Step::Replication(f, e, k, c)),
         3 => (0..64u64).prop_map(Step::ReplicationAck),
         1 => (0..8u16, any::<bool>()).prop_map(|(c, e)| Step::FinalOutcome(c, e)),
         1 => (0..8u16, any::<u32>()).prop_map(|(c, s)| Step::FeedTransfer(c, s)),
@@ -284,7 +284,7 @@
                 attempt: id::Attempt(attempt),
                 answer: lab::notification("x"),
             },
-            Step::ReplicationStep(from, epoch, kind, caller) => {
+            Step::Replication(from, epoch, kind, caller) => {
                 let from = self.holders[usize::from(from)].clone();
                 peer(&from, replicate(epoch, kind, &Self::flow(caller)))
             }
