--- a/tests/bench.rs
+++ b/tests/bench.rs
@@ -1,4 +1,4 @@
-//! A bench of another kind drives the decision core through one adapter file.
+//! An external test bench can drive the decision core through a single adapter file.
 
 mod adapter;
 
@@ -9,34 +9,33 @@
 const ACTIONS: &str = include_str!("fixtures/bench-actions.txt");
 
 fn adapter() -> Adapter {
-    let me = "bole-1#1".parse().expect("a holder");
-    Adapter::new(me, "bole".parse().expect("a zone"))
+    let holder = "bole-1#1".parse().expect("a holder");
+    Adapter::new(holder, "bole".parse().expect("a zone"))
 }
 
-/// What one line led to, as one line: the line's number and the actions.
-fn answers(events: &str) -> Vec<(usize, Value)> {
+/// Handles all event lines and returns the resulting actions, each with its line number.
+fn replay(events: &str) -> Vec<(usize, Value)> {
     let mut adapter = adapter();
-    let mut answers = Vec::new();
-    for (place, line) in events.lines().enumerate() {
-        let actions = adapter
-            .handle_line(line)
-            .expect("a line that is understood");
-        let number = place + 1;
-        answers.extend(actions.into_iter().map(|action| (number, action)));
+    let mut numbered_actions = Vec::new();
+    for (index, line) in events.lines().enumerate() {
+        let actions = adapter.handle_line(line).expect("a valid event line");
+        let number = index + 1;
+        numbered_actions.extend(actions.into_iter().map(|action| (number, action)));
     }
-    answers
+    numbered_actions
 }
 
-/// A booking is claimed at the backup before it is forwarded, a copy of it gets
-/// the same answer, a feed survives its server's leaving, and a booking whose
-/// server stays silent ends as unknown: all from recorded lines, none of which
-/// needs anything of the core that the daemon does not use.
+/// The recorded events cover a booking that is claimed at the backup before it is
+/// forwarded, a retransmission that gets the same answer, a feed that survives the
+/// drain of its server, and a booking with an unknown outcome because its server
+/// does not answer. The adapter uses only those interfaces of the core that the
+/// daemon uses.
 #[test]
 fn recorded_events_lead_to_the_recorded_actions() {
-    let answers = answers(EVENTS);
-    // The printed lines replace the recorded ones after a change that is meant.
+    let actual = replay(EVENTS);
+    // After an intended change, the printed lines replace those in the fixture file.
     if std::env::var_os("RECORD").is_some() {
-        for (number, action) in &answers {
+        for (number, action) in &actual {
             println!("{number} {action}");
         }
     }
@@ -48,10 +47,10 @@
             (number.parse().expect("a number"), action)
         })
         .collect();
-    for (answer, record) in answers.iter().zip(&recorded) {
-        assert_eq!(answer, record);
+    for (action, expected) in actual.iter().zip(&recorded) {
+        assert_eq!(action, expected);
     }
-    assert_eq!(answers.len(), recorded.len());
+    assert_eq!(actual.len(), recorded.len());
 }
 
 #[test]
--- a/tests/burn.rs
+++ b/tests/burn.rs
@@ -1,4 +1,5 @@
-//! Service-level burn: counting, merging, verdicts and gathering.
+//! Burn rates of service-level objectives: counting events, merging samples, verdicts
+//! and collecting samples from instances.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -43,10 +44,10 @@
     text.parse().expect("a holder")
 }
 
-fn ledger(start: Instant) -> BurnCounter {
-    let mut ledger = BurnCounter::new(holder("e1#1"), start);
-    ledger.configure(&BTreeMap::from([(service("booking"), OBJECTIVE)]));
-    ledger
+fn counter(start: Instant) -> BurnCounter {
+    let mut counter = BurnCounter::new(holder("e1#1"), start);
+    counter.configure(&BTreeMap::from([(service("booking"), OBJECTIVE)]));
+    counter
 }
 
 /// Good and bad events in 5 min, 1 h, 6 h and 3 d.
@@ -57,14 +58,14 @@
     Window::ALL.map(|window| (windows[&window].good, windows[&window].bad))
 }
 
-fn sample(holder_text: &str, covered_ms: u64, objective: Objective, counts: Counts) -> Sample {
+fn sample(holder_name: &str, covered_ms: u64, objective: Objective, counts: Counts) -> Sample {
     let counts = counts.map(|(good, bad)| Count { good, bad });
     let tally = Tally {
         objective,
         windows: Window::ALL.into_iter().zip(counts).collect(),
     };
     Sample {
-        holder: holder(holder_text),
+        holder: holder(holder_name),
         covered_ms,
         services: BTreeMap::from([(service("booking"), tally)]),
     }
@@ -77,12 +78,16 @@
     }
 }
 
-fn line(report: &Report) -> &burn::Line {
+fn service_line(report: &Report) -> &burn::Line {
     &report.services[&service("booking")]
 }
 
 fn rates(report: &Report) -> [Option<f64>; 4] {
-    Window::ALL.map(|window| line(report).windows[&window].rate.map(|rate| rate.0))
+    Window::ALL.map(|window| {
+        service_line(report).windows[&window]
+            .rate
+            .map(|rate| rate.0)
+    })
 }
 
 #[test]
@@ -109,25 +114,25 @@
 fn an_event_leaves_each_window_at_its_length() {
     let start = Instant::now();
     let at = |seconds| start + Duration::from_secs(seconds);
-    let mut ledger = ledger(start);
-    ledger.bad(start, &service("booking"));
-    let gone = |n| {
-        let kept = |window| (0, u64::from(window >= n));
-        [kept(0), kept(1), kept(2), kept(3)]
+    let mut counter = counter(start);
+    counter.bad(start, &service("booking"));
+    let expired_in = |expired_windows| {
+        let bad_events = |window| (0, u64::from(window >= expired_windows));
+        [bad_events(0), bad_events(1), bad_events(2), bad_events(3)]
     };
     for (seconds, expected) in [
-        (0, gone(0)),
-        (5 * MINUTE - 1, gone(0)),
-        (5 * MINUTE, gone(1)),
-        (HOUR - 1, gone(1)),
-        (HOUR, gone(2)),
-        (6 * HOUR - 1, gone(2)),
-        (6 * HOUR, gone(3)),
-        (3 * DAY - 1, gone(3)),
-        (3 * DAY, gone(4)),
-        (300 * DAY, gone(4)),
+        (0, expired_in(0)),
+        (5 * MINUTE - 1, expired_in(0)),
+        (5 * MINUTE, expired_in(1)),
+        (HOUR - 1, expired_in(1)),
+        (HOUR, expired_in(2)),
+        (6 * HOUR - 1, expired_in(2)),
+        (6 * HOUR, expired_in(3)),
+        (3 * DAY - 1, expired_in(3)),
+        (3 * DAY, expired_in(4)),
+        (300 * DAY, expired_in(4)),
     ] {
-        let sample = ledger.sample(at(seconds));
+        let sample = counter.sample(at(seconds));
         assert_eq!(counts(&sample), expected, "after {seconds} s");
         assert_eq!(sample.covered_ms, seconds * 1_000);
     }
@@ -137,42 +142,42 @@
 fn a_late_event_goes_into_its_own_bucket() {
     let start = Instant::now();
     let at = |seconds| start + Duration::from_secs(seconds);
-    let mut ledger = ledger(start);
-    ledger.good(at(400), &service("booking"));
-    ledger.good(at(395), &service("booking"));
-    ledger.good(at(110), &service("booking"));
-    ledger.good(at(109), &service("booking"));
+    let mut counter = counter(start);
+    counter.good(at(400), &service("booking"));
+    counter.good(at(395), &service("booking"));
+    counter.good(at(110), &service("booking"));
+    counter.good(at(109), &service("booking"));
     assert_eq!(
-        counts(&ledger.sample(at(400))),
+        counts(&counter.sample(at(400))),
         [(3, 0), (4, 0), (4, 0), (4, 0)]
     );
-    assert_eq!(counts(&ledger.sample(at(410)))[0], (2, 0));
-    assert_eq!(counts(&ledger.sample(at(695)))[0], (1, 0));
+    assert_eq!(counts(&counter.sample(at(410)))[0], (2, 0));
+    assert_eq!(counts(&counter.sample(at(695)))[0], (1, 0));
 }
 
 #[test]
 fn settled_requests_count_under_the_objective_in_force() {
     let start = Instant::now();
-    let mut ledger = ledger(start);
+    let mut counter = counter(start);
     let booking = service("booking");
     let answered = Outcome::Answered(bytes::Bytes::new());
     let elapsed = Duration::from_millis(400);
-    ledger.settle(start, &booking, &answered, elapsed);
+    counter.settle(start, &booking, &answered, elapsed);
     let strict = Objective {
         latency_ms: 300,
         ..OBJECTIVE
     };
-    ledger.configure(&BTreeMap::from([(booking.clone(), strict)]));
-    ledger.settle(start, &booking, &answered, elapsed);
-    ledger.settle(start, &service("records"), &answered, elapsed);
+    counter.configure(&BTreeMap::from([(booking.clone(), strict)]));
+    counter.settle(start, &booking, &answered, elapsed);
+    counter.settle(start, &service("records"), &answered, elapsed);
 
-    let sample = ledger.sample(start);
+    let sample = counter.sample(start);
 
     assert_eq!(counts(&sample), [(1, 1); 4]);
     assert_eq!(sample.services[&booking].objective, strict);
     assert_eq!(sample.services.len(), 1);
-    ledger.configure(&BTreeMap::new());
-    assert!(ledger.sample(start).services.is_empty());
+    counter.configure(&BTreeMap::new());
+    assert!(counter.sample(start).services.is_empty());
 }
 
 #[test]
@@ -182,20 +187,20 @@
 }
 
 proptest! {
-    /// The rings hold just what a list of all events holds.
+    /// The ring buffers of the windows hold the same counts as a list of all events.
     #[test]
     fn rings_agree_with_a_list(events in prop::collection::vec((0..5_000_u64, any::<bool>()), 1..200)) {
         let start = Instant::now();
-        let mut ledger = ledger(start);
+        let mut counter = counter(start);
         let mut list = Vec::new();
         let mut now = 0;
         for (step, good) in events {
             now += step;
             let at = start + Duration::from_secs(now);
             if good {
-                ledger.good(at, &service("booking"));
+                counter.good(at, &service("booking"));
             } else {
-                ledger.bad(at, &service("booking"));
+                counter.bad(at, &service("booking"));
             }
             list.push((now, good));
             let expected = Window::ALL.map(|window| {
@@ -205,7 +210,7 @@
                 let good = kept.clone().filter(|(_, good)| *good).count() as u64;
                 (good, kept.count() as u64 - good)
             });
-            prop_assert_eq!(counts(&ledger.sample(at)), expected);
+            prop_assert_eq!(counts(&counter.sample(at)), expected);
         }
     }
 }
@@ -221,17 +226,21 @@
     ];
     let report = Report::merge(&samples, Vec::new());
 
-    let heard: Vec<String> = report.heard.iter().map(|h| h.holder.to_string()).collect();
-    assert_eq!(heard, ["e1#1", "e1#2", "e2#9"]);
-    let figure = line(&report).windows[&Window::Hour];
+    let holders: Vec<String> = report
+        .heard
+        .iter()
+        .map(|source| source.holder.to_string())
+        .collect();
+    assert_eq!(holders, ["e1#1", "e1#2", "e2#9"]);
+    let hour = service_line(&report).windows[&Window::Hour];
     assert_eq!(
-        figure.count,
+        hour.count,
         Count {
             good: 1_987,
             bad: 13
         }
     );
-    assert_eq!(figure.rate, Some(Rate(6.5)));
+    assert_eq!(hour.rate, Some(Rate(6.5)));
     assert_eq!(report.worst(), Verdict::Ticket);
 }
 
@@ -241,23 +250,29 @@
     let over_page = (98_559, 1_441);
     let at_ticket = (999, 1);
     let over_ticket = (998, 2);
-    let none = (100, 0);
+    let all_good = (100, 0);
     for (windows, verdict) in [
-        ([over_page, over_page, none, none], Verdict::Page),
-        ([at_page, over_page, none, none], Verdict::Ok),
-        ([over_page, at_page, none, none], Verdict::Ok),
-        ([over_page, none, over_ticket, over_ticket], Verdict::Ticket),
-        ([none, none, over_ticket, over_ticket], Verdict::Ticket),
-        ([none, none, at_ticket, over_ticket], Verdict::Ok),
-        ([none, none, over_ticket, at_ticket], Verdict::Ok),
+        ([over_page, over_page, all_good, all_good], Verdict::Page),
+        ([at_page, over_page, all_good, all_good], Verdict::Ok),
+        ([over_page, at_page, all_good, all_good], Verdict::Ok),
+        (
+            [over_page, all_good, over_ticket, over_ticket],
+            Verdict::Ticket,
+        ),
+        (
+            [all_good, all_good, over_ticket, over_ticket],
+            Verdict::Ticket,
+        ),
+        ([all_good, all_good, at_ticket, over_ticket], Verdict::Ok),
+        ([all_good, all_good, over_ticket, at_ticket], Verdict::Ok),
         ([over_page; 4], Verdict::Page),
     ] {
-        let one = [sample("e1#1", 1, OBJECTIVE, windows)];
-        let whole = Report::merge(&one, Vec::new());
-        assert_eq!(line(&whole).verdict, verdict, "{windows:?}");
-        let blind = Report::merge(&one, vec![gap("e2")]);
+        let samples = [sample("e1#1", 1, OBJECTIVE, windows)];
+        let complete = Report::merge(&samples, Vec::new());
+        assert_eq!(service_line(&complete).verdict, verdict, "{windows:?}");
+        let incomplete = Report::merge(&samples, vec![gap("e2")]);
         assert_eq!(
-            line(&blind).verdict,
+            service_line(&incomplete).verdict,
             verdict.max(Verdict::UnknownGap),
             "{windows:?}"
         );
@@ -267,7 +282,7 @@
             "e1#1",
             1,
             OBJECTIVE,
-            [at_page, over_page, at_ticket, none],
+            [at_page, over_page, at_ticket, all_good],
         )],
         Vec::new(),
     );
@@ -278,12 +293,12 @@
 }
 
 #[test]
-fn a_gap_is_named_everywhere_and_never_health() {
+fn a_gap_is_named_everywhere_and_never_healthy() {
     let samples = [sample("e1#1", 5_000, OBJECTIVE, [(100, 0); 4])];
     let report = Report::merge(&samples, vec![gap("e3"), gap("e2"), gap("e3")]);
 
     assert_eq!(report.gaps, [gap("e2"), gap("e3")]);
-    assert_eq!(line(&report).verdict, Verdict::UnknownGap);
+    assert_eq!(service_line(&report).verdict, Verdict::UnknownGap);
     assert_eq!(report.worst(), Verdict::UnknownGap);
     let text = report.text();
     assert!(text.contains("unknown-gap"), "{text}");
@@ -303,27 +318,27 @@
     );
 }
 
-/// A registration that cannot be read, or a list that cannot be had, is found out
-/// beside the samples. The services must not go on looking well.
+/// An unreadable registration or a missing instance list is detected apart from the
+/// samples and added after the merge. The services must not be reported as healthy.
 #[test]
-fn what_is_missed_after_the_merge_is_not_health() {
-    let whole = || {
+fn instances_missed_after_the_merge_are_not_healthy() {
+    let complete_report = || {
         let counts = [(10, 0); 4];
         Report::merge(&[sample("bole-1#1", 1, OBJECTIVE, counts)], Vec::new())
     };
-    let mut report = whole();
+    let mut report = complete_report();
     report.add_missing(Vec::new(), None);
     assert_eq!(
-        (line(&report).verdict, report.is_whole()),
+        (service_line(&report).verdict, report.is_whole()),
         (Verdict::Ok, true)
     );
     report.add_missing(vec![gap("kality-1")], None);
-    assert_eq!(line(&report).verdict, Verdict::UnknownGap);
+    assert_eq!(service_line(&report).verdict, Verdict::UnknownGap);
     assert_eq!(report.worst(), Verdict::UnknownGap);
     assert!(!report.is_whole());
-    let mut report = whole();
+    let mut report = complete_report();
     report.add_missing(Vec::new(), Some("platform: no answer".to_owned()));
-    assert_eq!(line(&report).verdict, Verdict::UnknownGap);
+    assert_eq!(service_line(&report).verdict, Verdict::UnknownGap);
     assert!(!report.is_whole());
     assert!(
         report
@@ -333,12 +348,13 @@
 }
 
 #[test]
-fn nothing_heard_is_not_health() {
-    let none = Report::merge(&[], Vec::new());
-    assert_eq!(none.worst(), Verdict::UnknownGap);
-    assert!(none.text().contains("no instance was heard from"));
+fn a_report_without_samples_is_not_healthy() {
+    let empty = Report::merge(&[], Vec::new());
+    assert_eq!(empty.worst(), Verdict::UnknownGap);
+    assert!(empty.text().contains("no instance was heard from"));
     assert!(
-        none.svg()
+        empty
+            .svg()
             .expect("a plot")
             .contains("no instance was heard from")
     );
@@ -348,12 +364,12 @@
     assert_eq!(idle.worst(), Verdict::Ok);
     assert!(
         !idle.text().contains("0.00"),
-        "no events is not a rate of 0"
+        "without events there is no rate, not a rate of 0"
     );
 }
 
 #[test]
-fn the_strictest_of_different_objectives_is_used_and_said() {
+fn the_strictest_of_different_objectives_is_used_and_reported() {
     let loose = Objective {
         good_percent: 99.0,
         latency_ms: 200,
@@ -368,8 +384,8 @@
         good_percent: 99.9,
         latency_ms: 200,
     };
-    assert_eq!(line(&report).objective, strictest);
-    assert_eq!(line(&report).conflict, [loose, OBJECTIVE]);
+    assert_eq!(service_line(&report).objective, strictest);
+    assert_eq!(service_line(&report).conflict, [loose, OBJECTIVE]);
     assert_eq!(rates(&report), [Some(2.5); 4]);
     let text = report.text();
     assert!(
@@ -411,8 +427,8 @@
     assert!(!text.contains("reach back"), "{text}");
 
     let json = report.json().expect("JSON");
-    let back: Report = serde_json::from_str(&json).expect("the report");
-    assert_eq!(back, report);
+    let decoded: Report = serde_json::from_str(&json).expect("the report");
+    assert_eq!(decoded, report);
 
     let svg = report.svg().expect("a plot");
     for part in ["<svg", "booking", "page above 14.4", "ticket above 1", "3d"] {
@@ -429,29 +445,33 @@
     id::Endpoint(address)
 }
 
-fn instance(sample: Sample) -> Router {
+fn sample_server(sample: Sample) -> Router {
     Router::new().route("/burn", get(move || async move { Json(sample) }))
 }
 
-/// One instance answers. The others are gone, hang, answer for an instance that
-/// took over the address, or answer with something else. Each must show as a gap,
-/// since leaving it out would look like health, and none may hold up the report.
+/// One instance answers. The others have ended, hang, answer on behalf of an instance
+/// that took over the address, or answer with an invalid body. Each must be reported
+/// as a gap, since a report without it would appear healthy, and none may delay the
+/// report past its timeout.
 #[tokio::test]
 async fn instances_that_give_no_sample_of_their_own_are_gaps() {
-    let mine = sample("e1#1", 1, OBJECTIVE, [(10, 0); 4]);
-    let hang = || async {
+    let own_sample = sample("e1#1", 1, OBJECTIVE, [(10, 0); 4]);
+    let never_answer = || async {
         std::future::pending::<()>().await;
     };
-    let closed = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
         .await
         .expect("a port");
-    let gone = id::Endpoint(closed.local_addr().expect("an address"));
-    drop(closed);
+    let closed_endpoint = id::Endpoint(listener.local_addr().expect("an address"));
+    drop(listener);
     let endpoints = [
-        ("e1", serve(instance(mine.clone())).await),
-        ("e2", gone),
-        ("e3", serve(Router::new().route("/burn", get(hang))).await),
-        ("e4", serve(instance(mine)).await),
+        ("e1", serve(sample_server(own_sample.clone())).await),
+        ("e2", closed_endpoint),
+        (
+            "e3",
+            serve(Router::new().route("/burn", get(never_answer))).await,
+        ),
+        ("e4", serve(sample_server(own_sample)).await),
         (
             "e5",
             serve(Router::new().route("/burn", get(|| async { "?" }))).await,
@@ -465,10 +485,10 @@
         .expect("a report");
 
     assert_eq!(
-        line(&report).windows[&Window::Hour].count,
+        service_line(&report).windows[&Window::Hour].count,
         Count { good: 10, bad: 0 }
     );
-    assert_eq!(line(&report).verdict, Verdict::UnknownGap);
+    assert_eq!(service_line(&report).verdict, Verdict::UnknownGap);
     let gaps: Vec<&str> = report
         .gaps
         .iter()
--- a/tests/burnfleet.rs
+++ b/tests/burnfleet.rs
@@ -1,4 +1,4 @@
-//! The burn report and `explain` over a fleet of real daemons.
+//! The burn report and `explain` with a fleet of daemon processes.
 
 mod program;
 mod utils;
@@ -15,14 +15,14 @@
 use utils::Cluster;
 use utils::Plan;
 
-const DEADLINE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Windows of the report.
+/// Names of the report's time windows.
 const WINDOWS: [&str; 4] = ["5m", "1h", "6h", "3d"];
 
-/// An objective under which no request of a test is late, and the bad requests of
-/// one are few.
-fn lenient() -> Plan {
+/// A plan with an objective so lenient that no request of a test is too slow and its
+/// few bad requests leave the verdict at `ok`.
+fn lenient_plan() -> Plan {
     Plan {
         profile: json!({
             "deadline_ms": 60_000, "copy_lifetime_s": 120,
@@ -32,22 +32,22 @@
     }
 }
 
-async fn book(driver: &Caller, name: &str) -> Outcome {
-    driver
-        .request(RequestType::Post, "/book", name, DEADLINE)
+async fn send_booking(booking_caller: &Caller, name: &str) -> Outcome {
+    booking_caller
+        .request(RequestType::Post, "/book", name, TIMEOUT)
         .await
 }
 
-async fn book_all(driver: &Caller, kind: &str, count: u64) {
+async fn send_bookings(booking_caller: &Caller, kind: &str, count: u64) {
     for number in 0..count {
         let name = format!("{kind}-{number}");
-        let outcome = book(driver, &name).await;
+        let outcome = send_booking(booking_caller, &name).await;
         let refused = matches!(outcome, Outcome::NotRun { .. });
         assert_eq!(refused, kind == "bad", "{name}: {outcome:?}");
     }
 }
 
-/// Good and bad events of `dispatch`, which must be the same in each window.
+/// Returns the good and bad events of `dispatch`, which must be equal in all windows.
 fn counts(report: &Value) -> (u64, u64) {
     let windows = &report["services"]["dispatch"]["windows"];
     let count = |window: &str| {
@@ -61,27 +61,27 @@
     (good.expect("good"), bad.expect("bad"))
 }
 
-// Twenty bookings are answered and four are turned away by every server. Each
-// counts once, though the callers' packets go to any instance and are relayed;
-// copies would make the report useless. Then an instance dies: the counts that it
-// had are lost, so the report may not say that all is well.
+// Twenty bookings are answered and every server refuses four. Each must be counted
+// once although any instance may receive and relay the callers' packets; counting
+// relayed packets again would distort the rates. Then an instance is killed: its
+// counts are lost, so the report must not appear healthy.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_report_counts_each_request_once_and_names_who_is_missing() {
-    let mut cluster = Cluster::start(lenient()).await;
+async fn the_report_counts_each_request_once_and_names_missing_instances() {
+    let mut cluster = Cluster::start(lenient_plan()).await;
     let desk = Desk::new();
     desk.configure(&cluster, &["bole-1", "kality-2", "merkato-3"]);
-    let driver = cluster.caller("dispatch", 1).await;
-    book_all(&driver, "good", 20).await;
+    let booking_caller = cluster.caller("dispatch", 1).await;
+    send_bookings(&booking_caller, "good", 20).await;
     cluster
         .servers
         .values()
         .for_each(|server| server.shed(true));
-    book_all(&driver, "bad", 4).await;
+    send_bookings(&booking_caller, "bad", 4).await;
 
     let arguments = ["report", "burn", "--output", "json", "--plot", "burn.svg"];
-    let whole = desk.run(&arguments).await;
-    assert_eq!(whole.code, 0, "{whole:?}");
-    let report = whole.json();
+    let complete = desk.run(&arguments).await;
+    assert_eq!(complete.code, 0, "{complete:?}");
+    let report = complete.json();
     assert_eq!(counts(&report), (20, 4));
     assert_eq!(report["services"]["dispatch"]["verdict"], "ok");
     assert_eq!(report["gaps"], json!([]));
@@ -89,59 +89,65 @@
     assert!(plot.contains("<svg") && plot.contains("dispatch"), "{plot}");
 
     cluster.instances[1].kill();
-    let partly = desk.run(&arguments).await;
-    assert_eq!(partly.code, 4, "{partly:?}");
-    let report = partly.json();
+    let incomplete = desk.run(&arguments).await;
+    assert_eq!(incomplete.code, 4, "{incomplete:?}");
+    let report = incomplete.json();
     assert_eq!(report["gaps"][0]["instance"], "kality-2");
     assert_eq!(report["services"]["dispatch"]["verdict"], "unknown-gap");
     let table = desk.run(&["report", "burn"]).await;
     assert!(table.out.contains("gap: kality-2"), "{table:?}");
 }
 
-// With the platform down, the instances that the settings name are all heard, but
-// there may be more. Their report alone must not pass for that of the fleet.
+// While the platform is down, all instances named in the settings answer, but others
+// may exist. Their report must not be taken for a report of the whole fleet.
 #[tokio::test(flavor = "multi_thread")]
-async fn without_the_list_of_instances_nothing_is_well() {
-    let cluster = Cluster::start(lenient()).await;
+async fn without_the_list_of_instances_no_service_is_healthy() {
+    let cluster = Cluster::start(lenient_plan()).await;
     let desk = Desk::new();
     desk.configure(&cluster, &["bole-1", "kality-2", "merkato-3"]);
     cluster.platform.down(true);
-    let partly = desk.run(&["report", "burn", "--output", "json"]).await;
-    assert_eq!(partly.code, 4, "{partly:?}");
-    let report = partly.json();
+    let incomplete = desk.run(&["report", "burn", "--output", "json"]).await;
+    assert_eq!(incomplete.code, 4, "{incomplete:?}");
+    let report = incomplete.json();
     assert_eq!(report["gaps"], json!([]));
     assert!(report["unlisted"].is_string(), "{report:#}");
     assert_eq!(report["services"]["dispatch"]["verdict"], "unknown-gap");
 }
 
-// An operator asks what became of a booking. The trace must lead from the booking
-// to the slice and its epoch, the profile's revision, the server and the reasons,
-// whichever instance did each step.
+// An operator looks up a booking. The trace must show its slice and epoch, the
+// profile's revision, the server and the reason codes, no matter which instance
+// carried out each step.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_booking_is_explained() {
-    let cluster = Cluster::start(lenient()).await;
+    let cluster = Cluster::start(lenient_plan()).await;
     let desk = Desk::new();
     desk.configure(&cluster, &["bole-1", "kality-2", "merkato-3"]);
-    // Past the fabric, so that the instances see the caller's own address.
+    // The caller bypasses the fabric, so that the instances see its own address.
     let listener = cluster.instances[0].listeners["dispatch"];
     let mut settings = caller::Settings::new(listener);
     settings.max_retransmit = 5;
-    let driver = caller::start(settings).await.expect("caller");
-    let outcome = book(&driver, "booking-1").await;
+    let booking_caller = caller::start(settings).await.expect("caller");
+    let outcome = send_booking(&booking_caller, "booking-1").await;
     assert!(matches!(outcome, Outcome::Answered { .. }), "{outcome:?}");
 
-    let address = driver.address().expect("an address");
-    let own = format!("127.0.0.1:{}", address.port());
-    let question = ["explain", "--service", "dispatch", "--caller", &own];
-    let told = desk
-        .run(&[&question[..], &["--output", "json"]].concat())
+    let address = booking_caller.address().expect("an address");
+    let caller_address = format!("127.0.0.1:{}", address.port());
+    let arguments = [
+        "explain",
+        "--service",
+        "dispatch",
+        "--caller",
+        &caller_address,
+    ];
+    let output = desk
+        .run(&[&arguments[..], &["--output", "json"]].concat())
         .await;
-    assert_eq!(told.code, 0, "{told:?}");
-    let account = told.json();
-    let steps = account["steps"].as_array().expect("steps");
+    assert_eq!(output.code, 0, "{output:?}");
+    let trace = output.json();
+    let steps = trace["steps"].as_array().expect("steps");
     for reason in ["claimed", "forwarded", "answered"] {
         let found = steps.iter().find(|step| step["reason"] == reason);
-        let step = found.unwrap_or_else(|| panic!("no {reason} in {account:#}"));
+        let step = found.unwrap_or_else(|| panic!("no {reason} in {trace:#}"));
         assert!(step["instance"].is_string(), "{step}");
         assert!(step["slice"].is_u64(), "{step}");
         assert!(
@@ -156,7 +162,7 @@
     let server = server.expect("a server");
     assert_eq!(cluster.servers[server].starts("booking-1"), 1);
 
-    let table = desk.run(&question).await;
+    let table = desk.run(&arguments).await;
     for word in ["answered", "forwarded", server] {
         assert!(table.out.contains(word), "{word}: {table:?}");
     }
--- a/tests/digest.rs
+++ b/tests/digest.rs
@@ -1,4 +1,4 @@
-//! The digest by which peers see that one of them is behind.
+//! The configuration digest, by which peers detect that their entries differ.
 
 use bytes::Bytes;
 use godwitreel::config::Config;
@@ -12,15 +12,15 @@
     "godwitreel/instances/bole-1",
 ];
 
-fn entry(place: usize, mod_revision: u64) -> Entry {
+fn entry(key_index: usize, mod_revision: u64) -> Entry {
     Entry {
-        key: KEYS[place].to_owned(),
+        key: KEYS[key_index].to_owned(),
         value: Bytes::new(),
         mod_revision,
     }
 }
 
-/// What is left after the steps, put in afresh.
+/// Builds a new configuration from the shared entries of another one.
 fn rebuilt(config: &Config) -> Config {
     let mut rebuilt = Config::default();
     for entry in config.shared() {
@@ -30,19 +30,19 @@
 }
 
 proptest! {
-    /// A peer that missed an entry must ask for it, and peers that agree must not
-    /// ask at every heartbeat. The digest is kept up to date change by change; if
-    /// one way of changing an entry forgot it, two peers with the same entries
-    /// would never agree again. So after any order of writes, late copies and
-    /// removals it has to equal that of an instance that just started.
+    /// A peer that missed an entry must request it, and peers with equal entries must
+    /// not request any at each heartbeat. The digest is updated incrementally; if one
+    /// kind of change left it stale, two peers with the same entries would never have
+    /// the same digest again. So after any order of writes, outdated copies and
+    /// removals it must equal the digest of an instance that has just started.
     #[test]
     fn follows_every_change(steps in prop::collection::vec((0..KEYS.len(), 0..6u64), 0..40)) {
         let mut config = Config::default();
-        for (place, revision) in steps {
+        for (key_index, revision) in steps {
             if revision == 0 {
-                config.remove(KEYS[place]);
+                config.remove(KEYS[key_index]);
             } else {
-                config.put(&entry(place, revision));
+                config.put(&entry(key_index, revision));
             }
             prop_assert_eq!(config.digest(), rebuilt(&config).digest());
         }
@@ -60,8 +60,8 @@
     assert_ne!(digest(1), Config::default().digest());
 }
 
-/// Registrations go through the platform alone: a peer's copy would outlive its
-/// lease, so they must not make peers ask each other.
+/// Registrations are read from the platform only, since a peer's copy would outlive
+/// the lease. They must not cause requests between peers.
 #[test]
 fn leaves_registrations_out() {
     let mut config = Config::default();
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -1,4 +1,4 @@
-//! A server that is leaving receives no new work.
+//! A draining server receives no new requests.
 
 mod utils;
 
@@ -17,16 +17,17 @@
 use utils::Plan;
 use utils::quick;
 
-/// Time after a signal from which on no new work may come.
-const NOTICE: Duration = Duration::from_secs(2);
+/// Time within which a drain signal must take effect.
+const DRAIN_DELAY: Duration = Duration::from_secs(2);
 
-/// How long it is watched after that.
-const WATCH: Duration = Duration::from_secs(5);
+/// How long a server is observed after `DRAIN_DELAY`.
+const OBSERVATION_TIME: Duration = Duration::from_secs(5);
 
 const CALLERS: u64 = 12;
 
-/// Requests and short feeds without pause, until it is told to stop.
-async fn work(caller: standin::caller::Caller, stop: watch::Receiver<bool>) -> u64 {
+/// Sends requests and opens short feeds until `stop` is set. Returns the number of
+/// answers.
+async fn send_load(caller: standin::caller::Caller, stop: watch::Receiver<bool>) -> u64 {
     let mut answered = 0;
     while !*stop.borrow() {
         let outcome = caller
@@ -52,7 +53,7 @@
         let mut tasks = JoinSet::new();
         for seed in 0..CALLERS {
             let caller = cluster.caller("dispatch", seed).await;
-            tasks.spawn(work(caller, stopping.clone()));
+            tasks.spawn(send_load(caller, stopping.clone()));
         }
         Self { stop, tasks }
     }
@@ -63,23 +64,26 @@
     }
 }
 
-/// New work that a server got in the watched time after a signal was given.
-async fn new_work(cluster: &Cluster, name: &str) -> usize {
+/// Counts the new requests that a server receives from `DRAIN_DELAY` to the end of
+/// `OBSERVATION_TIME` after a signal.
+async fn count_new_requests(cluster: &Cluster, name: &str) -> usize {
     let server = &cluster.servers[name];
     let signalled = Instant::now();
-    let fresh = |since| {
+    let new_requests_since = |since| {
         let seen = server.seen_since(since);
         seen.into_iter()
             .filter(|seen| seen.fresh)
             .collect::<Vec<_>>()
     };
-    sleep(NOTICE + WATCH).await;
-    let last = fresh(signalled).last().map(|seen| seen.at - signalled);
-    println!("{name}: last new work after {last:?}");
-    fresh(signalled + NOTICE).len()
+    sleep(DRAIN_DELAY + OBSERVATION_TIME).await;
+    let last = new_requests_since(signalled)
+        .last()
+        .map(|seen| seen.at - signalled);
+    println!("{name}: last new request after {last:?}");
+    new_requests_since(signalled + DRAIN_DELAY).len()
 }
 
-async fn cluster() -> Cluster {
+async fn start_cluster() -> Cluster {
     Cluster::start(Plan {
         services: vec![("dispatch", 5)],
         settings: quick(),
@@ -89,51 +93,52 @@
     .await
 }
 
-/// Callers keep the service busy while one server after another begins to leave,
-/// each told by one signal alone: the platform's list, its own health answer, the
-/// operator's key. All other signals go on saying that it is well.
+/// Callers keep the service busy while one server after another drains. Each drain is
+/// signalled in only one way: by the platform's server list, by the server's health
+/// answer, or by the operator's key. All other signals still report the server as
+/// healthy.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_signal_alone_stops_new_work() {
-    let cluster = cluster().await;
+    let cluster = start_cluster().await;
     let load = Load::start(&cluster).await;
     sleep(Duration::from_secs(1)).await;
     for server in cluster.servers.values() {
         assert!(server.observers() > 0 || !server.all_starts().is_empty());
     }
     cluster.list_server("dispatch-0", "leaving");
-    assert_eq!(new_work(&cluster, "dispatch-0").await, 0);
+    assert_eq!(count_new_requests(&cluster, "dispatch-0").await, 0);
     cluster.servers["dispatch-1"].lie(Lies {
         state: Some("draining".to_owned()),
         ..Lies::default()
     });
-    assert_eq!(new_work(&cluster, "dispatch-1").await, 0);
+    assert_eq!(count_new_requests(&cluster, "dispatch-1").await, 0);
     let key = "godwitreel/drain/servers/dispatch-2";
     cluster.platform.put(key, r#"{"operator":"test"}"#);
-    assert_eq!(new_work(&cluster, "dispatch-2").await, 0);
+    assert_eq!(count_new_requests(&cluster, "dispatch-2").await, 0);
     assert!(load.finish().await > 0);
 }
 
-/// A server refuses all new work while list and health say that it is well. It
-/// may be leaving or just overloaded, and nothing but asking can tell, so each
-/// instance asks it again with one request after pauses that double. The caller
-/// sees nothing of it, since another server takes the refused request.
+/// A server refuses all new requests while the server list and its health answer report
+/// it as healthy. It may be draining or only overloaded, which only a further request
+/// can show. So each instance retries it with a single request after pauses that
+/// double. Callers are not affected, since another server accepts the refused request.
 #[tokio::test(flavor = "multi_thread")]
 async fn refusals_alone_leave_only_rare_trials() {
-    let cluster = cluster().await;
+    let cluster = start_cluster().await;
     let load = Load::start(&cluster).await;
     sleep(Duration::from_secs(1)).await;
     cluster.servers["dispatch-0"].shed(true);
     let before = cluster.servers["dispatch-0"].starts("work");
-    let trials = new_work(&cluster, "dispatch-0").await;
-    println!("trials by 3 instances in {WATCH:?}: {trials}");
-    // With pauses of 2, 4 and 8 s two trials of each instance fall into the time.
+    let trials = count_new_requests(&cluster, "dispatch-0").await;
+    println!("trials by 3 instances in {OBSERVATION_TIME:?}: {trials}");
+    // With pauses of 2, 4 and 8 s, two trials of each instance fall into that time.
     assert!(trials <= 2 * cluster.instances.len(), "{trials}");
     let after = cluster.servers["dispatch-0"].starts("work");
-    // What had been taken before the signal may start after it.
+    // Requests that were accepted before the signal may start after it.
     assert!(after - before <= 2, "{before} {after}");
     cluster.servers["dispatch-0"].shed(false);
     cluster
-        .until("it takes work again", async || {
+        .until("the server accepts requests again", async || {
             cluster.servers["dispatch-0"].starts("work") > after
         })
         .await;
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,4 +1,4 @@
-//! The ring behind `explain`.
+//! The trace buffer that `explain` reads.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
     }
 }
 
-fn note(reason: Reason, flow: &Flow) -> TraceEvent {
+fn event(reason: Reason, flow: &Flow) -> TraceEvent {
     TraceEvent {
         flow: Some(flow.clone()),
         ..TraceEvent::new(reason)
@@ -31,9 +31,9 @@
 
 #[test]
 fn traces_are_those_of_the_flow_newest_first() {
-    let ring = TraceBuffer::default();
+    let buffer = TraceBuffer::default();
     let start = Instant::now();
-    let mine = flow("dispatch", 1);
+    let traced_flow = flow("dispatch", 1);
     let context = Context {
         epoch: Some(id::Epoch(7)),
         revision: Some(id::Revision(3)),
@@ -43,18 +43,22 @@
         slice: Some(id::Slice(12)),
         server: Some("d1".parse().expect("a server")),
         elapsed: Some(Duration::from_millis(40)),
-        ..note(Reason::Answered, &mine)
+        ..event(Reason::Answered, &traced_flow)
     };
-    ring.record(start, note(Reason::Forwarded, &mine), Context::default());
-    ring.record(start, note(Reason::Forwarded, &flow("ledger", 1)), context);
-    ring.record(
+    buffer.record(
         start,
-        note(Reason::Forwarded, &flow("dispatch", 2)),
+        event(Reason::Forwarded, &traced_flow),
+        Context::default(),
+    );
+    buffer.record(start, event(Reason::Forwarded, &flow("ledger", 1)), context);
+    buffer.record(
+        start,
+        event(Reason::Forwarded, &flow("dispatch", 2)),
         context,
     );
-    ring.record(start + Duration::from_millis(40), answered, context);
+    buffer.record(start + Duration::from_millis(40), answered, context);
 
-    let traces = ring.traces(start + Duration::from_millis(100), &mine);
+    let traces = buffer.traces(start + Duration::from_millis(100), &traced_flow);
 
     assert_eq!(traces.len(), 2);
     assert_eq!(traces[0].reason, "answered");
@@ -74,15 +78,15 @@
 
 #[test]
 fn the_oldest_go_first_when_there_are_too_many() {
-    let ring = TraceBuffer::new(2, NO_LIMIT);
+    let buffer = TraceBuffer::new(2, NO_LIMIT);
     let now = Instant::now();
-    let mine = flow("dispatch", 1);
+    let traced_flow = flow("dispatch", 1);
     for reason in [Reason::Claimed, Reason::Forwarded, Reason::Answered] {
-        ring.record(now, note(reason, &mine), Context::default());
+        buffer.record(now, event(reason, &traced_flow), Context::default());
     }
 
-    let reasons: Vec<String> = ring
-        .traces(now, &mine)
+    let reasons: Vec<String> = buffer
+        .traces(now, &traced_flow)
         .into_iter()
         .map(|trace| trace.reason)
         .collect();
@@ -93,49 +97,65 @@
 #[test]
 fn bytes_are_bounded_and_given_back() {
     let now = Instant::now();
-    let mine = flow("dispatch", 1);
-    let single = TraceBuffer::default();
-    single.record(now, note(Reason::Answered, &mine), Context::default());
-    let size = single.bytes();
-    let ring = TraceBuffer::new(NO_LIMIT, 3 * size);
+    let traced_flow = flow("dispatch", 1);
+    let single_event_buffer = TraceBuffer::default();
+    single_event_buffer.record(
+        now,
+        event(Reason::Answered, &traced_flow),
+        Context::default(),
+    );
+    let size = single_event_buffer.bytes();
+    let buffer = TraceBuffer::new(NO_LIMIT, 3 * size);
     for _ in 0..10 {
-        ring.record(now, note(Reason::Answered, &mine), Context::default());
+        buffer.record(
+            now,
+            event(Reason::Answered, &traced_flow),
+            Context::default(),
+        );
     }
-    assert_eq!(ring.len(), 3);
-    assert_eq!(ring.bytes(), 3 * size);
+    assert_eq!(buffer.len(), 3);
+    assert_eq!(buffer.bytes(), 3 * size);
 
-    let tight = TraceBuffer::new(NO_LIMIT, size - 1);
-    tight.record(now, note(Reason::Answered, &mine), Context::default());
-    assert!(tight.is_empty());
-    assert_eq!(tight.bytes(), 0);
+    let too_small = TraceBuffer::new(NO_LIMIT, size - 1);
+    too_small.record(
+        now,
+        event(Reason::Answered, &traced_flow),
+        Context::default(),
+    );
+    assert!(too_small.is_empty());
+    assert_eq!(too_small.bytes(), 0);
 }
 
 #[test]
-fn notes_without_a_flow_are_left_out() {
-    let ring = TraceBuffer::default();
-    ring.record(
+fn events_without_a_flow_are_left_out() {
+    let buffer = TraceBuffer::default();
+    buffer.record(
         Instant::now(),
         TraceEvent::new(Reason::HomeGained),
         Context::default(),
     );
-    assert!(ring.is_empty());
+    assert!(buffer.is_empty());
 }
 
 #[test]
 fn many_threads_record_and_ask_at_once() {
-    let ring = Arc::new(TraceBuffer::new(1_500, NO_LIMIT));
+    let buffer = Arc::new(TraceBuffer::new(1_500, NO_LIMIT));
     let now = Instant::now();
-    let mine = flow("dispatch", 1);
+    let traced_flow = flow("dispatch", 1);
     std::thread::scope(|scope| {
         for _ in 0..4 {
             scope.spawn(|| {
                 for _ in 0..500 {
-                    ring.record(now, note(Reason::Answered, &mine), Context::default());
-                    ring.traces(now, &mine);
+                    buffer.record(
+                        now,
+                        event(Reason::Answered, &traced_flow),
+                        Context::default(),
+                    );
+                    buffer.traces(now, &traced_flow);
                 }
             });
         }
     });
-    assert_eq!(ring.len(), 1_500);
-    assert_eq!(ring.traces(now, &mine).len(), MAX_TRACES);
+    assert_eq!(buffer.len(), 1_500);
+    assert_eq!(buffer.traces(now, &traced_flow).len(), MAX_TRACES);
 }
--- a/tests/feeds.rs
+++ b/tests/feeds.rs
@@ -1,4 +1,4 @@
-//! Feeds survive every planned change.
+//! Feeds continue through planned changes of instances, servers and profiles.
 
 mod utils;
 
@@ -21,12 +21,13 @@
 const FEEDS: u64 = 24;
 const PROFILE: &str = "profiles/standard";
 
-/// Longest pause that a caller may see. Notifications come every 200 ms; the
-/// slack is for a busy machine, and the measured pause is printed.
+/// Longest time that a caller may wait for the next notification. Servers send one
+/// every 200 ms; the limit leaves a margin for a busy machine, and the test prints the
+/// longest time seen.
 const LONGEST_GAP: Duration = Duration::from_secs(4);
 
-/// Bookings at a steady pace until it is told to stop; the outcomes.
-async fn book(
+/// Sends bookings at a constant rate until `stop` is set, and returns their outcomes.
+async fn send_bookings(
     caller: standin::caller::Caller,
     name: String,
     stop: watch::Receiver<bool>,
@@ -43,18 +44,18 @@
     outcomes
 }
 
-/// Callers hold feeds open and book while everything is replaced under them.
-/// Each entry instance gets SIGTERM in turn and a new one takes its place, one
-/// server drains, and the profile changes; the fabric goes on spraying, also to
-/// the instance that stops. A feed that does not end, pauses or runs backwards
-/// shows that each registration was made anew before the old one was dropped.
+/// Callers keep feeds open and send bookings while all entry instances are replaced.
+/// Each instance gets SIGTERM in turn and a new one replaces it, one server drains, and
+/// the profile changes. The fabric still sends packets to all instances, including the
+/// stopping one. A feed must not end, pause or deliver older notifications again: a new
+/// registration must exist before the old one is removed.
 #[tokio::test(flavor = "multi_thread")]
 async fn feeds_survive_the_replacement_of_all_instances() {
     let mut cluster = Cluster::start(Plan {
         services: vec![("dispatch", 4)],
         settings: quick(),
-        // A draining server refuses bookings until it is known to leave: each
-        // must be allowed a second server.
+        // A draining server refuses bookings before the instances know that it drains,
+        // so every booking must be allowed a retry at a second server.
         profile: json!({"slow_start_s": 0, "retry_budget_percent": 100}),
         ..Plan::default()
     })
@@ -69,13 +70,17 @@
     let mut bookings = JoinSet::new();
     for seed in 0..4 {
         let caller = cluster.caller("dispatch", 100 + seed).await;
-        bookings.spawn(book(caller, format!("booking-{seed}"), stopping.clone()));
+        bookings.spawn(send_bookings(
+            caller,
+            format!("booking-{seed}"),
+            stopping.clone(),
+        ));
     }
-    for old in 0..3 {
-        let zone = cluster.instances[old].zone;
+    for index in 0..3 {
+        let zone = cluster.instances[index].zone;
         cluster.add(zone).await;
-        cluster.instances[old].signal(Signal::SIGTERM);
-        match old {
+        cluster.instances[index].signal(Signal::SIGTERM);
+        match index {
             0 => {
                 cluster.servers["dispatch-0"].drain(true);
                 cluster.list_server("dispatch-0", "leaving");
@@ -86,10 +91,10 @@
             ),
             _ => {}
         }
-        // The fabric learns late that the instance is leaving.
+        // The fabric sends to the stopping instance for a while before it is unlisted.
         sleep(Duration::from_millis(500)).await;
-        cluster.unlist(old);
-        assert_eq!(cluster.instances[old].exited().await, Some(0));
+        cluster.unlist(index);
+        assert_eq!(cluster.instances[index].exited().await, Some(0));
         cluster.settled().await;
     }
     stop.send_replace(true);
@@ -97,7 +102,7 @@
         let status = instance.status().await.expect("status");
         assert_eq!(status.revisions[PROFILE].0, 2);
     }
-    // A feed that was lost on the way shows as a pause that lasts.
+    // A lost feed shows as a pause that exceeds the limit.
     sleep(LONGEST_GAP + Duration::from_secs(1)).await;
     let mut longest = Duration::ZERO;
     for feed in feeds {
@@ -115,9 +120,9 @@
     }
 }
 
-/// A caller whose feed is being opened while its home stops still gets it. The
-/// server answers only after the slice has moved, so that the old home accepts a
-/// feed that it does not look after any more; it must give it to the new home.
+/// A caller gets its feed although the home stops while the feed is being opened. The
+/// server answers only after the slice has moved, so the old home receives the answer
+/// for a slice that it no longer owns. It must hand the feed over to the new home.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_feed_opened_during_a_stop_goes_on() {
     let mut cluster = Cluster::start(Plan {
@@ -129,7 +134,7 @@
     for server in cluster.servers.values() {
         server.set_service_time(Duration::from_millis(3_500));
     }
-    // A repetition would open the feed at the new home and hide the loss.
+    // A retransmission would open the feed at the new home and hide the loss.
     let mut settings = caller::Settings::new(cluster.instances[0].listeners["dispatch"]);
     settings.max_retransmit = 0;
     let caller = caller::start(settings).await.expect("caller");
--- a/tests/foreign.rs
+++ b/tests/foreign.rs
@@ -1,4 +1,4 @@
-//! A CoAP client that knows nothing of the balancer gets its answers through it.
+//! A third-party CoAP client, which has no support for the balancer, works through it.
 
 mod utils;
 
@@ -17,7 +17,7 @@
 use utils::PATIENCE;
 use utils::Plan;
 
-/// Wait of the client for one answer before it sends again.
+/// How long the client waits for an answer before it retransmits the request.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(5);
 
 async fn client(cluster: &Cluster, service: &str) -> UdpCoAPClient {
@@ -57,7 +57,7 @@
     assert_eq!(cluster.wrong_service(), 0);
 }
 
-/// Each block is a datagram of its own that may reach any instance.
+/// Each block is sent in a separate datagram, which may reach any instance.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_foreign_client_moves_large_bodies_in_blocks() {
     let cluster = Cluster::start(Plan::default()).await;
@@ -66,20 +66,21 @@
     let (status, payload) = send(&client, Method::Get, LARGE_PATH, "").await;
     assert_eq!(status, Status::Content);
     assert_eq!(payload.len(), LARGE_SIZE);
-    for (method, wanted) in [
+    for (method, expected) in [
         (Method::Put, Status::Changed),
         (Method::Post, Status::Created),
     ] {
-        let sheet = format!("{method:?};weight;").repeat(100);
-        let (status, payload) = send(&client, method, "/sheet", &sheet).await;
-        assert_eq!(status, wanted);
-        let size = format!("size={}", sheet.len());
+        let body = format!("{method:?};weight;").repeat(100);
+        let (status, payload) = send(&client, method, "/sheet", &body).await;
+        assert_eq!(status, expected);
+        let size = format!("size={}", body.len());
         assert!(payload.contains(&size), "{payload}");
-        assert_eq!(cluster.starts(&sheet), 1);
+        assert_eq!(cluster.starts(&body), 1);
     }
 }
 
-/// The feed goes on while its server drains, and ends where the caller ends it.
+/// The feed continues at another server while its server drains. When the caller
+/// cancels the feed, no server keeps it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_foreign_client_observes_while_its_server_drains() {
     let cluster = Cluster::start(Plan::default()).await;
@@ -90,7 +91,7 @@
         let payload = String::from_utf8(message.payload).expect("text");
         let _ = sender.send(payload);
     };
-    let end = client.observe("/route", handler).await.expect("a feed");
+    let terminate = client.observe("/route", handler).await.expect("a feed");
     let mut server = String::new();
     for _ in 0..5 {
         let payload = timeout(PATIENCE, notifications.recv()).await;
@@ -101,13 +102,13 @@
     cluster.servers[&server].drain(true);
     cluster.list_server(&server, "leaving");
     cluster
-        .until("another server feeds", async || {
+        .until("another server sends the notifications", async || {
             let payload = timeout(PATIENCE, notifications.recv()).await;
             let payload = payload.expect("in time").expect("a notification");
             !payload.contains(&server)
         })
         .await;
-    end.send(ObserveMessage::Terminate).expect("an end");
+    terminate.send(ObserveMessage::Terminate).expect("an end");
     cluster
         .until("no server has the feed", async || {
             let mut servers = cluster.servers.values();
--- a/tests/log.rs
+++ b/tests/log.rs
@@ -1,4 +1,4 @@
-//! Which records the settings let through.
+//! Filtering of log records by the level settings of their modules.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -16,11 +16,11 @@
 use slog::o;
 use slog::warn;
 
-/// Keeps the messages that reach it.
+/// A drain that collects the messages of all records it receives.
 #[derive(Clone, Default)]
-struct Shelf(Arc<Mutex<Vec<String>>>);
+struct MessageCollector(Arc<Mutex<Vec<String>>>);
 
-impl Drain for Shelf {
+impl Drain for MessageCollector {
     type Ok = ();
     type Err = Never;
 
@@ -36,20 +36,20 @@
     use slog::info;
     use slog::warn;
 
-    pub(super) fn speak(logger: &Logger) {
+    pub(super) fn log_messages(logger: &Logger) {
         info!(logger, "quiet info");
         warn!(logger, "quiet warning");
     }
 }
 
-fn written(settings: Log) -> Vec<String> {
-    let shelf = Shelf::default();
-    let logger = Logger::root(log::filtered(shelf.clone(), settings).fuse(), o!());
+fn logged_messages(settings: Log) -> Vec<String> {
+    let collector = MessageCollector::default();
+    let logger = Logger::root(log::filtered(collector.clone(), settings).fuse(), o!());
     debug!(logger, "debug");
     info!(logger, "info");
     warn!(logger, "warning");
-    quiet::speak(&logger);
-    let messages = shelf.0.lock().expect("no panic");
+    quiet::log_messages(&logger);
+    let messages = collector.0.lock().expect("no panic");
     messages.clone()
 }
 
@@ -66,15 +66,15 @@
 
 #[test]
 fn level_holds_for_all_modules() {
-    let all = written(settings(Level::Warning, &[]));
-    assert_eq!(all, ["warning", "quiet warning"]);
+    let messages = logged_messages(settings(Level::Warning, &[]));
+    assert_eq!(messages, ["warning", "quiet warning"]);
 }
 
 #[test]
 fn longest_module_path_counts() {
     let modules = [("log", Level::Debug), ("log::quiet", Level::Warning)];
-    let some = written(settings(Level::Error, &modules));
-    assert_eq!(some, ["debug", "info", "warning", "quiet warning"]);
+    let messages = logged_messages(settings(Level::Error, &modules));
+    assert_eq!(messages, ["debug", "info", "warning", "quiet warning"]);
     let modules = [("lo", Level::Debug)];
-    assert_eq!(written(settings(Level::Error, &modules)), [""; 0]);
+    assert_eq!(logged_messages(settings(Level::Error, &modules)), [""; 0]);
 }
--- a/tests/metric.rs
+++ b/tests/metric.rs
@@ -1,4 +1,4 @@
-//! The metrics as they are scraped.
+//! Metrics in the text format in which they are scraped.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::Ordering;
@@ -19,7 +19,7 @@
     platform::Client::new(vec![base], platform::Options::default()).expect("a client")
 }
 
-fn answered(service: &str, elapsed: Duration) -> TraceEvent {
+fn answered_event(service: &str, elapsed: Duration) -> TraceEvent {
     TraceEvent {
         flow: Some(Flow {
             service: service.parse().expect("a service"),
@@ -30,7 +30,7 @@
     }
 }
 
-fn has(text: &str, line: &str) {
+fn assert_has_line(text: &str, line: &str) {
     assert!(text.lines().any(|l| l == line), "no {line:?} in\n{text}");
 }
 
@@ -38,7 +38,7 @@
 fn every_reason_starts_at_zero() {
     let text = Metrics::new(client()).encode();
     for reason in Reason::ALL {
-        has(
+        assert_has_line(
             &text,
             &format!(r#"godwitreel_events_total{{reason="{reason}",service=""}} 0"#),
         );
@@ -52,8 +52,8 @@
     client.counts().writes.fetch_add(3, Ordering::Relaxed);
     client.counts().stale.fetch_add(2, Ordering::Relaxed);
     let metrics = Metrics::new(client);
-    metrics.note(&answered("dispatch", Duration::from_millis(15)));
-    metrics.note(&answered("dispatch", Duration::from_millis(500)));
+    metrics.note(&answered_event("dispatch", Duration::from_millis(15)));
+    metrics.note(&answered_event("dispatch", Duration::from_millis(500)));
     metrics.note(&TraceEvent::new(Reason::HomeGained));
     metrics.peer_message("heartbeat", Direction::Sent, 120);
     metrics.peer_message("heartbeat", Direction::Sent, 30);
@@ -92,14 +92,14 @@
         r#"godwitreel_request_duration_seconds_bucket{le="0.5",service="dispatch"} 2"#,
         "# UNIT godwitreel_peer_bytes bytes",
     ] {
-        has(&text, line);
+        assert_has_line(&text, line);
     }
 }
 
 #[test]
 fn the_names_are_those_that_are_scraped() {
     let metrics = Metrics::new(client());
-    metrics.note(&answered("dispatch", Duration::from_millis(1)));
+    metrics.note(&answered_event("dispatch", Duration::from_millis(1)));
     metrics.peer_message("pull", Direction::Sent, 1);
     let text = metrics.encode();
 
@@ -112,43 +112,44 @@
             _ => name.to_owned(),
         })
         .collect();
-    let named: BTreeSet<String> = NAMES.iter().map(|(name, _)| (*name).to_owned()).collect();
+    let listed: BTreeSet<String> = NAMES.iter().map(|(name, _)| (*name).to_owned()).collect();
 
-    assert_eq!(scraped, named);
+    assert_eq!(scraped, listed);
 }
 
 #[test]
 fn services_past_the_bound_share_a_label() {
     let metrics = Metrics::new(client());
     for number in 0..MAX_SERVICES + 5 {
-        metrics.note(&answered(
+        metrics.note(&answered_event(
             &format!("service-{number}"),
             Duration::from_millis(1),
         ));
     }
-    metrics.note(&answered("service-0", Duration::from_millis(1)));
+    metrics.note(&answered_event("service-0", Duration::from_millis(1)));
 
     let text = metrics.encode();
 
-    has(
+    assert_has_line(
         &text,
         r#"godwitreel_events_total{reason="answered",service="(other)"} 5"#,
     );
-    has(
+    assert_has_line(
         &text,
         r#"godwitreel_events_total{reason="answered",service="service-0"} 2"#,
     );
 }
 
-// A request that is refused or ends unknown is bad in the burn report, whatever the
-// reason: one that was left out would make an overloaded or stopping fleet look well.
+// A refused request or one with an unknown outcome is a bad event in the burn report,
+// whatever the reason. A reason that is missing there would make an overloaded or
+// stopping fleet appear healthy.
 #[test]
 fn every_reason_of_a_request_without_an_answer_is_a_failure() {
     for reason in Reason::ALL {
         let code = reason.code();
-        let ends_badly = code.starts_with("refused_") || code.starts_with("unknown_");
-        // That one is about a datagram, for which no objective is known.
-        let expected = ends_badly && *reason != Reason::UnknownService;
+        let has_no_answer = code.starts_with("refused_") || code.starts_with("unknown_");
+        // `UnknownService` is about a datagram, for which no objective is known.
+        let expected = has_no_answer && *reason != Reason::UnknownService;
         assert_eq!(reason.is_failure(), expected, "{code}");
     }
 }
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The operators' page lists what the code has.
+//! The operators' page lists every metric and reason code with its meaning.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -6,9 +6,9 @@
 use godwitreel::metric::NAMES;
 use godwitreel::reason::Reason;
 
-/// The rows of the two-column table under a heading: code in the first, meaning in
-/// the second.
-fn rows(page: &str, heading: &str) -> BTreeMap<String, String> {
+/// Parses the table under a heading. Its first column holds a code, its second one
+/// the meaning.
+fn table_rows(page: &str, heading: &str) -> BTreeMap<String, String> {
     page.lines()
         .skip_while(|line| *line != heading)
         .skip(1)
@@ -19,7 +19,7 @@
         .collect()
 }
 
-fn operations() -> String {
+fn operations_page() -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("docs/OPERATIONS.md");
     std::fs::read_to_string(path).expect("the page")
 }
@@ -30,7 +30,7 @@
         .iter()
         .map(|(name, meaning)| ((*name).to_owned(), format!("{meaning}.")))
         .collect();
-    assert_eq!(rows(&operations(), "## Metrics"), expected);
+    assert_eq!(table_rows(&operations_page(), "## Metrics"), expected);
 }
 
 #[test]
@@ -39,5 +39,5 @@
         .iter()
         .map(|reason| (reason.code().to_owned(), reason.meaning().to_owned()))
         .collect();
-    assert_eq!(rows(&operations(), "## Reason codes"), expected);
+    assert_eq!(table_rows(&operations_page(), "## Reason codes"), expected);
 }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path: caller, fabric, entry instances, backend servers.
+//! Requests and feeds on the whole path: caller, fabric, entry instance, backend server.
 
 mod utils;
 
@@ -10,10 +10,10 @@
 use utils::Cluster;
 use utils::Plan;
 
-const DEADLINE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Every packet may reach another instance, and each caller still gets the answer
-/// to its own request from a server of the right service.
+/// The packets of one caller may reach different instances. Each caller must still
+/// get the answer to its own request, from a server of the right service.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_and_a_feed_go_through_any_instance() {
     let cluster = Cluster::start(Plan {
@@ -21,23 +21,26 @@
         ..Plan::default()
     })
     .await;
-    let driver = cluster.caller("dispatch", 1).await;
-    let mut feed = driver.observe("/route", DEADLINE).await.expect("a feed");
+    let dispatch_caller = cluster.caller("dispatch", 1).await;
+    let mut feed = dispatch_caller
+        .observe("/route", TIMEOUT)
+        .await
+        .expect("a feed");
     for number in 0..20 {
         let payload = format!("booking-{number}");
-        let outcome = driver
-            .request(RequestType::Post, "/pickup", payload.as_bytes(), DEADLINE)
+        let outcome = dispatch_caller
+            .request(RequestType::Post, "/pickup", payload.as_bytes(), TIMEOUT)
             .await;
         assert!(matches!(outcome, Outcome::Answered { .. }), "{outcome:?}");
         assert_eq!(cluster.starts(&payload), 1);
     }
-    let office = cluster.caller("ledger", 2).await;
-    let outcome = office
-        .request(RequestType::Get, "/sheet", b"", DEADLINE)
+    let ledger_caller = cluster.caller("ledger", 2).await;
+    let outcome = ledger_caller
+        .request(RequestType::Get, "/sheet", b"", TIMEOUT)
         .await;
     assert!(matches!(outcome, Outcome::Answered { .. }), "{outcome:?}");
     for _ in 0..5 {
-        let update = feed.next(DEADLINE).await;
+        let update = feed.next(TIMEOUT).await;
         assert!(matches!(update, Update::Notification { .. }), "{update:?}");
     }
     assert_eq!(cluster.wrong_service(), 0);
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -1,4 +1,4 @@
-//! Several instances in one process, started and stopped.
+//! Starting and stopping several instances in one process.
 
 use std::net::Ipv4Addr;
 use std::path::Path;
@@ -12,15 +12,15 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-/// Longest wait for anything that must come about.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Longest wait for an expected state.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn parse(text: &str) -> settings::Daemon {
     settings::Daemon::parse(Path::new("test.jsonc"), text).expect("settings")
 }
 
-/// Names of this process's threads that belong to workers.
-fn workers() -> usize {
+/// Number of this process's threads that belong to workers.
+fn count_workers() -> usize {
     let threads = std::fs::read_dir("/proc/self/task").expect("threads");
     let names = threads.flatten().filter_map(|thread| {
         let name = thread.path().join("comm");
@@ -29,20 +29,20 @@
     names.filter(|name| name.starts_with("worker-")).count()
 }
 
-async fn until_workers(count: usize) {
-    let end = Instant::now() + PATIENCE;
-    while workers() != count {
-        assert!(Instant::now() < end, "{} workers", workers());
+async fn wait_for_workers(count: usize) {
+    let deadline = Instant::now() + TIMEOUT;
+    while count_workers() != count {
+        assert!(Instant::now() < deadline, "{} workers", count_workers());
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// A monitor keeps its connection to the status port open. The instance stops;
-/// were its threads and sockets to live on with that connection, it would go on
-/// to send for slices that it has given away, and the next life of the instance
-/// could not bind its addresses.
+/// A monitoring client keeps its connection to the status port open while the instance
+/// stops. If the instance's threads and sockets stayed alive with that connection, the
+/// instance would still send for slices that it has handed over, and a restarted
+/// instance could not bind the same addresses.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopped_instance_leaves_nothing_behind() {
+async fn a_stopped_instance_leaves_no_threads_or_sockets() {
     let platform = platform::start((Ipv4Addr::LOCALHOST, 0).into());
     let platform = platform.await.expect("platform");
     let peer = address::free();
@@ -64,20 +64,20 @@
         let settings = parse(&text);
         let (logger, _flush) = log::logger(&settings.log);
         let mut handle = daemon::start(settings, logger).await.expect("a start");
-        until_workers(3).await;
+        wait_for_workers(3).await;
         let answer = monitor.get(&url).send().await.expect("a status");
         assert!(answer.status().is_success());
-        // Only a connection whose answer was read to its end is kept open.
+        // The client keeps a connection open only after reading the whole response.
         let body = answer.text().await.expect("a body");
         assert!(body.contains("bole-1"), "{body}");
         let stopped = handle.stop().await;
         assert_eq!(stopped.cut, 0);
-        assert_eq!(workers(), 0);
+        assert_eq!(count_workers(), 0);
     }
     let settings = parse(&text);
     let (logger, _flush) = log::logger(&settings.log);
     let handle = daemon::start(settings, logger).await.expect("a start");
-    until_workers(3).await;
+    wait_for_workers(3).await;
     handle.abort();
-    until_workers(0).await;
+    wait_for_workers(0).await;
 }
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts off nothing that is in progress.
+//! A planned stop aborts no request in progress.
 
 mod utils;
 
@@ -15,7 +15,9 @@
 use utils::Plan;
 use utils::quick;
 
-const SLOW: Duration = Duration::from_millis(800);
+/// Time that a server takes for a request, so that an instance can be stopped before
+/// the answer comes.
+const SERVICE_TIME: Duration = Duration::from_millis(800);
 
 async fn slow_cluster(proxied: bool) -> Cluster {
     let cluster = Cluster::start(Plan {
@@ -27,17 +29,21 @@
     })
     .await;
     for server in cluster.servers.values() {
-        server.set_service_time(SLOW);
+        server.set_service_time(SERVICE_TIME);
     }
     cluster
 }
 
-/// Starts requests through the fabric, each by a caller of its own.
-async fn load(cluster: &Cluster, count: u64, tag: &str) -> JoinSet<(String, Outcome)> {
+/// Starts requests through the fabric, each from a separate caller.
+async fn start_requests(
+    cluster: &Cluster,
+    count: u64,
+    name_prefix: &str,
+) -> JoinSet<(String, Outcome)> {
     let mut requests = JoinSet::new();
     for number in 0..count {
         let caller = cluster.caller("dispatch", number).await;
-        let payload = format!("{tag}-{number}");
+        let payload = format!("{name_prefix}-{number}");
         requests.spawn(async move {
             let body = payload.clone();
             let outcome = caller
@@ -49,7 +55,7 @@
     requests
 }
 
-async fn all_answered(cluster: &Cluster, requests: JoinSet<(String, Outcome)>) {
+async fn assert_all_answered(cluster: &Cluster, requests: JoinSet<(String, Outcome)>) {
     for (payload, outcome) in requests.join_all().await {
         assert!(
             matches!(outcome, Outcome::Answered { .. }),
@@ -59,20 +65,20 @@
     }
 }
 
-/// The caller gets the answer to its booking although the instance that works on
-/// it is told to stop. The home forwards to a slow server, gets SIGTERM, gives
-/// its slices to the backups and waits for the answer; the caller's repetitions
-/// reach the new home meanwhile, which must neither run nor give up the request.
+/// A caller gets the answer to its booking although the instance that handles it is
+/// stopped. The home forwards to a slow server, gets SIGTERM, hands its slices over to
+/// the backups and waits for the answer. Meanwhile the caller's retransmissions reach
+/// the new home, which must neither run nor abandon the request.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_in_progress_are_answered_by_a_stopping_instance() {
     let mut cluster = slow_cluster(false).await;
     for round in 0..2 {
-        let requests = load(&cluster, 9, &format!("round-{round}")).await;
-        sleep(SLOW / 4).await;
+        let requests = start_requests(&cluster, 9, &format!("round-{round}")).await;
+        sleep(SERVICE_TIME / 4).await;
         cluster.instances[round].signal(Signal::SIGTERM);
-        let later = load(&cluster, 6, &format!("later-{round}")).await;
-        all_answered(&cluster, requests).await;
-        all_answered(&cluster, later).await;
+        let later_requests = start_requests(&cluster, 6, &format!("later-{round}")).await;
+        assert_all_answered(&cluster, requests).await;
+        assert_all_answered(&cluster, later_requests).await;
         cluster.unlist(round);
         assert_eq!(cluster.instances[round].exited().await, Some(0));
         cluster.add("merkato").await;
@@ -80,16 +86,17 @@
     }
 }
 
-/// The caller gets the answer to its booking from an instance that is told to
-/// stop while its availability zone is cut off from the others and from the
-/// platform. It cannot hand anything over, finishes what it has and ends in peace.
+/// A caller gets the answer to its booking from an instance that is stopped while its
+/// availability zone is cut off from the other zones and from the platform. The
+/// instance cannot hand over its slices, so it completes the requests in progress and
+/// exits with code 0.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stop_in_a_cut_off_zone_cuts_nothing() {
+async fn a_stop_in_a_cut_off_zone_aborts_no_request() {
     let mut cluster = slow_cluster(true).await;
-    let requests = load(&cluster, 9, "before").await;
-    // Every claim has been acknowledged once every request has started.
+    let requests = start_requests(&cluster, 9, "before").await;
+    // A request starts only after its claim has been acknowledged.
     cluster
-        .until("all have started", async || {
+        .until("all requests have started", async || {
             (0..9).all(|n| cluster.starts(&format!("before-{n}")) == 1)
         })
         .await;
@@ -97,16 +104,16 @@
     cluster.cut_platform(0, true);
     cluster.unlist(0);
     cluster.instances[0].signal(Signal::SIGTERM);
-    all_answered(&cluster, requests).await;
+    assert_all_answered(&cluster, requests).await;
     assert_eq!(cluster.instances[0].exited().await, Some(0));
 }
 
-/// Callers go on booking at an instance that is told to stop while the platform
-/// is down, so that nobody else can become home of its slices. Near the end of the
-/// grace time it reports new bookings as not run, finishes those in progress and
-/// ends with nothing cut.
+/// Callers send bookings to a stopping instance while the platform is down, so that no
+/// other instance can become home of its slices. Near the end of the grace period it
+/// answers new bookings as not run, completes those in progress and exits without
+/// aborting any.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stop_under_load_without_the_platform_cuts_nothing() {
+async fn a_stop_under_load_without_the_platform_aborts_no_request() {
     const GRACE_S: u64 = 10;
     let mut settings = quick();
     settings["stop_grace_s"] = json!(GRACE_S);
@@ -118,7 +125,7 @@
     })
     .await;
     for server in cluster.servers.values() {
-        server.set_service_time(SLOW);
+        server.set_service_time(SERVICE_TIME);
     }
     cluster.platform.down(true);
     cluster.instances[0].signal(Signal::SIGTERM);
@@ -126,17 +133,17 @@
     for number in 0..6 {
         let caller = cluster.caller_at("dispatch", 0, number).await;
         tasks.spawn(async move {
-            let mut told = Vec::new();
+            let mut outcomes = Vec::new();
             loop {
-                let payload = format!("steady-{number}-{}", told.len());
+                let payload = format!("steady-{number}-{}", outcomes.len());
                 let body = payload.clone();
                 let outcome = caller
                     .request(RequestType::Post, "/pickup", body, Duration::from_secs(8))
                     .await;
                 let silent = outcome == Outcome::Silent;
-                told.push((payload, outcome));
+                outcomes.push((payload, outcome));
                 if silent {
-                    return told;
+                    return outcomes;
                 }
             }
         });
@@ -146,17 +153,17 @@
         let starts = cluster.starts(&payload);
         match outcome {
             Outcome::Answered { .. } => assert_eq!(starts, 1, "{payload}"),
-            // It came after the end, or was told as not run.
+            // The request came after the exit, or was answered as not run.
             Outcome::NotRun { .. } | Outcome::Silent => assert_eq!(starts, 0, "{payload}"),
             Outcome::Unknown => panic!("{payload}: unknown, started {starts} times"),
         }
     }
 }
 
-/// An operator who signals twice wants the process gone: it ends at once, and its
-/// exit code and log tell how many requests that cut off.
+/// A second signal ends the process at once. The exit code shows that requests were
+/// aborted, and the log contains their number.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_second_signal_ends_at_once_and_tells_the_count() {
+async fn a_second_signal_ends_at_once_and_logs_the_count() {
     let mut cluster = slow_cluster(false).await;
     for server in cluster.servers.values() {
         server.set_service_time(PATIENCE);
@@ -164,29 +171,33 @@
     let caller = cluster.caller_at("dispatch", 0, 1).await;
     let address = caller.address().expect("address");
     let home = cluster.home("dispatch", address);
-    // The first signal finds nothing in progress; the request comes in between.
+    // No request is in progress at the first signal; one arrives before the second.
     cluster.instances[home].signal(Signal::SIGTERM);
     let _exchange = caller.begin(RequestType::Post, "/pickup", "cut").await;
     cluster
-        .until("the request runs", async || cluster.starts("cut") == 1)
+        .until("the request has started", async || {
+            cluster.starts("cut") == 1
+        })
         .await;
-    let mut at = home;
-    let busy = async |place: usize| {
-        let status = cluster.instances[place].status().await;
+    let mut owner = home;
+    let is_busy = async |index: usize| {
+        let status = cluster.instances[index].status().await;
         status.is_some_and(|status| status.in_progress > 0)
     };
-    if !busy(home).await {
-        // The slice had moved before the request came.
-        at = cluster.home("dispatch", address);
-        cluster.instances[at].signal(Signal::SIGTERM);
+    if !is_busy(home).await {
+        // The slice had moved before the request arrived.
+        owner = cluster.home("dispatch", address);
+        cluster.instances[owner].signal(Signal::SIGTERM);
     }
     cluster
-        .until("the home has it in progress", async || busy(at).await)
+        .until("the home has the request in progress", async || {
+            is_busy(owner).await
+        })
         .await;
     sleep(Duration::from_millis(200)).await;
-    cluster.instances[at].signal(Signal::SIGTERM);
-    assert_eq!(cluster.instances[at].exited().await, Some(2));
-    let log = cluster.instances[at].log();
+    cluster.instances[owner].signal(Signal::SIGTERM);
+    assert_eq!(cluster.instances[owner].exited().await, Some(2));
+    let log = cluster.instances[owner].log();
     assert!(log.contains("second signal"), "{log}");
     assert!(log.contains("cut: 1"), "{log}");
 }
--- a/tests/wrong.rs
+++ b/tests/wrong.rs
@@ -1,4 +1,4 @@
-//! Never the wrong service, and input that is not what it should be.
+//! Requests never reach a server of another service, and invalid input is dropped.
 
 mod utils;
 
@@ -22,28 +22,28 @@
 use utils::counted;
 use utils::quick;
 
-/// Least time that a process needs to start.
+/// Minimum time that a process needs to start.
 const START_TIME: Duration = Duration::from_millis(50);
 
-/// Starts a server as soon as the one before it has let go of the addresses.
-async fn takeover(settings: server::Settings) -> server::Handle {
-    let end = Instant::now() + PATIENCE;
+/// Starts a server as soon as the previous one has released its addresses.
+async fn start_on_released_addresses(settings: server::Settings) -> server::Handle {
+    let deadline = Instant::now() + PATIENCE;
     sleep(START_TIME).await;
     loop {
         match server::start(settings.clone()).await {
             Ok(handle) => return handle,
-            Err(error) => assert!(Instant::now() < end, "{error}"),
+            Err(error) => assert!(Instant::now() < deadline, "{error}"),
         }
         sleep(Duration::from_millis(1)).await;
     }
 }
 
-/// The caller books at dispatch while one of its servers ends and a server of
-/// ledger comes up on the same addresses; the platform's list still names it for
-/// dispatch. The end of the first process closes the connection that vouches for
-/// the address, and the health answer of the second one names another service, so
-/// that nothing is sent there. Ledger sees nothing of dispatch, though it would
-/// refuse what names another service.
+/// A caller sends bookings to dispatch while one of its servers ends and a server of
+/// ledger starts on the same addresses; the platform's list still contains it as a
+/// server of dispatch. The end of the first process closes the health connection on
+/// which the use of the address depends, and the health answer of the second process
+/// names another service, so the instances must send no request there. No request may
+/// reach the ledger server, although it would refuse one for another service.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_of_another_service_on_an_old_address_runs_nothing() {
     let mut cluster = Cluster::start(Plan {
@@ -54,33 +54,37 @@
     })
     .await;
     let caller = cluster.caller("dispatch", 1).await;
-    let old = cluster.servers.remove("dispatch-0").expect("a server");
+    let old_server = cluster.servers.remove("dispatch-0").expect("a server");
     let mut settings = server::Settings::new("ledger-9", "ledger");
-    settings.bind = old.address();
-    settings.health_bind = old.health_address();
-    old.stop().await;
-    let other = takeover(settings).await;
-    let taken = Instant::now();
-    let end = taken + Duration::from_secs(6);
+    settings.bind = old_server.address();
+    settings.health_bind = old_server.health_address();
+    old_server.stop().await;
+    let ledger_server = start_on_released_addresses(settings).await;
+    let started = Instant::now();
+    let deadline = started + Duration::from_secs(6);
     let mut number = 0;
-    while Instant::now() < end {
+    while Instant::now() < deadline {
         let payload = format!("booking-{number}");
         caller
             .request(RequestType::Post, "/pickup", payload, PATIENCE)
             .await;
         number += 1;
     }
-    let seen = other.seen_since(taken);
-    let last = seen.last().map(|seen| seen.at - taken);
+    let received = ledger_server.seen_since(started);
+    let last = received.last().map(|received| received.at - started);
     println!(
         "{number} bookings, {} reached the other service, the last after {last:?}",
-        other.wrong_service()
+        ledger_server.wrong_service()
     );
-    assert!(other.all_starts().is_empty(), "{:?}", other.all_starts());
-    assert!(seen.is_empty(), "{seen:?}");
+    assert!(
+        ledger_server.all_starts().is_empty(),
+        "{:?}",
+        ledger_server.all_starts()
+    );
+    assert!(received.is_empty(), "{received:?}");
 }
 
-async fn count(cluster: &Cluster, reason: &str) -> u64 {
+async fn count_events(cluster: &Cluster, reason: &str) -> u64 {
     let mut sum = 0;
     for instance in &cluster.instances {
         sum += counted(&instance.metrics().await, reason);
@@ -88,7 +92,7 @@
     sum
 }
 
-/// Sends one datagram from a socket of its own.
+/// Sends one datagram from a new socket.
 async fn send(datagram: &[u8], to: std::net::SocketAddr) {
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("bind");
     socket.send_to(datagram, to).await.expect("send");
@@ -103,9 +107,9 @@
     packet.to_bytes().expect("bytes")
 }
 
-/// Somebody sends datagrams that nobody asked for to every kind of socket: to
-/// those toward the servers, to the peer port, to the listeners. Each is dropped
-/// and counted, and the caller's feed and requests go on.
+/// Every kind of socket receives unexpected datagrams: the sockets toward the servers,
+/// the peer port and the listeners. Each datagram is dropped and counted, and the
+/// caller's feed and requests are not disturbed.
 #[tokio::test(flavor = "multi_thread")]
 async fn foreign_and_malformed_datagrams_are_dropped_and_counted() {
     let cluster = Cluster::start(Plan {
@@ -113,48 +117,51 @@
         ..Plan::default()
     })
     .await;
-    let begun = Instant::now();
-    let driver = cluster.caller("dispatch", 1).await;
-    let mut feed = driver.observe("/route", PATIENCE).await.expect("a feed");
-    let seen: Vec<_> = cluster
+    let test_start = Instant::now();
+    let dispatch_caller = cluster.caller("dispatch", 1).await;
+    let mut feed = dispatch_caller
+        .observe("/route", PATIENCE)
+        .await
+        .expect("a feed");
+    let received: Vec<_> = cluster
         .servers
         .values()
-        .flat_map(|server| server.seen_since(begun))
+        .flat_map(|server| server.seen_since(test_start))
         .collect();
-    let backend = seen.first().expect("a request").remote;
-    // The first byte of a token names a worker, which may not exist.
+    let backend = received.first().expect("a request").remote;
+    // The first byte of a token is the number of a worker, which may not exist.
     for token in [[0; 8], [0xff; 8]] {
-        let before = count(&cluster, "foreign_answer").await;
+        let before = count_events(&cluster, "foreign_answer").await;
         send(&forged_answer(token), backend).await;
         cluster
             .until(&format!("{token:x?} is counted"), async || {
-                count(&cluster, "foreign_answer").await > before
+                count_events(&cluster, "foreign_answer").await > before
             })
             .await;
     }
-    let before = count(&cluster, "bad_datagram").await;
+    let before = count_events(&cluster, "bad_datagram").await;
     send(b"no answer", backend).await;
     let listener = cluster.instances[0].listeners["dispatch"];
     send(&[0xff; 20], listener).await;
     send(&[0x40; 1_500], listener).await;
     send(&[0x40, 0x01, 0, 1, 0xd0], listener).await;
-    // An answer where a request belongs.
+    // A response in place of a request.
     send(&forged_answer([1; 8]), listener).await;
     cluster
         .until("five bad datagrams are counted", async || {
-            count(&cluster, "bad_datagram").await >= before + 5
+            count_events(&cluster, "bad_datagram").await >= before + 5
         })
         .await;
-    let before = count(&cluster, "bad_peer_message").await;
+    let before = count_events(&cluster, "bad_peer_message").await;
     for length in [0, 1, 16, 200] {
         send(&vec![7; length], cluster.instances[1].peer).await;
     }
     cluster
         .until("forged peer messages are counted", async || {
-            count(&cluster, "bad_peer_message").await >= before + 4
+            count_events(&cluster, "bad_peer_message").await >= before + 4
         })
         .await;
-    let outcome = driver
+    let outcome = dispatch_caller
         .request(RequestType::Get, "/sheet", b"", PATIENCE)
         .await;
     let Outcome::Answered { payload, .. } = &outcome else {
@@ -173,8 +180,8 @@
     }
 }
 
-/// A service is withdrawn while callers go on sending. Its datagrams are dropped
-/// and counted, and the other service is not disturbed.
+/// A service is deleted while callers still send requests to it. Their datagrams are
+/// dropped and counted, and the other service is not disturbed.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_unknown_service_is_counted() {
     let cluster = Cluster::start(Plan {
@@ -185,7 +192,7 @@
     .await;
     cluster.platform.delete("godwitreel/services/ledger");
     cluster
-        .until("the service is gone", async || {
+        .until("the service is not configured any more", async || {
             for instance in &cluster.instances {
                 let status = instance.status().await.expect("status");
                 if status.revisions.contains_key("services/ledger") {
@@ -195,18 +202,19 @@
             true
         })
         .await;
-    let before = count(&cluster, "unknown_service").await;
-    let office = cluster.caller_at("ledger", 0, 1).await;
-    // The workers are told a moment after the status shows it.
+    let before = count_events(&cluster, "unknown_service").await;
+    let ledger_caller = cluster.caller_at("ledger", 0, 1).await;
+    // The workers receive the change shortly after the status shows it.
     cluster
         .until("a request gets no answer", async || {
-            let request = office.request(RequestType::Get, "/sheet", b"", Duration::from_secs(1));
+            let request =
+                ledger_caller.request(RequestType::Get, "/sheet", b"", Duration::from_secs(1));
             request.await == Outcome::Silent
         })
         .await;
-    assert!(count(&cluster, "unknown_service").await > before);
-    let driver = cluster.caller("dispatch", 2).await;
-    let outcome = driver
+    assert!(count_events(&cluster, "unknown_service").await > before);
+    let dispatch_caller = cluster.caller("dispatch", 2).await;
+    let outcome = dispatch_caller
         .request(RequestType::Get, "/route", b"", PATIENCE)
         .await;
     assert!(matches!(outcome, Outcome::Answered { .. }), "{outcome:?}");
