--- a/benches/core.rs
+++ b/benches/core.rs
@@ -1,7 +1,7 @@
-//! Processor time of the decisions, the codecs and the configuration.
+//! Processor time of the engine, the codecs and the configuration.
 //!
-//! Events are made in batches outside the measured time; what is measured is the
-//! handling alone, with everything that the core gives back dropped.
+//! Events are built in batches outside the measured time. The measured time covers
+//! only the handling of the events; the returned actions are dropped afterwards.
 
 #[path = "../examples/utils/fixture.rs"]
 mod fixture;
@@ -16,7 +16,7 @@
 use criterion::Criterion;
 use criterion::criterion_group;
 use criterion::criterion_main;
-use fixture::Core;
+use fixture::EngineFixture;
 use godwitreel::action::Action;
 use godwitreel::codec;
 use godwitreel::event::Event;
@@ -27,103 +27,103 @@
 use godwitreel::request::Receipt;
 use godwitreel::wire;
 
-/// Events made at a time.
-const BATCH: u64 = 1_000;
+/// Events built and handled per batch.
+const BATCH_SIZE: u64 = 1_000;
 
-/// Longer than any deadline and copy lifetime, so that nothing is left of a batch.
-const REST: Duration = Duration::from_secs(10);
+/// Longer than any deadline and copy lifetime, so that all records of a batch expire.
+const EXPIRY: Duration = Duration::from_secs(10);
 
-/// Age at which a core is made anew, before its feeds count as silent.
-const OLD: Duration = Duration::from_secs(3_000);
+/// Age at which an engine is replaced by a new one, before its feeds count as silent.
+const MAX_ENGINE_AGE: Duration = Duration::from_secs(3_000);
 
-/// Feeds kept in the table while packets of known flows are handled.
-const KNOWN: u32 = 20_000;
+/// Feeds that are open while packets of known flows are handled.
+const KNOWN_FLOWS: u32 = 20_000;
 
-/// Feeds of a backup that is promoted.
-const PROMOTED: u32 = 10_000;
+/// Feeds of the backup that becomes home.
+const PROMOTED_FEEDS: u32 = 10_000;
 
-/// Handles events one by one; returns the time and what came out.
-fn run(core: &mut Core, events: Vec<Event>) -> (Duration, Vec<Vec<Action>>) {
-    let mut out = Vec::with_capacity(events.len());
+/// Handles events one by one; returns the elapsed time and each event's actions.
+fn handle_all(engine: &mut EngineFixture, events: Vec<Event>) -> (Duration, Vec<Vec<Action>>) {
+    let mut actions = Vec::with_capacity(events.len());
     let start = Clock::now();
     for event in events {
-        out.push(core.handle(event));
+        actions.push(engine.handle(event));
     }
-    (start.elapsed(), out)
+    (start.elapsed(), actions)
 }
 
-/// Repeats a batch until so many events were handled.
-fn batches(count: u64, mut batch: impl FnMut(u64) -> Duration) -> Duration {
+/// Runs batches until `count` events have been handled; returns their total time.
+fn run_batches(count: u64, mut batch: impl FnMut(u64) -> Duration) -> Duration {
     let mut total = Duration::ZERO;
-    let mut left = count;
-    while left > 0 {
-        let size = left.min(BATCH);
+    let mut remaining = count;
+    while remaining > 0 {
+        let size = remaining.min(BATCH_SIZE);
         total += batch(size);
-        left -= size;
+        remaining -= size;
     }
     total
 }
 
-/// A core that is home of everything and keeps feeds.
-fn home() -> (Core, Vec<fixture::Sent>) {
-    let mut core = Core::new("a", "b", 0);
-    let sent = core.open_feeds(0, KNOWN);
-    (core, sent)
+/// An engine that is home of every slice, with open feeds.
+fn home_engine() -> (EngineFixture, Vec<fixture::ForwardedRequest>) {
+    let mut engine = EngineFixture::new("a", "b", 0);
+    let sent = engine.open_feeds(0, KNOWN_FLOWS);
+    (engine, sent)
 }
 
-/// Lets the finished requests of a batch be forgotten.
-fn rest(core: &mut Core) {
-    core.advance(REST);
-    if core.now > core.born + OLD {
-        *core = home().0;
+/// Lets the records of the finished requests expire.
+fn expire_records(engine: &mut EngineFixture) {
+    engine.advance(EXPIRY);
+    if engine.now > engine.created_at + MAX_ENGINE_AGE {
+        *engine = home_engine().0;
     }
 }
 
 fn known_flows(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("known");
-    let (mut core, sent) = home();
+    let (mut engine, sent) = home_engine();
     group.bench_function("notification", |bencher| {
         bencher.iter_custom(|count| {
-            batches(count, |size| {
+            run_batches(count, |size| {
                 let events = (0..size as usize).map(|n| fixture::answer(sent[n * 17], true));
                 let events = events.collect();
-                run(&mut core, events).0
+                handle_all(&mut engine, events).0
             })
         });
     });
     group.bench_function("receipt", |bencher| {
         bencher.iter_custom(|count| {
-            batches(count, |size| {
+            run_batches(count, |size| {
                 let events = (0..size as u32).map(|n| Event::Receipt {
-                    flow: core.flow(n * 17),
+                    flow: engine.flow(n * 17),
                     message: 0,
                     receipt: Receipt::Acknowledged,
                     hops: 0,
                     datagram: Bytes::new(),
                 });
                 let events = events.collect();
-                run(&mut core, events).0
+                handle_all(&mut engine, events).0
             })
         });
     });
-    let open: Vec<Event> = (0..BATCH as u32)
-        .map(|n| core.request(n, 9, Kind::Idempotent))
+    let open: Vec<Event> = (0..BATCH_SIZE as u32)
+        .map(|n| engine.request(n, 9, Kind::Idempotent))
         .collect();
-    run(&mut core, open.clone());
+    handle_all(&mut engine, open.clone());
     group.bench_function("copy", |bencher| {
         bencher.iter_custom(|count| {
-            batches(count, |size| {
-                run(&mut core, open[..size as usize].to_vec()).0
+            run_batches(count, |size| {
+                handle_all(&mut engine, open[..size as usize].to_vec()).0
             })
         });
     });
-    let mut elsewhere = Core::new("b", "c", 0);
+    let mut relaying = EngineFixture::new("b", "c", 0);
     group.bench_function("relay", |bencher| {
         bencher.iter_custom(|count| {
-            batches(count, |size| {
-                let events = (0..size as u32).map(|n| elsewhere.request(n, 9, Kind::Idempotent));
+            run_batches(count, |size| {
+                let events = (0..size as u32).map(|n| relaying.request(n, 9, Kind::Idempotent));
                 let events = events.collect();
-                run(&mut elsewhere, events).0
+                handle_all(&mut relaying, events).0
             })
         });
     });
@@ -132,54 +132,62 @@
 
 fn new_flows(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("new");
-    let (mut core, _) = home();
-    let mut next = KNOWN;
+    let (mut engine, _) = home_engine();
+    let mut next = KNOWN_FLOWS;
     group.bench_function("idempotent_forward", |bencher| {
         bencher.iter_custom(|count| {
-            batches(count, |size| {
-                let events = requests(&core, &mut next, size, Kind::Idempotent);
-                let (time, out) = run(&mut core, events);
-                let answers = out.iter().filter_map(|actions| fixture::sent(actions));
+            run_batches(count, |size| {
+                let events = new_requests(&engine, &mut next, size, Kind::Idempotent);
+                let (time, out) = handle_all(&mut engine, events);
+                let answers = out
+                    .iter()
+                    .filter_map(|actions| fixture::first_forwarded(actions));
                 let answers = answers.map(|sent| fixture::answer(sent, false)).collect();
-                run(&mut core, answers);
-                rest(&mut core);
+                handle_all(&mut engine, answers);
+                expire_records(&mut engine);
                 time
             })
         });
     });
     group.bench_function("idempotent_whole", |bencher| {
         bencher.iter_custom(|count| {
-            batches(count, |size| {
-                let events = requests(&core, &mut next, size, Kind::Idempotent);
-                let (first, out) = run(&mut core, events);
-                let answers = out.iter().filter_map(|actions| fixture::sent(actions));
+            run_batches(count, |size| {
+                let events = new_requests(&engine, &mut next, size, Kind::Idempotent);
+                let (first, out) = handle_all(&mut engine, events);
+                let answers = out
+                    .iter()
+                    .filter_map(|actions| fixture::first_forwarded(actions));
                 let answers = answers.map(|sent| fixture::answer(sent, false)).collect();
-                let (second, _) = run(&mut core, answers);
-                rest(&mut core);
+                let (second, _) = handle_all(&mut engine, answers);
+                expire_records(&mut engine);
                 first + second
             })
         });
     });
     group.bench_function("once_whole", |bencher| {
         bencher.iter_custom(|count| {
-            batches(count, |size| {
-                let events = requests(&core, &mut next, size, Kind::NonIdempotent);
-                let (claimed, out) = run(&mut core, events);
-                let receipts = out.iter().flat_map(|actions| fixture::receipts(actions));
-                let receipts = receipts.collect();
-                let (forwarded, out) = run(&mut core, receipts);
-                let answers = out.iter().filter_map(|actions| fixture::sent(actions));
+            run_batches(count, |size| {
+                let events = new_requests(&engine, &mut next, size, Kind::NonIdempotent);
+                let (claimed, out) = handle_all(&mut engine, events);
+                let acknowledgements = out
+                    .iter()
+                    .flat_map(|actions| fixture::backup_acknowledgements(actions));
+                let acknowledgements = acknowledgements.collect();
+                let (forwarded, out) = handle_all(&mut engine, acknowledgements);
+                let answers = out
+                    .iter()
+                    .filter_map(|actions| fixture::first_forwarded(actions));
                 let answers = answers.map(|sent| fixture::answer(sent, false)).collect();
-                let (answered, _) = run(&mut core, answers);
-                rest(&mut core);
+                let (answered, _) = handle_all(&mut engine, answers);
+                expire_records(&mut engine);
                 claimed + forwarded + answered
             })
         });
     });
-    let mut backup = Core::new("b", "a", 0);
+    let mut backup = EngineFixture::new("b", "a", 0);
     group.bench_function("claim_at_backup", |bencher| {
         bencher.iter_custom(|count| {
-            batches(count, |size| {
+            run_batches(count, |size| {
                 let events = (0..size).map(|_| {
                     next += 1;
                     Event::Peer {
@@ -190,8 +198,8 @@
                     }
                 });
                 let events = events.collect();
-                let time = run(&mut backup, events).0;
-                backup.advance(REST);
+                let time = handle_all(&mut backup, events).0;
+                backup.advance(EXPIRY);
                 time
             })
         });
@@ -199,24 +207,24 @@
     group.finish();
 }
 
-fn requests(core: &Core, next: &mut u32, size: u64, kind: Kind) -> Vec<Event> {
+fn new_requests(engine: &EngineFixture, next: &mut u32, size: u64, kind: Kind) -> Vec<Event> {
     let mut events = Vec::with_capacity(size as usize);
     for _ in 0..size {
         *next += 1;
-        events.push(core.request(*next & 0xff_ffff, u128::from(*next), kind));
+        events.push(engine.request(*next & 0xff_ffff, u128::from(*next), kind));
     }
     events
 }
 
-/// A backup with feeds of everything.
-fn backup() -> Core {
-    let mut core = Core::new("b", "a", 0);
-    for number in 0..PROMOTED {
-        let body = peer::PeerMessage::ReplicationStep(fixture::feed_step(&core, number));
+/// The engine of the backup of every slice, with copies of feeds.
+fn backup_engine() -> EngineFixture {
+    let mut engine = EngineFixture::new("b", "a", 0);
+    for number in 0..PROMOTED_FEEDS {
+        let body = peer::PeerMessage::ReplicationStep(fixture::feed_step(&engine, number));
         let from = fixture::holder("b");
-        core.handle(Event::Peer { from, body });
+        engine.handle(Event::Peer { from, body });
     }
-    core
+    engine
 }
 
 fn promotion(criterion: &mut Criterion) {
@@ -224,10 +232,15 @@
     group.sample_size(10);
     group.bench_function("table_10000_feeds", |bencher| {
         bencher.iter_batched(
-            || (backup(), fixture::table(fixture::SLICES, 2, "a", "c")),
-            |(mut core, table)| {
-                let out = core.handle(Event::Table(table));
-                (core, out)
+            || {
+                (
+                    backup_engine(),
+                    fixture::table(fixture::SLICES, 2, "a", "c"),
+                )
+            },
+            |(mut engine, table)| {
+                let out = engine.handle(Event::Table(table));
+                (engine, out)
             },
             BatchSize::PerIteration,
         );
@@ -235,28 +248,28 @@
     group.bench_function("register_10000_feeds", |bencher| {
         bencher.iter_batched(
             || {
-                let mut core = backup();
-                core.handle(Event::Table(fixture::table(fixture::SLICES, 2, "a", "c")));
-                core
+                let mut engine = backup_engine();
+                engine.handle(Event::Table(fixture::table(fixture::SLICES, 2, "a", "c")));
+                engine
             },
-            |mut core| {
+            |mut engine| {
                 let mut forwarded = 0;
-                while forwarded < PROMOTED as usize {
-                    let out = core.handle(Event::Tick);
+                while forwarded < PROMOTED_FEEDS as usize {
+                    let out = engine.handle(Event::Tick);
                     forwarded += out
                         .iter()
                         .filter(|a| matches!(a, Action::Forward { .. }))
                         .count();
                 }
-                core
+                engine
             },
             BatchSize::PerIteration,
         );
     });
     for slices in [1_024, 4_096, 16_384] {
         group.bench_function(format!("one_row_of_{slices}"), |bencher| {
-            let mut core = Core::new("a", "b", 0);
-            core.handle(Event::Table(fixture::table(slices, 2, "a", "b")));
+            let mut engine = EngineFixture::new("a", "b", 0);
+            engine.handle(Event::Table(fixture::table(slices, 2, "a", "b")));
             let mut epoch = 2;
             bencher.iter_custom(|count| {
                 (0..count)
@@ -271,7 +284,7 @@
                         table.update_if_newer(slice, row);
                         let event = Event::Table(Arc::new(table));
                         let start = Clock::now();
-                        black_box(core.handle(event));
+                        black_box(engine.handle(event));
                         start.elapsed()
                     })
                     .sum()
@@ -283,24 +296,25 @@
 
 fn codecs(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("codec");
-    let core = Core::new("a", "b", 0);
-    let flow = core.flow(1);
+    let engine = EngineFixture::new("a", "b", 0);
+    let flow = engine.flow(1);
     let get = Bytes::from_static(fixture::GET);
     let notification = Bytes::from_static(fixture::NOTIFICATION);
-    let service: id::Service = fixture::name("service-0");
-    let from = fixture::caller(2);
+    let service: id::Service = fixture::parse_id("service-0");
+    let from = fixture::caller_address(2);
     group.bench_function("read_caller", |bencher| {
         bencher.iter(|| codec::read_caller(&flow, black_box(&get)));
     });
     group.bench_function("write_forward", |bencher| {
-        let left = Duration::from_secs(8);
-        bencher.iter(|| codec::write_forward(black_box(&get), &service, id::Attempt(1), 7, left));
+        let remaining = Duration::from_secs(8);
+        bencher
+            .iter(|| codec::write_forward(black_box(&get), &service, id::Attempt(1), 7, remaining));
     });
     group.bench_function("read_server", |bencher| {
         bencher.iter(|| codec::read_server(from, black_box(&notification)));
     });
     group.bench_function("write_answer", |bencher| {
-        let address = codec::AnswerHeader {
+        let header = codec::AnswerHeader {
             id: godwitreel::request::Id(0x1234 << 72),
             token: godwitreel::request::Token(4 << 64 | 0x0102_0304),
             confirmable: true,
@@ -309,7 +323,7 @@
             sequence: None,
         };
         let outcome = Outcome::Answered(notification.clone());
-        bencher.iter(|| codec::write_answer(&address, black_box(&outcome)));
+        bencher.iter(|| codec::write_answer(&header, black_box(&outcome)));
     });
     group.bench_function("write_notification", |bencher| {
         let token = godwitreel::request::Token(4 << 64 | 0x0102_0304);
@@ -321,26 +335,26 @@
 
 fn frames(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("frame");
-    let core = Core::new("a", "b", 0);
+    let engine = EngineFixture::new("a", "b", 0);
     let keys = wire::Keys::new([&[7u8; 32][..]]).expect("keys");
     let envelope = wire::Envelope {
         from: fixture::holder("a").to_string(),
         to: "b".to_owned(),
         sequence: 1 << 20,
         body: Some(peer::PeerMessage::Relay(peer::Relay {
-            flow: Some(peer::pack_flow(&core.flow(1))),
+            flow: Some(peer::pack_flow(&engine.flow(1))),
             datagram: Bytes::from_static(fixture::GET),
             hops: 1,
             released: false,
         })),
     };
-    let sealed = wire::sign_frame(&keys, &envelope);
-    let me: id::Instance = fixture::name("b");
+    let frame = wire::sign_frame(&keys, &envelope);
+    let me: id::Instance = fixture::parse_id("b");
     group.bench_function("seal", |bencher| {
         bencher.iter(|| wire::sign_frame(&keys, black_box(&envelope)));
     });
     group.bench_function("open", |bencher| {
-        bencher.iter(|| wire::verify_frame(&keys, &me, "10.0.0.1:7000", black_box(&sealed)));
+        bencher.iter(|| wire::verify_frame(&keys, &me, "10.0.0.1:7000", black_box(&frame)));
     });
     group.finish();
 }
@@ -348,15 +362,15 @@
 fn configuration(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("config");
     group.sample_size(10);
-    let full = fixture::config(3_700, 6_400);
+    let config = fixture::config(3_700, 6_400);
     group.bench_function("build_6400_servers", |bencher| {
         bencher.iter(|| fixture::config(3_700, 6_400));
     });
     group.bench_function("snapshot_6400_servers", |bencher| {
-        bencher.iter(|| full.snapshot());
+        bencher.iter(|| config.snapshot());
     });
     group.bench_function("digest_10101_keys", |bencher| {
-        bencher.iter(|| full.digest());
+        bencher.iter(|| config.digest());
     });
     group.finish();
 }
--- a/examples/demo/deployment.rs
+++ b/examples/demo/deployment.rs
@@ -1,4 +1,4 @@
-//! Stand-ins and entry instances, started together.
+//! The stand-ins and entry instances of the demo.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -25,25 +25,25 @@
 /// Slices of the flow space; few, so that the demo starts quickly.
 const SLICES: u32 = 64;
 
-/// Longest wait for one thing to come about.
-const PATIENCE: Duration = Duration::from_secs(15);
+/// Longest wait for an expected state.
+const STATE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Time between two looks.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Interval between two polls of a state.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time for one answer over HTTP.
+/// Timeout of an HTTP request.
 const HTTP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time between two notifications of a feed.
-const NOTIFY_EVERY: Duration = Duration::from_millis(200);
+/// Interval between two notifications of a feed.
+const NOTIFY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Name of the profile that both services choose.
+/// Name of the profile that both services use.
 const PROFILE: &str = "live";
 
 /// Availability zones, each with one entry instance.
 const ZONES: [&str; 3] = ["bole", "kality", "merkato"];
 
-/// Services with their counts of backend servers.
+/// Services with their numbers of backend servers.
 const SERVICES: [(&str, usize); 2] = [("dispatch", 3), ("ledger", 2)];
 
 /// One entry instance.
@@ -52,18 +52,18 @@
     status: SocketAddr,
     listeners: BTreeMap<&'static str, SocketAddr>,
     handle: daemon::Handle,
-    /// Writes the log out when the instance goes.
-    _flush: log::LogGuard,
+    /// Writes out the remaining log lines when it is dropped.
+    _log_guard: log::LogGuard,
 }
 
-/// One backend server with its place.
+/// A backend server with its service and zone.
 struct Backend {
     service: &'static str,
     zone: &'static str,
     handle: server::Handle,
 }
 
-/// Everything that runs.
+/// All stand-ins and instances of the demo.
 pub(crate) struct Deployment {
     platform: platform::Handle,
     fabrics: BTreeMap<&'static str, fabric::Handle>,
@@ -72,8 +72,8 @@
     client: reqwest::Client,
 }
 
-/// What the backend servers counted.
-pub(crate) struct Count {
+/// Counters of a backend server.
+pub(crate) struct ServerCounts {
     pub(crate) name: String,
     pub(crate) service: &'static str,
     pub(crate) started: u64,
@@ -90,11 +90,11 @@
 }
 
 impl Deployment {
-    /// Starts all parts, which then find each other.
+    /// Starts the platform, the services with their backend servers, and the instances.
     pub(crate) async fn start() -> Result<Self, Failure> {
         let platform = platform::start(local()).await;
         let mut deployment = Self {
-            platform: platform.map_err(Failure::at("platform"))?,
+            platform: platform.map_err(Failure::starting("platform"))?,
             fabrics: BTreeMap::new(),
             servers: BTreeMap::new(),
             instances: Vec::new(),
@@ -112,7 +112,7 @@
 
     async fn add_service(&mut self, service: &'static str, count: usize) -> Result<(), Failure> {
         let fabric = fabric::start(local(), Vec::new(), 1).await;
-        let fabric = fabric.map_err(Failure::at("fabric"))?;
+        let fabric = fabric.map_err(Failure::starting("fabric"))?;
         let body = json!({"profile": PROFILE, "address": fabric.address().to_string()});
         let key = format!("godwitreel/services/{service}");
         self.platform.put(&key, envelope(1, &body));
@@ -120,21 +120,21 @@
         for number in 0..count {
             let name = format!("{service}-{}", number + 1);
             let mut settings = server::Settings::new(&name, service);
-            settings.notify_interval = NOTIFY_EVERY;
+            settings.notify_interval = NOTIFY_INTERVAL;
             let handle = server::start(settings).await;
             let backend = Backend {
                 service,
                 zone: ZONES[number % ZONES.len()],
-                handle: handle.map_err(Failure::at("backend server"))?,
+                handle: handle.map_err(Failure::starting("backend server"))?,
             };
-            self.list(&name, &backend, "up");
+            self.publish(&name, &backend, "up");
             self.servers.insert(name, backend);
         }
         Ok(())
     }
 
-    fn list(&self, name: &str, backend: &Backend, state: &str) {
-        let listed = json!({
+    fn publish(&self, name: &str, backend: &Backend, state: &str) {
+        let entry = json!({
             "service": backend.service,
             "zone": backend.zone,
             "address": backend.handle.address().to_string(),
@@ -143,7 +143,7 @@
             "state": state,
         });
         let key = format!("platform/servers/{name}");
-        self.platform.put(&key, listed.to_string());
+        self.platform.put(&key, entry.to_string());
     }
 
     async fn add_instance(&mut self, zone: &str) -> Result<(), Failure> {
@@ -155,7 +155,7 @@
         }
         let text = self.settings(&name, zone, status, &listeners)?;
         let settings = settings::Daemon::parse(Path::new("demo.jsonc"), &text)?;
-        let (logger, flush) = log::logger(&settings.log);
+        let (logger, log_guard) = log::logger(&settings.log);
         let handle = daemon::start(settings, logger).await?;
         for (service, address) in &listeners {
             self.fabrics[service].add(*address);
@@ -165,7 +165,7 @@
             status,
             listeners,
             handle,
-            _flush: flush,
+            _log_guard: log_guard,
         });
         Ok(())
     }
@@ -182,7 +182,7 @@
         let listeners = json!(listeners);
         Ok(format!(
             r#"{{
-                // Who this is, and where.
+                // Name and place of the instance.
                 "instance": "{name}",
                 "zone": "{zone}",
                 "peer": "{peer}",
@@ -197,11 +197,11 @@
         ))
     }
 
-    /// Waits until every slice has a home and a backup and every server is used.
-    pub(crate) async fn settled(&self) -> Result<(), Failure> {
-        let end = Instant::now() + PATIENCE;
+    /// Waits until every slice has a home and a backup and every instance uses every server.
+    pub(crate) async fn wait_until_settled(&self) -> Result<(), Failure> {
+        let deadline = Instant::now() + STATE_TIMEOUT;
         while !self.is_settled().await {
-            pause_until(end, "a home and a backup for every slice").await?;
+            pause_until(deadline, "a home and a backup for every slice").await?;
         }
         Ok(())
     }
@@ -221,54 +221,54 @@
         homes == SLICES
     }
 
-    /// What an instance tells of itself.
+    /// Fetches the status of an instance; `None` if the request fails.
     pub(crate) async fn status(&self, instance: &Instance) -> Option<Status> {
         let url = format!("http://{}/status", instance.status);
         let request = self.client.get(url).timeout(HTTP_TIMEOUT);
         request.send().await.ok()?.json().await.ok()
     }
 
-    /// Opens a caller of a service.
+    /// Starts a caller of a service.
     pub(crate) async fn caller(&self, service: &str, seed: u64) -> Result<caller::Caller, Failure> {
         let mut settings = caller::Settings::new(self.fabrics[service].address());
         settings.seed = seed;
         let caller = caller::start(settings).await;
-        caller.map_err(Failure::at("caller"))
+        caller.map_err(Failure::starting("caller"))
     }
 
-    /// Stops an instance gracefully; the fabric learns of it a second late.
-    pub(crate) async fn stop_instance(&mut self, place: usize) -> daemon::Stopped {
-        const LATE: Duration = Duration::from_secs(1);
-        let mut instance = self.instances.remove(place);
-        let forget = async {
-            sleep(LATE).await;
+    /// Stops an instance gracefully; the fabric stops sending to it only a second later.
+    pub(crate) async fn stop_instance(&mut self, index: usize) -> daemon::Stopped {
+        const FABRIC_DELAY: Duration = Duration::from_secs(1);
+        let mut instance = self.instances.remove(index);
+        let remove_from_fabric = async {
+            sleep(FABRIC_DELAY).await;
             for (service, address) in &instance.listeners {
                 self.fabrics[service].remove(*address);
             }
         };
-        let (stopped, ()) = tokio::join!(instance.handle.stop(), forget);
+        let (stopped, ()) = tokio::join!(instance.handle.stop(), remove_from_fabric);
         stopped
     }
 
-    /// Stops what is left.
-    pub(crate) fn end(self) {
+    /// Aborts the remaining instances.
+    pub(crate) fn abort(self) {
         for instance in self.instances {
             instance.handle.abort();
         }
     }
 
-    /// Lets a backend server drain and lists it as leaving.
+    /// Drains a backend server and sets its state on the platform to `leaving`.
     pub(crate) fn drain_server(&self, name: &str) {
         let backend = &self.servers[name];
         backend.handle.drain(true);
-        self.list(name, backend, "leaving");
+        self.publish(name, backend, "leaving");
     }
 
-    /// Waits until a server has no feeds left.
-    pub(crate) async fn vacated(&self, name: &str) -> Result<(), Failure> {
-        let end = Instant::now() + PATIENCE;
+    /// Waits until a server has no open feeds.
+    pub(crate) async fn wait_until_vacated(&self, name: &str) -> Result<(), Failure> {
+        let deadline = Instant::now() + STATE_TIMEOUT;
         while self.servers[name].handle.observers() > 0 {
-            pause_until(end, "the feeds to leave the draining server").await?;
+            pause_until(deadline, "the feeds to leave the draining server").await?;
         }
         Ok(())
     }
@@ -280,37 +280,37 @@
     }
 
     /// Waits until the revision of the profile is in force at every instance.
-    pub(crate) async fn in_force(&self, revision: u64) -> Result<(), Failure> {
+    pub(crate) async fn wait_until_in_force(&self, revision: u64) -> Result<(), Failure> {
         let key = format!("profiles/{PROFILE}");
-        let end = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + STATE_TIMEOUT;
         for instance in &self.instances {
             loop {
                 let status = self.status(instance).await;
-                let known = status.and_then(|status| status.revisions.get(&key).copied());
-                if known.is_some_and(|known| known.0 == revision) {
+                let in_force = status.and_then(|status| status.revisions.get(&key).copied());
+                if in_force.is_some_and(|in_force| in_force.0 == revision) {
                     break;
                 }
-                pause_until(end, "the profile to be in force").await?;
+                pause_until(deadline, "the profile to be in force").await?;
             }
         }
         Ok(())
     }
 
-    /// How often the booking was started, at all servers.
+    /// How often a booking was started, over all servers.
     pub(crate) fn starts(&self, booking: &str) -> u64 {
         let servers = self.servers.values();
         servers.map(|backend| backend.handle.starts(booking)).sum()
     }
 
-    /// Requests that reached a server of another service.
+    /// Number of requests that reached a server of another service.
     pub(crate) fn wrong_service(&self) -> u64 {
         let servers = self.servers.values();
         servers.map(|backend| backend.handle.wrong_service()).sum()
     }
 
-    /// What each backend server counted.
-    pub(crate) fn counts(&self) -> Vec<Count> {
-        let count = |(name, backend): (&String, &Backend)| Count {
+    /// The counters of each backend server.
+    pub(crate) fn counts(&self) -> Vec<ServerCounts> {
+        let count = |(name, backend): (&String, &Backend)| ServerCounts {
             name: name.clone(),
             service: backend.service,
             started: backend.handle.all_starts().values().sum(),
@@ -321,11 +321,11 @@
     }
 }
 
-/// Waits a little, or fails when the time is over.
-async fn pause_until(end: Instant, what: &'static str) -> Result<(), Failure> {
-    if Instant::now() >= end {
-        return Err(Failure::Late(what));
+/// Waits for one poll interval, or fails if the deadline has passed.
+async fn pause_until(deadline: Instant, expected: &'static str) -> Result<(), Failure> {
+    if Instant::now() >= deadline {
+        return Err(Failure::Timeout(expected));
     }
-    sleep(LOOK_EVERY).await;
+    sleep(POLL_INTERVAL).await;
     Ok(())
 }
--- a/examples/demo/driver.rs
+++ b/examples/demo/driver.rs
@@ -1,4 +1,4 @@
-//! A driver: holds a route feed open and books pickups.
+//! A driver: keeps a route feed open and books pickups.
 
 use std::time::Duration;
 
@@ -14,104 +14,106 @@
 
 use crate::failure::Failure;
 
-/// Time for one answer.
+/// Deadline of a request.
 const DEADLINE: Duration = Duration::from_secs(12);
 
-/// Time between two bookings of one driver.
-const BOOK_EVERY: Duration = Duration::from_millis(150);
+/// Pause between two bookings of a driver.
+const BOOKING_PAUSE: Duration = Duration::from_millis(150);
 
-/// A notification that comes later than this after the one before is a gap.
-const GAP: Duration = Duration::from_secs(1);
+/// Time between two notifications above which the pause counts as a gap.
+const GAP_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// A feed that is silent for this long is broken.
-const BROKEN: Duration = Duration::from_secs(8);
+/// Time without a notification after which the feed counts as broken.
+const FEED_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// A booking and how it ended.
+/// A booking and its outcome.
 pub(crate) struct Booking {
     pub(crate) payload: String,
     pub(crate) outcome: Outcome,
 }
 
-/// What a driver saw of its feed.
+/// What a driver observed of its feed.
 #[derive(Clone, Default)]
-pub(crate) struct Watched {
+pub(crate) struct FeedStats {
     pub(crate) server: String,
     pub(crate) notifications: u64,
     pub(crate) missed: u64,
     pub(crate) moves: u64,
     pub(crate) gaps: u64,
-    pub(crate) longest: Duration,
+    pub(crate) longest_wait: Duration,
 }
 
-/// What a driver saw in all.
-pub(crate) struct Tally {
+/// The results of a driver: its feed and its bookings.
+pub(crate) struct DriverReport {
     pub(crate) name: &'static str,
-    pub(crate) feed: Watched,
+    pub(crate) feed: FeedStats,
     pub(crate) bookings: Vec<Booking>,
 }
 
-/// A driver at work.
+/// A running driver.
 pub(crate) struct Driver {
     name: &'static str,
     caller: Caller,
     stop: CancellationToken,
-    watched: watch::Sender<Watched>,
+    feed_stats: watch::Sender<FeedStats>,
 }
 
 impl Driver {
-    /// A driver that works until it is told to stop.
+    /// Creates a driver that runs until `stop` is cancelled.
     pub(crate) fn new(name: &'static str, caller: Caller, stop: CancellationToken) -> Self {
         Self {
             name,
             caller,
             stop,
-            watched: watch::Sender::default(),
+            feed_stats: watch::Sender::default(),
         }
     }
 
-    /// What it sees of its feed while it works.
-    pub(crate) fn watched(&self) -> watch::Receiver<Watched> {
-        self.watched.subscribe()
+    /// The statistics of its feed, updated while the driver runs.
+    pub(crate) fn feed_stats(&self) -> watch::Receiver<FeedStats> {
+        self.feed_stats.subscribe()
     }
 
-    /// Works until it is told to stop.
-    pub(crate) async fn work(self) -> Result<Tally, Failure> {
+    /// Follows the feed and books pickups until `stop` is cancelled.
+    pub(crate) async fn run(self) -> Result<DriverReport, Failure> {
         let opened = self.caller.observe("/route", DEADLINE).await;
         let feed = opened.map_err(|outcome| {
-            Failure::Broken(format!("{}: no feed, but {outcome:?}", self.name))
+            Failure::Violation(format!("{}: cannot open the feed: {outcome:?}", self.name))
         })?;
-        let (fed, bookings) = tokio::join!(self.follow(feed), self.book());
-        fed?;
-        Ok(Tally {
+        let (followed, bookings) = tokio::join!(self.follow(feed), self.book());
+        followed?;
+        Ok(DriverReport {
             name: self.name,
-            feed: self.watched.borrow().clone(),
+            feed: self.feed_stats.borrow().clone(),
             bookings,
         })
     }
 
     async fn follow(&self, mut feed: Feed) -> Result<(), Failure> {
-        let mut heard = Instant::now();
+        let mut last_notification = Instant::now();
         while !self.stop.is_cancelled() {
-            match feed.next(BROKEN).await {
-                Update::Notification { .. } => self.note(&feed, heard.elapsed()),
+            match feed.next(FEED_TIMEOUT).await {
+                Update::Notification { .. } => {
+                    self.record_notification(&feed, last_notification.elapsed())
+                }
                 other => {
-                    let reason = format!("{}: the feed broke: {other:?}", self.name);
-                    return Err(Failure::Broken(reason));
+                    let reason = format!("{}: the feed failed: {other:?}", self.name);
+                    return Err(Failure::Violation(reason));
                 }
             }
-            heard = Instant::now();
+            last_notification = Instant::now();
         }
         Ok(())
     }
 
-    fn note(&self, feed: &Feed, wait: Duration) {
-        self.watched.send_modify(|watched| {
-            watched.server = feed.server().unwrap_or("?").to_owned();
-            watched.notifications += 1;
-            watched.missed = feed.missed();
-            watched.moves = feed.moves();
-            watched.gaps += u64::from(wait > GAP);
-            watched.longest = watched.longest.max(wait);
+    fn record_notification(&self, feed: &Feed, wait: Duration) {
+        self.feed_stats.send_modify(|feed_stats| {
+            feed_stats.server = feed.server().unwrap_or("?").to_owned();
+            feed_stats.notifications += 1;
+            feed_stats.missed = feed.missed();
+            feed_stats.moves = feed.moves();
+            feed_stats.gaps += u64::from(wait > GAP_THRESHOLD);
+            feed_stats.longest_wait = feed_stats.longest_wait.max(wait);
         });
     }
 
@@ -124,7 +126,7 @@
                 .request(RequestType::Post, "/pickup", payload.as_bytes(), DEADLINE)
                 .await;
             bookings.push(Booking { payload, outcome });
-            sleep(BOOK_EVERY).await;
+            sleep(BOOKING_PAUSE).await;
         }
         bookings
     }
--- a/examples/demo/failure.rs
+++ b/examples/demo/failure.rs
@@ -1,8 +1,8 @@
-//! Why the demo did not end well.
+//! Errors of the demo.
 
 use thiserror::Error;
 
-/// A step that failed, or a promise that did not hold.
+/// A step that failed, or a guarantee that was violated.
 #[derive(Debug, Error)]
 pub(crate) enum Failure {
     /// A stand-in could not be started.
@@ -11,20 +11,20 @@
         step: &'static str,
         source: std::io::Error,
     },
-    /// The balancer refused something.
+    /// The balancer returned an error.
     #[error(transparent)]
     Balancer(#[from] godwitreel::Error),
-    /// It did not come about in time.
-    #[error("waited too long for {0}")]
-    Late(&'static str),
-    /// A promise was broken.
+    /// An expected state was not reached in time.
+    #[error("timed out waiting for {0}")]
+    Timeout(&'static str),
+    /// A guarantee of the balancer was violated.
     #[error("{0}")]
-    Broken(String),
+    Violation(String),
 }
 
 impl Failure {
-    /// Marks an error of the system with the step at which it arose.
-    pub(crate) fn at(step: &'static str) -> impl Fn(std::io::Error) -> Self {
+    /// Converts an I/O error of the named start step.
+    pub(crate) fn starting(step: &'static str) -> impl Fn(std::io::Error) -> Self {
         move |source| Self::Start { step, source }
     }
 }
--- a/examples/demo/main.rs
+++ b/examples/demo/main.rs
@@ -1,36 +1,36 @@
-//! The balancer at work, in one process over loopback.
+//! Demonstrates the balancer in one process over loopback.
 //!
-//! It starts stand-ins for the platform, the fabric and the backend servers of
-//! two services, three entry instances, and two drivers that hold a feed open and
+//! The demo starts stand-ins for the platform, the fabric and the backend servers of
+//! two services, three entry instances, and two drivers that keep a feed open and
 //! book pickups. Then an instance stops, a backend server drains and a profile
-//! changes. It ends by itself: with code 0 if every promise held, else with 1 and
-//! the reason.
+//! changes. The exit code is 0 if all guarantees held; otherwise the demo prints the
+//! reason and exits with 1.
 
 mod deployment;
 mod driver;
 mod failure;
 mod report;
-mod story;
+mod scenario;
 
 use std::process::ExitCode;
 use std::time::Duration;
 
 use crate::failure::Failure;
 
-/// Longest run of the whole demo.
-const LONGEST: Duration = Duration::from_secs(60);
+/// Time limit for the whole demo.
+const DEMO_TIMEOUT: Duration = Duration::from_secs(60);
 
 #[tokio::main]
 async fn main() -> ExitCode {
-    let told = tokio::time::timeout(LONGEST, story::tell()).await;
-    let told = told.unwrap_or(Err(Failure::Late("the end of the demo")));
-    match told {
+    let result = tokio::time::timeout(DEMO_TIMEOUT, scenario::run()).await;
+    let result = result.unwrap_or(Err(Failure::Timeout("the end of the demo")));
+    match result {
         Ok(()) => {
-            println!("everything held");
+            println!("all guarantees held");
             ExitCode::SUCCESS
         }
         Err(failure) => {
-            println!("did not hold: {failure}");
+            println!("demo failed: {failure}");
             ExitCode::FAILURE
         }
     }
--- a/examples/demo/report.rs
+++ b/examples/demo/report.rs
@@ -1,4 +1,4 @@
-//! The demo's account: lines with times, and a summary.
+//! Output of the demo: timestamped lines and summary tables.
 
 use std::fmt;
 
@@ -6,39 +6,39 @@
 use standin::caller::Outcome;
 use tokio::time::Instant;
 
-use crate::deployment::Count;
+use crate::deployment::ServerCounts;
 use crate::driver::Booking;
-use crate::driver::Tally;
+use crate::driver::DriverReport;
 
-/// Tells what happens, with the time since the start.
-pub(crate) struct Teller {
+/// Prints lines with the time since the start.
+pub(crate) struct Printer {
     start: Instant,
 }
 
-impl Teller {
-    /// A teller whose time begins now.
+impl Printer {
+    /// Creates a printer whose time starts now.
     pub(crate) fn new() -> Self {
         Self {
             start: Instant::now(),
         }
     }
 
-    /// Tells one thing.
-    pub(crate) fn say(&self, what: impl fmt::Display) {
-        println!("{:6.2} s  {what}", self.start.elapsed().as_secs_f64());
+    /// Prints a line.
+    pub(crate) fn print(&self, line: impl fmt::Display) {
+        println!("{:6.2} s  {line}", self.start.elapsed().as_secs_f64());
     }
 }
 
 /// Bookings by their outcome.
 #[derive(Default)]
-struct Outcomes {
+struct OutcomeCounts {
     answered: usize,
     not_run: usize,
     unknown: usize,
     silent: usize,
 }
 
-impl Outcomes {
+impl OutcomeCounts {
     fn count(bookings: &[Booking]) -> Self {
         let mut outcomes = Self::default();
         for booking in bookings {
@@ -53,8 +53,8 @@
     }
 }
 
-/// Prints what the drivers saw.
-pub(crate) fn drivers(tallies: &[Tally]) {
+/// Prints the table of the drivers.
+pub(crate) fn drivers(reports: &[DriverReport]) {
     let mut table = Table::new();
     table.set_header([
         "driver",
@@ -68,11 +68,11 @@
         "gaps over 1 s",
         "longest wait",
     ]);
-    for tally in tallies {
-        let outcomes = Outcomes::count(&tally.bookings);
-        let feed = &tally.feed;
+    for report in reports {
+        let outcomes = OutcomeCounts::count(&report.bookings);
+        let feed = &report.feed;
         table.add_row([
-            tally.name.to_owned(),
+            report.name.to_owned(),
             outcomes.answered.to_string(),
             outcomes.not_run.to_string(),
             outcomes.unknown.to_string(),
@@ -81,14 +81,14 @@
             feed.missed.to_string(),
             feed.moves.to_string(),
             feed.gaps.to_string(),
-            format!("{} ms", feed.longest.as_millis()),
+            format!("{} ms", feed.longest_wait.as_millis()),
         ]);
     }
     println!("{table}");
 }
 
-/// Prints what the backend servers counted.
-pub(crate) fn servers(counts: &[Count]) {
+/// Prints the table of the backend servers.
+pub(crate) fn servers(counts: &[ServerCounts]) {
     let mut table = Table::new();
     table.set_header([
         "server",
--- a/examples/policy/main.rs
+++ b/examples/policy/main.rs
@@ -1,18 +1,17 @@
-//! Measures the policy under load and faults.
+//! Simulates the balancing policies under load and faults.
 //!
-//! `cargo run --release --example policy -- ROUND...` runs the rounds named, or
-//! all of them, over five seeds each and prints the tables of
-//! `docs/MEASUREMENTS.md`. The decisions are the real engine's; servers, callers
-//! and the clock are models.
+//! `cargo run --release --example policy -- ROUND...` runs the named rounds, or all
+//! of them, with five seeds each and prints the tables of `docs/MEASUREMENTS.md`.
+//! The real engine makes the decisions; servers, callers and the clock are models.
 
 mod measure;
 mod rounds;
-mod world;
+mod simulation;
 
 fn main() {
-    let named: Vec<String> = std::env::args().skip(1).collect();
-    for (name, round) in rounds::ALL {
-        if named.is_empty() || named.iter().any(|wanted| wanted == name) {
+    let selected: Vec<String> = std::env::args().skip(1).collect();
+    for (name, round) in rounds::ROUNDS {
+        if selected.is_empty() || selected.iter().any(|round| round == name) {
             println!("\n## {name}");
             round();
         }
--- a/examples/policy/rounds.rs
+++ b/examples/policy/rounds.rs
@@ -1,4 +1,4 @@
-//! The rounds: what is varied, under which load and faults.
+//! The rounds: the settings that each varies, with its load and faults.
 
 use std::sync::Arc;
 
@@ -8,28 +8,28 @@
 
 use crate::measure;
 use crate::measure::Column;
-use crate::measure::Measure;
-use crate::world::Fault;
-use crate::world::Gossip;
-use crate::world::Health;
-use crate::world::Plan;
-use crate::world::World;
-
-/// All rounds by name.
-pub(crate) const ALL: [(&str, fn()); 10] = [
-    ("choice", choice),
-    ("lies", lies),
+use crate::measure::Measurements;
+use crate::simulation::Fault;
+use crate::simulation::Health;
+use crate::simulation::LoadReports;
+use crate::simulation::Plan;
+use crate::simulation::Simulation;
+
+/// All rounds by their names on the command line.
+pub(crate) const ROUNDS: [(&str, fn()); 10] = [
+    ("choice", policy_choice),
+    ("lies", wrong_load_reports),
     ("spill", spill),
-    ("killed", killed),
+    ("killed", killed_instance),
     ("metastable", metastable),
     ("slow-start", slow_start),
     ("ejection", ejection),
     ("admission", admission),
     ("health", health),
-    ("weight", weight),
+    ("weight", balance_weight),
 ];
 
-/// Runs at a time.
+/// Runs that are simulated in parallel.
 const THREADS: usize = 3;
 
 const SEEDS: [u64; 5] = [11, 22, 33, 44, 55];
@@ -41,176 +41,200 @@
     Policy::LeastLoaded,
 ];
 
-const TOLD: Gossip = Gossip::On { lag: 0.0, lie: 1.0 };
+const CORRECT_REPORTS: LoadReports = LoadReports::On {
+    lag: 0.0,
+    factor: 1.0,
+};
 
 const LATENCY: [Column; 6] = [
-    ("good %", Measure::good),
+    ("good %", Measurements::answered_percent),
     ("p50 ms", |run| run.latency(0.5)),
     ("p99 ms", |run| run.latency(0.99)),
-    ("peak/mean", Measure::peak),
-    ("over slots %", Measure::over),
-    ("feeds peak/mean", Measure::feed_peak),
+    ("peak/mean", Measurements::peak),
+    ("over slots %", Measurements::over_slots_percent),
+    ("feeds peak/mean", Measurements::feed_peak),
 ];
 
-const TRUTH: [Column; 3] = [
+const CORRECTNESS: [Column; 3] = [
     ("unknown", |run| run.unknown as f64),
-    ("doubles", |run| run.doubles as f64),
-    ("lies", |run| run.lies as f64),
+    ("run twice", |run| run.run_twice as f64),
+    ("refused but run", |run| run.run_despite_refusal as f64),
 ];
 
-const BROKEN: [Column; 6] = [
+const FAILURES: [Column; 6] = [
     ("unknown", |run| run.unknown as f64),
-    ("late", |run| run.late as f64),
+    ("late", |run| run.unanswered as f64),
     ("refused", |run| run.refused as f64),
     ("no answer", |run| run.silent as f64),
     ("feeds ended", |run| run.feeds_ended as f64),
     ("feeds stalled", |run| run.feeds_stalled as f64),
 ];
 
-fn join(parts: &[&[Column]]) -> Vec<Column> {
+fn concat_columns(parts: &[&[Column]]) -> Vec<Column> {
     parts.concat()
 }
 
-/// Dispatch of Abay at a share of its servers' slots.
+/// The service `dispatch` of the customer Abay, loaded to a share of its servers' slots.
 pub(crate) fn abay(share: f64) -> Plan {
-    let (servers, slots, service) = (15, 2, 0.02);
-    let rate = share * f64::from(slots) * f64::from(servers) / service;
+    let (servers, slots, service_time) = (15, 2, 0.02);
+    let rate = share * f64::from(slots) * f64::from(servers) / service_time;
     Plan {
-        homes: 8,
+        instances: 8,
         zones: &["bole", "kality", "merkato", "ayat"],
         servers: servers as usize,
         slots,
-        hop: 0.001_5,
-        caller_hop: 0.003,
+        zone_delay: 0.001_5,
+        caller_delay: 0.003,
         profile: Profile::default(),
         rate: Arc::new(move |_| rate),
-        once: 0.3,
+        non_idempotent_share: 0.3,
         feeds: 3_000,
-        notify_every: 2.0,
-        service,
-        length: 40.0,
-        from: 10.0,
-        gossip: TOLD,
-        backup: true,
-        shed: 64,
-        comebacks: 0,
-        heeds: true,
+        notify_interval: 2.0,
+        service_time,
+        duration: 40.0,
+        measure_from: 10.0,
+        load_reports: CORRECT_REPORTS,
+        has_backup: true,
+        shed_queue_len: 64,
+        caller_retries: 0,
+        honours_retry_after: true,
         honours_deadline: true,
         faults: Vec::new(),
     }
 }
 
-/// Booking of Naukluft at a share of its servers' slots.
+/// The booking service of the customer Naukluft, loaded to a share of its servers' slots.
 pub(crate) fn naukluft(share: f64) -> Plan {
-    let (servers, slots, service) = (15, 3, 0.02);
-    let rate = share * f64::from(slots) * f64::from(servers) / service;
+    let (servers, slots, service_time) = (15, 3, 0.02);
+    let rate = share * f64::from(slots) * f64::from(servers) / service_time;
     Plan {
-        homes: 7,
+        instances: 7,
         zones: &["kh-eros", "kh-klein", "kh-olympia"],
         slots,
-        hop: 0.001,
+        zone_delay: 0.001,
         rate: Arc::new(move |_| rate),
         ..abay(share)
     }
 }
 
-fn with(plan: Plan, change: impl Fn(&mut Profile)) -> Plan {
+fn with_profile(plan: Plan, change: impl Fn(&mut Profile)) -> Plan {
     let mut plan = plan;
     change(&mut plan.profile);
     plan
 }
 
-fn fault(at: f64, what: impl Fn(&mut World) + Send + Sync + 'static) -> Fault {
-    (at, Arc::new(what))
+fn fault(at: f64, action: impl Fn(&mut Simulation) + Send + Sync + 'static) -> Fault {
+    (at, Arc::new(action))
 }
 
-fn show(name: &str, columns: &[Column], plan: &Plan) {
+fn run_and_print(name: &str, columns: &[Column], plan: &Plan) {
     let mut runs = Vec::new();
     for seeds in SEEDS.chunks(THREADS) {
         std::thread::scope(|scope| {
-            let started: Vec<_> = seeds
+            let threads: Vec<_> = seeds
                 .iter()
-                .map(|seed| scope.spawn(|| World::new(plan.clone(), *seed).run()))
+                .map(|seed| scope.spawn(|| Simulation::new(plan.clone(), *seed).run()))
                 .collect();
-            let ended = started.into_iter().map(|run| run.join());
-            runs.extend(ended.map(|run| run.expect("a run does not panic")));
+            let results = threads.into_iter().map(|run| run.join());
+            runs.extend(results.map(|run| run.expect("a run does not panic")));
         });
     }
-    measure::row(name, columns, &runs);
+    measure::print_row(name, columns, &runs);
 }
 
-fn choice() {
-    for (user, plan) in [("Abay", abay(0.7)), ("Naukluft", naukluft(0.7))] {
-        let columns = join(&[&LATENCY, &TRUTH]);
-        measure::head(&format!("{user}, 70 % of slots"), &columns);
+fn policy_choice() {
+    for (customer, plan) in [("Abay", abay(0.7)), ("Naukluft", naukluft(0.7))] {
+        let columns = concat_columns(&[&LATENCY, &CORRECTNESS]);
+        measure::print_header(&format!("{customer}, 70 % of slots"), &columns);
         for policy in POLICIES {
-            for (told, gossip) in [("alone", Gossip::Off), ("peers' counts", TOLD)] {
-                let plan = with(plan.clone(), |profile| profile.policy = policy);
-                let plan = Plan { gossip, ..plan };
-                show(&format!("{policy:?}, {told}"), &columns, &plan);
+            for (reports, load_reports) in [
+                ("own counts only", LoadReports::Off),
+                ("peers' counts", CORRECT_REPORTS),
+            ] {
+                let plan = with_profile(plan.clone(), |profile| profile.policy = policy);
+                let plan = Plan {
+                    load_reports,
+                    ..plan
+                };
+                run_and_print(&format!("{policy:?}, {reports}"), &columns, &plan);
             }
         }
     }
 }
 
-fn lies() {
-    let columns = join(&[&LATENCY, &TRUTH]);
-    let gossips = [
-        ("true", TOLD),
-        ("3 s late", Gossip::On { lag: 3.0, lie: 1.0 }),
-        ("one peer tells 0", Gossip::On { lag: 0.0, lie: 0.0 }),
+fn wrong_load_reports() {
+    let columns = concat_columns(&[&LATENCY, &CORRECTNESS]);
+    let load_report_variants = [
+        ("correct", CORRECT_REPORTS),
         (
-            "one peer tells tenfold",
-            Gossip::On {
+            "3 s late",
+            LoadReports::On {
+                lag: 3.0,
+                factor: 1.0,
+            },
+        ),
+        (
+            "one peer reports 0",
+            LoadReports::On {
+                lag: 0.0,
+                factor: 0.0,
+            },
+        ),
+        (
+            "one peer reports tenfold",
+            LoadReports::On {
                 lag: 0.0,
-                lie: 10.0,
+                factor: 10.0,
             },
         ),
     ];
-    measure::head("Abay, 70 % of slots, counts that lie", &columns);
+    measure::print_header("Abay, 70 % of slots, wrong load reports", &columns);
     for policy in [Policy::BoundedLoad, Policy::TwoChoices, Policy::LeastLoaded] {
-        for (told, gossip) in gossips {
-            let plan = with(abay(0.7), |profile| profile.policy = policy);
-            show(
-                &format!("{policy:?}, {told}"),
+        for (reports, load_reports) in load_report_variants {
+            let plan = with_profile(abay(0.7), |profile| profile.policy = policy);
+            run_and_print(
+                &format!("{policy:?}, {reports}"),
                 &columns,
-                &Plan { gossip, ..plan },
+                &Plan {
+                    load_reports,
+                    ..plan
+                },
             );
         }
     }
-    measure::head(
+    measure::print_header(
         "Abay, 60 %, one server ten times slower, health says up",
         &columns,
     );
     for policy in POLICIES {
-        let plan = with(abay(0.6), |profile| profile.policy = policy);
-        let slow = fault(10.0, |world| world.models[5].slow = 10.0);
+        let plan = with_profile(abay(0.6), |profile| profile.policy = policy);
+        let slow = fault(10.0, |simulation| simulation.models[5].slowdown = 10.0);
         let plan = Plan {
             faults: vec![slow],
             ..plan
         };
-        show(&format!("{policy:?}"), &columns, &plan);
+        run_and_print(&format!("{policy:?}"), &columns, &plan);
     }
 }
 
 fn spill() {
-    let columns = join(&[&LATENCY, &TRUTH]);
-    measure::head(
+    let columns = concat_columns(&[&LATENCY, &CORRECTNESS]);
+    measure::print_header(
         "Abay, 50 % of slots, three of four servers of bole drain at second 5",
         &columns,
     );
     for percent in [50, 80, 100] {
-        let plan = with(abay(0.5), |profile| profile.spill_percent = percent);
-        let drain = fault(5.0, |world| {
+        let plan = with_profile(abay(0.5), |profile| profile.spill_percent = percent);
+        let drain = fault(5.0, |simulation| {
             for server in [0, 4, 8] {
-                world.models[server].health = Health::Draining;
+                simulation.models[server].health = Health::Draining;
             }
         });
         let plan = Plan {
             faults: vec![drain],
             ..plan
         };
-        show(&format!("spill over {percent} %"), &columns, &plan);
+        run_and_print(&format!("spill over {percent} %"), &columns, &plan);
     }
 }
 
@@ -219,43 +243,48 @@
     ("unknown: claimed", |run| run.reason(Reason::UnknownClaimed)),
 ];
 
-fn killed() {
-    let columns = join(&[&[("good %", Measure::good)], &BROKEN, &TRUTH[1..], &CLAIMS]);
-    measure::head(
-        "Abay, 50 % of slots, one home killed, noticed after 2 s",
+fn killed_instance() {
+    let columns = concat_columns(&[
+        &[("good %", Measurements::answered_percent)],
+        &FAILURES,
+        &CORRECTNESS[1..],
+        &CLAIMS,
+    ]);
+    measure::print_header(
+        "Abay, 50 % of slots, one instance killed, detected after 2 s",
         &columns,
     );
-    for (name, backup) in [("home alone", false), ("home and backup", true)] {
-        let kill = fault(30.0, |world| world.kill(2));
-        let promote = fault(32.0, |world| world.promote(2));
+    for (name, has_backup) in [("home only", false), ("home and backup", true)] {
+        let kill = fault(30.0, |simulation| simulation.kill(2));
+        let promote = fault(32.0, |simulation| simulation.promote(2));
         let faults = vec![kill, promote];
         let plan = Plan {
-            backup,
+            has_backup,
             faults,
-            length: 75.0,
+            duration: 75.0,
             ..abay(0.5)
         };
-        show(name, &columns, &plan);
+        run_and_print(name, &columns, &plan);
     }
 }
 
 const RECOVERY: [Column; 6] = [
-    ("good %", Measure::good),
-    ("within 1 s %", Measure::prompt),
+    ("good %", Measurements::answered_percent),
+    ("within 1 s %", Measurements::prompt_percent),
     ("p99 ms", |run| run.latency(0.99)),
     ("retries", |run| run.reason(Reason::Retried)),
     ("refusals", |run| run.refusals as f64),
     ("crowded until s", |run| run.crowded_until),
 ];
 
-/// Load of 60 % that is twice the slots for five seconds from the twentieth on.
-fn burst(plan: Plan, most: f64) -> Plan {
-    let usual = (plan.rate)(0.0);
+/// Multiplies the load for five seconds, from second 20 on.
+fn burst(plan: Plan, factor: f64) -> Plan {
+    let base = (plan.rate)(0.0);
     let rate = move |now: f64| {
         if (20.0..25.0).contains(&now) {
-            usual * most
+            base * factor
         } else {
-            usual
+            base
         }
     };
     Plan {
@@ -265,9 +294,9 @@
 }
 
 fn metastable() {
-    let columns = join(&[&RECOVERY, &TRUTH]);
-    measure::head(
-        "Abay, 80 %, overload for 5 s from second 20, servers know no deadline, attempts time out after 300 ms",
+    let columns = concat_columns(&[&RECOVERY, &CORRECTNESS]);
+    measure::print_header(
+        "Abay, 80 %, overload for 5 s from second 20, servers ignore the deadline, attempts time out after 300 ms",
         &columns,
     );
     for (name, budget, attempts) in [
@@ -277,7 +306,7 @@
         ("budget 100 %", 100, 3),
         ("budget 100 %, 6 attempts", 100, 6),
     ] {
-        let plan = with(abay(0.8), |profile| {
+        let plan = with_profile(abay(0.8), |profile| {
             profile.retry_budget_percent = budget;
             profile.max_attempts = attempts;
             profile.attempt_timeout_ms = 300;
@@ -285,44 +314,44 @@
             profile.eject_after = 1_000;
         });
         let plan = Plan {
-            once: 0.0,
-            shed: 100_000,
+            non_idempotent_share: 0.0,
+            shed_queue_len: 100_000,
             honours_deadline: false,
-            length: 90.0,
+            duration: 90.0,
             ..burst(plan, 1.8)
         };
-        show(name, &columns, &plan);
+        run_and_print(name, &columns, &plan);
     }
 }
 
 fn slow_start() {
-    let columns = join(&[&LATENCY, &TRUTH]);
-    measure::head(
+    let columns = concat_columns(&[&LATENCY, &CORRECTNESS]);
+    measure::print_header(
         "Abay, 60 %, five servers restart cold at second 30",
         &columns,
     );
     for seconds in [0, 5, 10, 20, 60] {
-        let plan = with(abay(0.6), |profile| profile.slow_start_s = seconds);
-        let stop = fault(27.0, |world| {
+        let plan = with_profile(abay(0.6), |profile| profile.slow_start_s = seconds);
+        let stop = fault(27.0, |simulation| {
             for server in 0..5 {
-                world.models[server].health = Health::Draining;
+                simulation.models[server].health = Health::Draining;
             }
         });
-        let start = fault(30.0, |world| {
-            let now = world.now;
+        let start = fault(30.0, |simulation| {
+            let now = simulation.now;
             for server in 0..5 {
-                world.models[server].start(now);
-                for home in &world.homes {
-                    home.servers[server].revoke_confirmation();
+                simulation.models[server].start(now);
+                for instance in &simulation.instances {
+                    instance.servers[server].revoke_confirmation();
                 }
             }
         });
         let plan = Plan {
-            from: 29.0,
+            measure_from: 29.0,
             faults: vec![stop, start],
             ..plan
         };
-        show(&format!("{seconds} s"), &columns, &plan);
+        run_and_print(&format!("{seconds} s"), &columns, &plan);
     }
 }
 
@@ -332,32 +361,37 @@
 ];
 
 fn ejection() {
-    let columns = join(&[&RECOVERY[..3], &BROKEN[..3], &EJECTIONS, &TRUTH[1..]]);
-    measure::head(
+    let columns = concat_columns(&[
+        &RECOVERY[..3],
+        &FAILURES[..3],
+        &EJECTIONS,
+        &CORRECTNESS[1..],
+    ]);
+    measure::print_header(
         "Abay, 60 %, twelve of 15 servers lose 40 % of their answers, seconds 20 to 40",
         &columns,
     );
     for floor in [0, 20, 50, 80] {
-        let plan = with(abay(0.6), |profile| profile.eject_floor_percent = floor);
+        let plan = with_profile(abay(0.6), |profile| profile.eject_floor_percent = floor);
         let lose = move |loss: f64| {
-            move |world: &mut World| {
+            move |simulation: &mut Simulation| {
                 for server in 0..12 {
-                    world.models[server].loss = loss;
+                    simulation.models[server].answer_loss = loss;
                 }
             }
         };
         let faults = vec![fault(20.0, lose(0.4)), fault(40.0, lose(0.0))];
         let plan = Plan {
             faults,
-            length: 60.0,
+            duration: 60.0,
             ..plan
         };
-        show(&format!("floor {floor} %"), &columns, &plan);
+        run_and_print(&format!("floor {floor} %"), &columns, &plan);
     }
-    for (what, hung) in [("three", 3), ("twelve", 12)] {
+    for (count, hung) in [("three", 3), ("twelve", 12)] {
         let title =
-            format!("Abay, 15 %, {what} of 15 servers fifty times slower, seconds 20 to 40");
-        measure::head(&title, &columns);
+            format!("Abay, 15 %, {count} of 15 servers fifty times slower, seconds 20 to 40");
+        measure::print_header(&title, &columns);
         for (name, after, floor) in [
             ("never ejected", 1_000, 50),
             ("after 5, no floor", 5, 0),
@@ -366,69 +400,73 @@
             ("after 3, floor 50 %", 3, 50),
             ("after 10, floor 50 %", 10, 50),
         ] {
-            let plan = with(abay(0.15), |profile| {
+            let plan = with_profile(abay(0.15), |profile| {
                 profile.eject_after = after;
                 profile.eject_floor_percent = floor;
             });
             let slow = move |factor: f64| {
-                move |world: &mut World| {
+                move |simulation: &mut Simulation| {
                     for server in 0..hung {
-                        world.models[server].slow = factor;
+                        simulation.models[server].slowdown = factor;
                     }
                 }
             };
             let faults = vec![fault(20.0, slow(50.0)), fault(40.0, slow(1.0))];
-            show(name, &columns, &Plan { faults, ..plan });
+            run_and_print(name, &columns, &Plan { faults, ..plan });
         }
     }
 }
 
 fn admission() {
-    let columns = join(&[&RECOVERY, &TRUTH]);
-    measure::head(
-        "Abay, 70 %, 2.5 times the load for 5 s from second 20, refused callers come back",
+    let columns = concat_columns(&[&RECOVERY, &CORRECTNESS]);
+    measure::print_header(
+        "Abay, 70 %, 2.5 times the load for 5 s from second 20, refused callers retry",
         &columns,
     );
     for queue in [0, 1, 2, 4, 6, 16, 100] {
-        for heeds in [true, false] {
-            let plan = with(abay(0.7), |profile| {
+        for honours_retry_after in [true, false] {
+            let plan = with_profile(abay(0.7), |profile| {
                 profile.queue_per_slot = queue;
                 profile.policy = Policy::LeastLoaded;
             });
             let plan = Plan {
-                comebacks: 8,
-                heeds,
-                shed: 1_000,
+                caller_retries: 8,
+                honours_retry_after,
+                shed_queue_len: 1_000,
                 ..burst(plan, 2.5)
             };
-            let manner = if heeds { "heeding" } else { "after 0.1 s" };
-            show(&format!("queue {queue}, {manner}"), &columns, &plan);
+            let retry = if honours_retry_after {
+                "honouring the retry time"
+            } else {
+                "after 0.1 s"
+            };
+            run_and_print(&format!("queue {queue}, {retry}"), &columns, &plan);
         }
     }
 }
 
 fn health() {
-    let columns = join(&[
-        &TRUTH[1..],
-        &[("good %", Measure::good)],
-        &BROKEN,
-        &[("misdirected", |run: &Measure| run.misdirected as f64)],
+    let columns = concat_columns(&[
+        &CORRECTNESS[1..],
+        &[("good %", Measurements::answered_percent)],
+        &FAILURES,
+        &[("misdirected", |run: &Measurements| run.misdirected as f64)],
     ]);
-    measure::head("Abay, 40 %, from second 20", &columns);
+    measure::print_header("Abay, 40 %, from second 20", &columns);
     let silent = |count: usize| {
-        fault(20.0, move |world| {
+        fault(20.0, move |simulation| {
             for server in 0..count {
-                world.models[server].health = Health::Silent;
+                simulation.models[server].health = Health::Silent;
             }
         })
     };
-    let taken = |health: Health| {
-        fault(25.0, move |world: &mut World| {
+    let taken_over = |health: Health| {
+        fault(25.0, move |simulation: &mut Simulation| {
             for server in 0..5 {
-                world.models[server].stop();
-                world.models[server].up = true;
-                world.models[server].ours = false;
-                world.models[server].health = health;
+                simulation.models[server].stop();
+                simulation.models[server].up = true;
+                simulation.models[server].runs_service = false;
+                simulation.models[server].health = health;
             }
         })
     };
@@ -438,26 +476,26 @@
         ("health of 5 down", vec![silent(5)]),
         (
             "9 servers die",
-            vec![fault(20.0, |world| {
+            vec![fault(20.0, |simulation| {
                 for server in 0..9 {
-                    world.models[server].stop();
+                    simulation.models[server].stop();
                 }
             })],
         ),
         (
-            "5 addresses taken over, health names the other service",
-            vec![taken(Health::Foreign)],
+            "5 addresses taken over, health reports the other service",
+            vec![taken_over(Health::OtherService)],
         ),
         (
             "health of all down, 5 taken over, health stays down",
-            vec![silent(15), taken(Health::Silent)],
+            vec![silent(15), taken_over(Health::Silent)],
         ),
         (
-            "health of all down, 5 taken over, theirs names the other service",
-            vec![silent(15), taken(Health::Foreign)],
+            "health of all down, 5 taken over, theirs reports the other service",
+            vec![silent(15), taken_over(Health::OtherService)],
         ),
     ] {
-        show(
+        run_and_print(
             name,
             &columns,
             &Plan {
@@ -470,11 +508,11 @@
         faults: vec![silent(15)],
         ..abay(0.005)
     };
-    show("health of all down, 0.5 % load", &columns, &idle);
+    run_and_print("health of all down, 0.5 % load", &columns, &idle);
 }
 
 const FEEDS: [Column; 6] = [
-    ("feeds peak/mean", Measure::feed_peak),
+    ("feeds peak/mean", Measurements::feed_peak),
     ("over 1.25 until s", |run| run.uneven_until),
     ("moves", |run| run.reason(Reason::FeedMoved)),
     ("feeds ended", |run| run.feeds_ended as f64),
@@ -482,35 +520,35 @@
     ("p99 ms", |run| run.latency(0.99)),
 ];
 
-fn weight() {
-    let columns = join(&[&FEEDS, &TRUTH]);
-    for (user, plan) in [("Abay", abay(0.4)), ("Naukluft", naukluft(0.4))] {
-        let title = format!("{user}, 40 %, 5 of 15 servers drain at 15 s, restart at 25 s");
-        measure::head(&title, &columns);
+fn balance_weight() {
+    let columns = concat_columns(&[&FEEDS, &CORRECTNESS]);
+    for (customer, plan) in [("Abay", abay(0.4)), ("Naukluft", naukluft(0.4))] {
+        let title = format!("{customer}, 40 %, 5 of 15 servers drain at 15 s, restart at 25 s");
+        measure::print_header(&title, &columns);
         for weight in [0, 10, 50, 75, 90, 100] {
-            let plan = with(plan.clone(), |profile| profile.balance_weight = weight);
-            let stop = fault(15.0, |world| {
+            let plan = with_profile(plan.clone(), |profile| profile.balance_weight = weight);
+            let stop = fault(15.0, |simulation| {
                 for server in 0..5 {
-                    world.models[server].health = Health::Draining;
+                    simulation.models[server].health = Health::Draining;
                 }
             });
-            let start = fault(25.0, |world| {
-                let now = world.now;
+            let start = fault(25.0, |simulation| {
+                let now = simulation.now;
                 for server in 0..5 {
-                    world.models[server].stop();
-                    world.models[server].start(now);
-                    for home in &world.homes {
-                        home.servers[server].revoke_confirmation();
+                    simulation.models[server].stop();
+                    simulation.models[server].start(now);
+                    for instance in &simulation.instances {
+                        instance.servers[server].revoke_confirmation();
                     }
                 }
             });
             let plan = Plan {
-                from: 26.0,
-                length: 90.0,
+                measure_from: 26.0,
+                duration: 90.0,
                 faults: vec![stop, start],
                 ..plan
             };
-            show(&format!("weight {weight}"), &columns, &plan);
+            run_and_print(&format!("weight {weight}"), &columns, &plan);
         }
     }
 }
--- a/examples/policy/world/event.rs
+++ b/examples/policy/simulation/event.rs
@@ -1,4 +1,4 @@
-//! What happens, and in which order.
+//! The simulation's events and their order.
 
 use std::cmp::Ordering;
 
@@ -8,12 +8,12 @@
 use godwitreel::request::Flow;
 use godwitreel::request::Kind;
 
-use crate::world::server::Job;
+use crate::simulation::server::Job;
 
-pub(super) enum What {
+pub(super) enum SimulationEvent {
     Arrival,
-    ToHome {
-        home: usize,
+    RequestAtInstance {
+        instance: usize,
         number: u64,
         hops: u32,
     },
@@ -22,43 +22,43 @@
         from: usize,
         body: PeerMessage,
     },
-    ToServer {
+    RequestAtServer {
         server: usize,
         job: Job,
     },
-    Done {
+    JobFinished {
         server: usize,
-        life: u32,
+        server_run: u32,
         job: Job,
     },
-    FromServer {
-        home: usize,
+    AnswerAtInstance {
+        instance: usize,
         server: usize,
         attempt: id::Attempt,
         answer: Answer,
     },
     Notify {
         server: usize,
-        life: u32,
-        home: usize,
+        server_run: u32,
+        instance: usize,
         attempt: id::Attempt,
     },
     Receipt {
-        home: usize,
+        instance: usize,
         flow: Flow,
         message: u16,
     },
-    Repeat(u64),
-    Return {
+    Retransmission(u64),
+    Call {
         caller: u64,
         kind: Kind,
-        wanted: f64,
-        comebacks: u32,
+        issued_at: f64,
+        caller_retries: u32,
     },
     Tick,
     Probe,
-    Beat(usize),
-    Loads {
+    SendLoads(usize),
+    ReceiveLoads {
         from: usize,
         loads: Vec<(u32, u32)>,
     },
@@ -66,30 +66,30 @@
     Fault(usize),
 }
 
-pub(super) struct Due {
+pub(super) struct ScheduledEvent {
     pub(super) at: f64,
-    pub(super) order: u64,
-    pub(super) what: What,
+    pub(super) sequence: u64,
+    pub(super) event: SimulationEvent,
 }
 
-impl PartialEq for Due {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
-        self.order == other.order
+        self.sequence == other.sequence
     }
 }
 
-impl Eq for Due {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Due {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> Ordering {
         self.at
             .total_cmp(&other.at)
-            .then(self.order.cmp(&other.order))
+            .then(self.sequence.cmp(&other.sequence))
     }
 }
--- a/examples/relay.rs
+++ b/examples/relay.rs
@@ -1,4 +1,4 @@
-//! Measures real daemons on loopback under load, at a change, and at rest.
+//! Measures real daemons on loopback: under load, at a configuration change and idle.
 //!
 //!     cargo build --release
 //!     cargo run --release --example relay -- load
@@ -6,9 +6,9 @@
 //!     cargo run --release --example relay -- idle
 //!     cargo run --release --example relay -- feeds
 //!
-//! `load` sends 5,000 new flows a second, four requests each, to one of three
-//! instances; every fourth request is non-idempotent. `change` and `idle` watch
-//! nine instances; so does `feeds`, with feeds open at every server of a user.
+//! `load` starts 5,000 new flows per second, four requests each, at one of three
+//! instances; every fourth request is non-idempotent. `change`, `idle` and `feeds`
+//! measure nine instances, `feeds` with feeds open at every server of a customer.
 
 #[path = "utils/fit.rs"]
 mod fit;
@@ -36,42 +36,42 @@
 /// Runs of each measurement.
 const RUNS: usize = 5;
 
-/// Time of load in one run.
+/// Duration of the load in one run.
 const LOAD_TIME: Duration = Duration::from_secs(4);
 
-/// New flows in a second.
-const FLOWS: u32 = 5_000;
+/// New flows per second.
+const FLOWS_PER_SECOND: u32 = 5_000;
 
-/// Requests of one flow.
-const REQUESTS: u32 = 4;
+/// Requests per flow.
+const REQUESTS_PER_FLOW: u32 = 4;
 
-/// Servers behind the instances.
+/// Backend servers of the service.
 const SERVERS: usize = 15;
 
-/// Servers of one user, all services together.
+/// Backend servers of a customer, all services together.
 const ALL_SERVERS: usize = 19;
 
-/// Feeds opened at each instance, enough that each has some at every server.
-const FEEDS: u32 = 200;
+/// Feeds opened at each instance; enough that each instance has some at every server.
+const FEEDS_PER_INSTANCE: u32 = 200;
 
 /// Time after which a request counts as unanswered.
-const GIVE_UP: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
 fn main() {
     match std::env::args().nth(1).as_deref() {
         Some("load") => fleet::run(load()),
         Some("change") => fleet::run(change()),
         Some("idle") => fleet::run(idle(SERVERS, 0)),
-        Some("feeds") => fleet::run(idle(ALL_SERVERS, FEEDS)),
+        Some("feeds") => fleet::run(idle(ALL_SERVERS, FEEDS_PER_INSTANCE)),
         _ => println!("usage: relay load|change|idle|feeds"),
     }
 }
 
-/// One answered request.
+/// A request and its latency, if it was answered.
 #[derive(Clone, Copy)]
 struct Sample {
     relayed: bool,
-    once: bool,
+    non_idempotent: bool,
     latency: Option<Duration>,
 }
 
@@ -80,14 +80,14 @@
     let table = Arc::new(fleet.table());
     let mut results: Vec<Run> = Vec::new();
     for number in 0..RUNS as u32 {
-        let run = loaded(&fleet, &table, number).await;
+        let run = measure_run(&fleet, &table, number).await;
         println!("run {number}: {run:?}");
         results.push(run);
         sleep(Duration::from_secs(1)).await;
     }
-    let show = |what: &str, unit: &str, value: fn(&Run) -> f64| {
+    let show = |label: &str, unit: &str, value: fn(&Run) -> f64| {
         let values: Vec<f64> = results.iter().map(value).collect();
-        fit::report_spread(what, unit, &values);
+        fit::report_spread(label, unit, &values);
     };
     show("requests sent", "/s", |run| run.requests);
     show("unanswered", "%", |run| run.unanswered_percent);
@@ -96,7 +96,9 @@
     show("added by the relay, median", "ms", |run| {
         run.relayed - run.direct
     });
-    show("POST at its home with backup, median", "ms", |run| run.once);
+    show("POST at its home with backup, median", "ms", |run| {
+        run.non_idempotent
+    });
     show("control bytes of the loaded instance", "B/s", |run| {
         run.control_bytes
     });
@@ -116,46 +118,55 @@
     unanswered_percent: f64,
     direct: f64,
     relayed: f64,
-    once: f64,
+    non_idempotent: f64,
     control_bytes: f64,
     cpu_percent: f64,
     megabytes: f64,
 }
 
-async fn loaded(fleet: &Fleet, table: &Arc<table::Table>, run: u32) -> Run {
+async fn measure_run(fleet: &Fleet, table: &Arc<table::Table>, run: u32) -> Run {
     let entry = &fleet.daemons[0];
     let control = fleet.sent_bytes(entry, &fleet::CONTROL_KINDS).await;
     let processor = entry.processor_seconds();
     let start = Instant::now();
-    let samples = flood(entry.listener, &entry.name, table, run).await;
+    let samples = run_flows(entry.listener, &entry.name, table, run).await;
     let seconds = start.elapsed().as_secs_f64();
     let control = fleet.sent_bytes(entry, &fleet::CONTROL_KINDS).await - control;
     let processor = entry.processor_seconds() - processor;
-    let median = |relayed: bool, once: bool| {
-        let same = |sample: &&Sample| sample.relayed == relayed && sample.once == once;
-        let latencies = samples.iter().filter(same).filter_map(|s| s.latency);
+    let median = |relayed: bool, non_idempotent: bool| {
+        let is_same_kind =
+            |sample: &&Sample| sample.relayed == relayed && sample.non_idempotent == non_idempotent;
+        let latencies = samples
+            .iter()
+            .filter(is_same_kind)
+            .filter_map(|s| s.latency);
         let latencies: Vec<f64> = latencies.map(|l| l.as_secs_f64() * 1e3).collect();
         if latencies.is_empty() {
             f64::NAN
         } else {
-            fit::spread(&latencies).1
+            fit::min_median_max(&latencies).1
         }
     };
-    let lost = samples.iter().filter(|sample| sample.latency.is_none());
+    let unanswered = samples.iter().filter(|sample| sample.latency.is_none());
     Run {
         requests: samples.len() as f64 / seconds,
-        unanswered_percent: 100.0 * lost.count() as f64 / samples.len() as f64,
+        unanswered_percent: 100.0 * unanswered.count() as f64 / samples.len() as f64,
         direct: median(false, false),
         relayed: median(true, false),
-        once: median(false, true),
+        non_idempotent: median(false, true),
         control_bytes: control / seconds,
         cpu_percent: 100.0 * processor / seconds,
         megabytes: entry.resident_kilobytes() / 1e3,
     }
 }
 
-/// Starts flows at a steady rate and collects their requests' fates.
-async fn flood(to: SocketAddr, entry: &str, table: &Arc<table::Table>, run: u32) -> Vec<Sample> {
+/// Starts flows at a steady rate and collects the samples of their requests.
+async fn run_flows(
+    to: SocketAddr,
+    entry: &str,
+    table: &Arc<table::Table>,
+    run: u32,
+) -> Vec<Sample> {
     let (sender, mut receiver) = mpsc::unbounded_channel();
     let next = Arc::new(AtomicU32::new(run << 24));
     let start = Instant::now();
@@ -164,11 +175,11 @@
     let mut started = 0;
     while start.elapsed() < LOAD_TIME {
         ticks.tick().await;
-        let due = (start.elapsed().as_secs_f64() * f64::from(FLOWS)) as u32;
+        let due = (start.elapsed().as_secs_f64() * f64::from(FLOWS_PER_SECOND)) as u32;
         while started < due {
             started += 1;
             let (table, next) = (Arc::clone(table), Arc::clone(&next));
-            tokio::spawn(flow(to, entry.to_owned(), table, next, sender.clone()));
+            tokio::spawn(run_flow(to, entry.to_owned(), table, next, sender.clone()));
         }
     }
     drop(sender);
@@ -179,8 +190,8 @@
     samples
 }
 
-/// One caller: a socket of its own and a few requests, one after the other.
-async fn flow(
+/// Sends the requests of one flow, one after the other, from a socket of its own.
+async fn run_flow(
     to: SocketAddr,
     entry: String,
     table: Arc<table::Table>,
@@ -194,29 +205,34 @@
         return;
     };
     let flow = Flow {
-        service: "dispatch".parse().expect("a legal name"),
+        service: "dispatch".parse().expect("a valid id"),
         caller: id::Endpoint(address),
     };
     let row = table.row(table.slice(0, &flow));
     let home = row.home.as_ref().map(|home| home.instance.as_str());
     let relayed = home != Some(entry.as_str());
-    for place in 0..REQUESTS {
+    for index in 0..REQUESTS_PER_FLOW {
         let token = next.fetch_add(1, Ordering::Relaxed);
-        let once = place == REQUESTS - 1;
-        let latency = request(&socket, to, token, once).await;
+        let non_idempotent = index == REQUESTS_PER_FLOW - 1;
+        let latency = request(&socket, to, token, non_idempotent).await;
         let _ = samples.send(Sample {
             relayed,
-            once,
+            non_idempotent,
             latency,
         });
     }
 }
 
-/// Sends one request; the time until its answer, if one comes.
-async fn request(socket: &UdpSocket, to: SocketAddr, token: u32, once: bool) -> Option<Duration> {
+/// Sends a request and returns the time until its answer, or `None` after a timeout.
+async fn request(
+    socket: &UdpSocket,
+    to: SocketAddr,
+    token: u32,
+    non_idempotent: bool,
+) -> Option<Duration> {
     const TOKEN: std::ops::Range<usize> = 4..8;
     let token = token.to_be_bytes();
-    let method = if once { 2 } else { 1 };
+    let method = if non_idempotent { 2 } else { 1 };
     let mut datagram = vec![0x44, method, token[2], token[3]];
     datagram.extend_from_slice(&token);
     datagram.extend_from_slice(b"\xb5route\xffwhere is the next pickup");
@@ -224,7 +240,7 @@
     socket.send_to(&datagram, to).await.ok()?;
     let mut buffer = [0; 2_048];
     loop {
-        let received = timeout(GIVE_UP, socket.recv_from(&mut buffer)).await;
+        let received = timeout(ANSWER_TIMEOUT, socket.recv_from(&mut buffer)).await;
         let (length, _) = received.ok()?.ok()?;
         if length >= TOKEN.end && buffer[TOKEN] == token && buffer[1] == 0x45 {
             return Some(start.elapsed());
@@ -232,7 +248,7 @@
     }
 }
 
-/// Opens a feed; the socket keeps its caller's address.
+/// Opens a feed. The returned socket keeps the caller's address in use.
 async fn open_feed(to: SocketAddr, token: u32) -> Option<UdpSocket> {
     let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await.ok()?;
     let token = token.to_be_bytes();
@@ -241,7 +257,7 @@
     datagram.extend_from_slice(b"\x60\x55route");
     socket.send_to(&datagram, to).await.ok()?;
     let mut buffer = [0; 2_048];
-    let received = timeout(GIVE_UP, socket.recv_from(&mut buffer)).await;
+    let received = timeout(ANSWER_TIMEOUT, socket.recv_from(&mut buffer)).await;
     received.ok()?.ok()?;
     Some(socket)
 }
@@ -253,44 +269,47 @@
         let start = Instant::now();
         fleet.change_profile(revision);
         for daemon in &fleet.daemons {
-            in_force(&fleet, daemon, revision).await;
+            wait_until_in_force(&fleet, daemon, revision).await;
         }
         times.push(start.elapsed().as_secs_f64() * 1e3);
     }
     fit::report_spread("profile change in force at nine instances", "ms", &times);
 }
 
-async fn in_force(fleet: &Fleet, daemon: &fleet::Daemon, revision: u64) {
+async fn wait_until_in_force(fleet: &Fleet, daemon: &fleet::Daemon, revision: u64) {
     for _ in 0..2_000 {
         let status = fleet.status(daemon).await;
-        let known = status.and_then(|status| status.revisions.get("profiles/standard").copied());
-        if known == Some(id::Revision(revision)) {
+        let in_force = status.and_then(|status| status.revisions.get("profiles/standard").copied());
+        if in_force == Some(id::Revision(revision)) {
             return;
         }
         sleep(Duration::from_millis(5)).await;
     }
-    println!("{}: revision {revision} was not in force", daemon.name);
+    println!(
+        "{}: revision {revision} is not in force in time",
+        daemon.name
+    );
 }
 
 async fn idle(servers: usize, feeds: u32) {
     let fleet = Fleet::start(9, 1_024, servers).await;
     let mut callers = Vec::new();
-    for (place, daemon) in fleet.daemons.iter().enumerate() {
+    for (index, daemon) in fleet.daemons.iter().enumerate() {
         for number in 0..feeds {
-            let token = (place as u32) << 16 | number;
+            let token = (index as u32) << 16 | number;
             callers.extend(open_feed(daemon.listener, token).await);
         }
     }
     println!("feeds opened: {}", callers.len());
-    // A heartbeat after the last one opened has told the loads.
+    // Wait until a heartbeat has reported the loads with all feeds open.
     sleep(Duration::from_secs(2)).await;
-    let mut spent = Vec::new();
+    let mut rates = Vec::new();
     for _ in 0..RUNS {
-        spent.push(fleet.calm(Duration::from_secs(6)).await);
+        rates.push(fleet.measure_rates(Duration::from_secs(6)).await);
     }
-    let show = |what: &str, unit: &str, value: fn(&fleet::Spent) -> f64| {
-        let values: Vec<f64> = spent.iter().map(value).collect();
-        fit::report_spread(what, unit, &values);
+    let show = |label: &str, unit: &str, value: fn(&fleet::ResourceRates) -> f64| {
+        let values: Vec<f64> = rates.iter().map(value).collect();
+        fit::report_spread(label, unit, &values);
     };
     show("control bytes of an idle instance", "B/s", |s| {
         s.control_bytes
--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -1,13 +1,13 @@
-//! Measures how memory, processor time and bytes grow with the sizes.
+//! Measures how memory, processor time and message sizes grow with the size of the deployment.
 //!
 //!     cargo run --release --example slopes -- core
 //!     cargo run --release --example slopes -- memory
 //!     cargo run --release --example slopes -- fleet
 //!
-//! `core` drives the decision modules directly, of which `memory` is the first
-//! part; `fleet` starts up to nine real
-//! daemons on loopback, beside stand-ins for platform and backend servers. Build
-//! the daemon first, with `cargo build --release`.
+//! `core` calls the engine and the slice planner directly; `memory` runs only the first
+//! part of it. `fleet` starts up to nine real daemons on loopback, with stand-ins for
+//! the platform and the backend servers. Build the daemon first, with
+//! `cargo build --release`.
 
 #[path = "utils/fit.rs"]
 mod fit;
@@ -24,7 +24,7 @@
 use std::time::Duration;
 use std::time::Instant as Clock;
 
-use fixture::Core;
+use fixture::EngineFixture;
 use godwitreel::control;
 use godwitreel::control::Command;
 use godwitreel::control::SlicePlanner;
@@ -50,8 +50,8 @@
     (stats.bytes_allocated as f64) - (stats.bytes_deallocated as f64)
 }
 
-/// Bytes that a value holds.
-fn held<T>(make: impl FnOnce() -> T) -> f64 {
+/// Bytes that a value keeps allocated.
+fn allocated_bytes<T>(make: impl FnOnce() -> T) -> f64 {
     let before = in_use();
     let value = make();
     let after = in_use();
@@ -67,24 +67,24 @@
             configuration();
             control_memory();
             control_time();
-            bytes();
+            message_sizes();
         }
         Some("fleet") => fleet::run(fleet_slopes()),
-        _ => println!("usage: slopes memory|core|fleet"),
+        _ => println!("usage: slopes memory|engine|fleet"),
     }
 }
 
-/// Sizes of the flow table.
-const FLOWS: [u32; 4] = [50_000, 100_000, 200_000, 300_000];
+/// Numbers of flows at which the memory is measured.
+const FLOW_COUNTS: [u32; 4] = [50_000, 100_000, 200_000, 300_000];
 
-/// New flows in a second of the core's time.
-const PER_SECOND: u32 = 5_000;
+/// New flows per second of the engine's virtual time.
+const FLOWS_PER_SECOND: u32 = 5_000;
 
-/// Longer than any deadline, shorter than the silence of a feed.
-const REST: Duration = Duration::from_secs(30);
+/// Longer than any deadline, shorter than the time after which a feed counts as silent.
+const EXPIRY: Duration = Duration::from_secs(30);
 
-/// A configuration under which nothing expires while the table is filled.
-fn patient() -> Arc<Snapshot> {
+/// A configuration under which no record expires while the flow table is filled.
+fn long_lived_snapshot() -> Arc<Snapshot> {
     let mut config = fixture::config(1, fixture::SERVERS);
     let body = serde_json::json!({"slow_start_s": 0, "queue_per_slot": 1_000,
         "max_per_caller": 100_000, "max_in_progress": 1_000_000, "max_feeds": 1_000_000,
@@ -95,119 +95,134 @@
 }
 
 fn memory() {
-    let grown = |fill: &dyn Fn(&mut Core, u32)| -> Vec<(f64, f64)> {
-        FLOWS
+    let growth = |fill: &dyn Fn(&mut EngineFixture, u32)| -> Vec<(f64, f64)> {
+        FLOW_COUNTS
             .iter()
             .map(|count| {
-                let mut core = Core::new("a", "b", 0);
-                core.handle(Event::Snapshot(patient()));
+                let mut engine = EngineFixture::new("a", "b", 0);
+                engine.handle(Event::Snapshot(long_lived_snapshot()));
                 let before = in_use();
-                fill(&mut core, *count);
+                fill(&mut engine, *count);
                 (f64::from(*count), in_use() - before)
             })
             .collect()
     };
-    let feeds = grown(&|core, count| {
-        for first in (0..count).step_by(PER_SECOND as usize) {
-            core.open_feeds(first, PER_SECOND);
-            core.advance(Duration::from_secs(1));
+    let feeds = growth(&|engine, count| {
+        for first in (0..count).step_by(FLOWS_PER_SECOND as usize) {
+            engine.open_feeds(first, FLOWS_PER_SECOND);
+            engine.advance(Duration::from_secs(1));
         }
-        core.advance(REST);
+        engine.advance(EXPIRY);
     });
-    fit::report("feed at its home", "bytes by feeds", &feeds);
-    let copies = grown(&|core, count| keep_copies(core, count, fixture::feed_step));
-    fit::report("feed at its backup", "bytes by feeds", &copies);
-    let records = grown(&|core, count| settle(core, count));
-    fit::report(
+    fit::report_fit("feed at its home", "bytes by feeds", &feeds);
+    let copies = growth(&|engine, count| replicate_to_backup(engine, count, fixture::feed_step));
+    fit::report_fit("feed at its backup", "bytes by feeds", &copies);
+    let records = growth(&|engine, count| finish_requests(engine, count));
+    fit::report_fit(
         "settled non-idempotent request at its home",
         "bytes by requests",
         &records,
     );
-    let claims = grown(&|core, count| keep_copies(core, count, fixture::claim_step));
-    fit::report("claim at its backup", "bytes by claims", &claims);
-    let open = grown(&|core, count| {
+    let claims = growth(&|engine, count| replicate_to_backup(engine, count, fixture::claim_step));
+    fit::report_fit("claim at its backup", "bytes by claims", &claims);
+    let open = growth(&|engine, count| {
         for number in 0..count {
-            core.handle(core.request(number, 1, Kind::Idempotent));
+            engine.handle(engine.request(number, 1, Kind::Idempotent));
         }
     });
-    fit::report("idempotent request in progress", "bytes by requests", &open);
+    fit::report_fit("idempotent request in progress", "bytes by requests", &open);
     let slices: Vec<(f64, f64)> = [1_024, 4_096, 8_192, 16_384]
         .iter()
         .map(|slices| {
             (
                 f64::from(*slices),
-                held(|| fixture::table(*slices, 1, "a", "b")),
+                allocated_bytes(|| fixture::table(*slices, 1, "a", "b")),
             )
         })
         .collect();
-    fit::report("slice table", "bytes by slices", &slices);
+    fit::report_fit("slice table", "bytes by slices", &slices);
 }
 
-fn keep_copies(core: &mut Core, count: u32, step: fn(&Core, u32) -> peer::ReplicationStep) {
-    // Copies are kept by the backup: another instance is home.
-    core.handle(Event::Table(fixture::table(fixture::SLICES, 2, "b", "a")));
+fn replicate_to_backup(
+    engine: &mut EngineFixture,
+    count: u32,
+    step: fn(&EngineFixture, u32) -> peer::ReplicationStep,
+) {
+    // Only a backup accepts copies, so another instance is home.
+    engine.handle(Event::Table(fixture::table(fixture::SLICES, 2, "b", "a")));
     for number in 0..count {
         let message = peer::ReplicationStep {
             epoch: 2,
-            ..step(core, number)
+            ..step(engine, number)
         };
         let body = PeerMessage::ReplicationStep(message);
         let from = fixture::holder("b");
-        core.handle(Event::Peer { from, body });
+        engine.handle(Event::Peer { from, body });
     }
 }
 
-fn settle(core: &mut Core, count: u32) {
+fn finish_requests(engine: &mut EngineFixture, count: u32) {
     for number in 0..count {
-        if number % PER_SECOND == 0 {
-            core.advance(Duration::from_secs(1));
+        if number % FLOWS_PER_SECOND == 0 {
+            engine.advance(Duration::from_secs(1));
         }
-        let claimed = core.handle(core.request(number, 1, Kind::NonIdempotent));
-        let forwarded = core.acknowledge(&claimed);
-        let sent = fixture::sent(&forwarded).expect("forwarded");
-        core.handle(fixture::answer(sent, false));
+        let claimed = engine.handle(engine.request(number, 1, Kind::NonIdempotent));
+        let forwarded = engine.acknowledge(&claimed);
+        let sent = fixture::first_forwarded(&forwarded).expect("forwarded");
+        engine.handle(fixture::answer(sent, false));
     }
 }
 
-/// Services and servers, at the proportion of the design size.
-const CONFIGURED: [(usize, usize); 4] = [(462, 800), (925, 1_600), (1_850, 3_200), (3_700, 6_400)];
+/// Numbers of services and servers, in the proportion of the largest planned deployment.
+const CONFIG_SIZES: [(usize, usize); 4] =
+    [(462, 800), (925, 1_600), (1_850, 3_200), (3_700, 6_400)];
 
 fn configuration() {
     let by_servers = |measure: &dyn Fn(usize, usize) -> f64| -> Vec<(f64, f64)> {
-        CONFIGURED
+        CONFIG_SIZES
             .iter()
             .map(|(services, servers)| (*servers as f64, measure(*services, *servers)))
             .collect()
     };
-    let bytes = by_servers(&|services, servers| held(|| fixture::config(services, servers)));
-    fit::report(
+    let bytes =
+        by_servers(&|services, servers| allocated_bytes(|| fixture::config(services, servers)));
+    fit::report_fit(
         "configuration, services and servers together",
         "bytes by servers",
         &bytes,
     );
-    let only: Vec<(f64, f64)> = CONFIGURED
+    let services: Vec<(f64, f64)> = CONFIG_SIZES
         .iter()
-        .map(|(services, _)| (*services as f64, held(|| fixture::config(*services, 1))))
+        .map(|(services, _)| {
+            (
+                *services as f64,
+                allocated_bytes(|| fixture::config(*services, 1)),
+            )
+        })
         .collect();
-    fit::report("configuration, services alone", "bytes by services", &only);
+    fit::report_fit(
+        "configuration, services only",
+        "bytes by services",
+        &services,
+    );
     let snapshot = by_servers(&|services, servers| {
         let config = fixture::config(services, servers);
-        held(|| config.snapshot())
+        allocated_bytes(|| config.snapshot())
     });
-    fit::report("snapshot", "bytes by servers", &snapshot);
+    fit::report_fit("snapshot", "bytes by servers", &snapshot);
     let time = by_servers(&|services, servers| {
         let config = fixture::config(services, servers);
         median_time(9, || drop(config.snapshot())) * 1e3
     });
-    fit::report("time to build a snapshot", "ms by servers", &time);
+    fit::report_fit("time to build a snapshot", "ms by servers", &time);
     let time = by_servers(&|services, servers| {
         let config = fixture::config(services, servers);
         median_time(9, || {
             std::hint::black_box(config.digest());
         }) * 1e3
     });
-    fit::report(
-        "time of the digest, taken at each heartbeat",
+    fit::report_fit(
+        "time of the digest, computed at each heartbeat",
         "ms by servers",
         &time,
     );
@@ -222,7 +237,7 @@
             start.elapsed().as_secs_f64()
         })
         .collect();
-    fit::spread(&times).1
+    fit::min_median_max(&times).1
 }
 
 fn load(server: u32) -> peer::Load {
@@ -245,13 +260,13 @@
     }
 }
 
-/// A control task's decisions with so many peers, all slices placed evenly.
-fn controller(now: Instant, slices: u32, peers: usize) -> SlicePlanner {
-    let mut control = SlicePlanner::new(
+/// A slice planner that knows `peers` instances, with all slices placed evenly.
+fn planner(now: Instant, slices: u32, peers: usize) -> SlicePlanner {
+    let mut planner = SlicePlanner::new(
         control::Settings {
             me: fixture::holder("i0"),
-            zone: fixture::name("zone-0"),
-            address: fixture::caller(0),
+            zone: fixture::parse_id("zone-0"),
+            address: fixture::caller_address(0),
             slices,
             suspect_after: Duration::from_secs(3),
             isolation_limit: Duration::from_secs(1_800),
@@ -259,10 +274,10 @@
         },
         now,
     );
-    control.contact(now);
+    planner.contact(now);
     for number in 1..peers {
         let from = fixture::holder(&format!("i{number}"));
-        control.heartbeat(now, &from, &heartbeat(number, 0));
+        planner.heartbeat(now, &from, &heartbeat(number, 0));
     }
     for number in 0..slices.div_ceil(table::ROWS_PER_DOCUMENT) {
         let document = table::Document {
@@ -271,9 +286,9 @@
         };
         let value = serde_json::to_value(&document).expect("document");
         let key = format!("{}{number}", control::SLICES_PREFIX);
-        control.apply_entry(now, &fixture::entry(key, 1, &value));
+        planner.apply_entry(now, &fixture::entry(key, 1, &value));
     }
-    control
+    planner
 }
 
 fn rows(document: u32, peers: usize) -> Vec<table::Row> {
@@ -291,24 +306,27 @@
         .collect()
 }
 
-/// Instances, this one included.
-const PEERS: [usize; 5] = [9, 64, 256, 600, 1_100];
+/// Numbers of instances, the planner's own included.
+const INSTANCE_COUNTS: [usize; 5] = [9, 64, 256, 600, 1_100];
 
-const SLICES: [u32; 5] = [1_024, 2_048, 4_096, 8_192, 16_384];
+const SLICE_COUNTS: [u32; 5] = [1_024, 2_048, 4_096, 8_192, 16_384];
 
 fn control_memory() {
     let now = Instant::now();
-    let with = |count: usize| held(|| controller(now, 1_024, count));
-    let points: Vec<(f64, f64)> = PEERS.iter().map(|p| (*p as f64, with(*p))).collect();
-    fit::report(
+    let bytes = |count: usize| allocated_bytes(|| planner(now, 1_024, count));
+    let points: Vec<(f64, f64)> = INSTANCE_COUNTS
+        .iter()
+        .map(|p| (*p as f64, bytes(*p)))
+        .collect();
+    fit::report_fit(
         "control task's state, 1024 slices",
         "bytes by peers",
         &points,
     );
-    let guard: Vec<(f64, f64)> = PEERS
+    let guard: Vec<(f64, f64)> = INSTANCE_COUNTS
         .iter()
         .map(|count| {
-            let bytes = held(|| {
+            let bytes = allocated_bytes(|| {
                 let mut guard = wire::ReplayGuard::default();
                 for number in 0..*count {
                     guard.admit(&fixture::holder(&format!("i{number}")), 1);
@@ -318,102 +336,94 @@
             (*count as f64, bytes)
         })
         .collect();
-    fit::report("replay guard", "bytes by peers", &guard);
+    fit::report_fit("replay guard", "bytes by peers", &guard);
 }
 
-/// Time of one look of the planner in calm.
+/// Time in microseconds of a planner tick at which nothing has changed.
 fn tick_time(slices: u32, peers: usize) -> f64 {
     let now = Instant::now();
-    let mut control = controller(now, slices, peers);
+    let mut planner = planner(now, slices, peers);
     let later = now + Duration::from_secs(1);
     for _ in 0..3 {
-        settle_writes(&mut control, later);
+        complete_writes(&mut planner, later);
     }
-    median_time(15, || drop(std::hint::black_box(control.tick(later)))) * 1e6
+    median_time(15, || drop(std::hint::black_box(planner.tick(later)))) * 1e6
 }
 
-/// Lets writes end, so that the next look is one in calm.
-fn settle_writes(control: &mut SlicePlanner, now: Instant) {
-    for command in control.tick(now) {
+/// Completes the planner's writes, so that none is pending at the next tick.
+fn complete_writes(planner: &mut SlicePlanner, now: Instant) {
+    for command in planner.tick(now) {
         if let Command::Write { document, .. } = command {
-            control.write_finished(now, document, WriteResult::Lost(None));
+            planner.write_finished(now, document, WriteResult::Lost(None));
         }
     }
 }
 
 fn control_time() {
     let by_slices = |peers: usize| -> Vec<(f64, f64)> {
-        SLICES
+        SLICE_COUNTS
             .iter()
             .map(|s| (f64::from(*s), tick_time(*s, peers)))
             .collect()
     };
-    fit::report(
-        "look of the planner, 9 instances",
-        "us by slices",
-        &by_slices(9),
-    );
-    fit::report(
-        "look of the planner, 1100 instances",
+    fit::report_fit("planner tick, 9 instances", "us by slices", &by_slices(9));
+    fit::report_fit(
+        "planner tick, 1100 instances",
         "us by slices",
         &by_slices(1_100),
     );
-    let by_peers: Vec<(f64, f64)> = PEERS
+    let by_peers: Vec<(f64, f64)> = INSTANCE_COUNTS
         .iter()
         .map(|p| (*p as f64, tick_time(1_024, *p)))
         .collect();
-    fit::report("look of the planner, 1024 slices", "us by peers", &by_peers);
-    let by_peers: Vec<(f64, f64)> = PEERS
+    fit::report_fit("planner tick, 1024 slices", "us by peers", &by_peers);
+    let by_peers: Vec<(f64, f64)> = INSTANCE_COUNTS
         .iter()
         .map(|p| (*p as f64, tick_time(16_384, *p)))
         .collect();
-    fit::report(
-        "look of the planner, 16384 slices",
-        "us by peers",
-        &by_peers,
-    );
-    let taken: Vec<(f64, f64)> = PEERS
+    fit::report_fit("planner tick, 16384 slices", "us by peers", &by_peers);
+    let taken: Vec<(f64, f64)> = INSTANCE_COUNTS
         .iter()
         .map(|peers| {
             let now = Instant::now();
-            let mut control = controller(now, 1_024, *peers);
+            let mut planner = planner(now, 1_024, *peers);
             let from = fixture::holder("i1");
             let message = heartbeat(1, 0);
             let times = median_time(15, || {
                 for _ in 0..100 {
-                    control.heartbeat(now, &from, &message);
+                    planner.heartbeat(now, &from, &message);
                 }
             });
             (*peers as f64, times * 1e4)
         })
         .collect();
-    fit::report("heartbeat taken by the planner", "us by peers", &taken);
-    let listed: Vec<(f64, f64)> = PEERS
+    fit::report_fit("heartbeat handled by the planner", "us by peers", &taken);
+    let listed: Vec<(f64, f64)> = INSTANCE_COUNTS
         .iter()
         .map(|peers| {
             let now = Instant::now();
-            let control = controller(now, 1_024, *peers);
-            let look = || {
-                let live: BTreeSet<id::Instance> = control
+            let planner = planner(now, 1_024, *peers);
+            let list_live = || {
+                let live: BTreeSet<id::Instance> = planner
                     .peers()
                     .into_iter()
-                    .filter(|(member, _)| control.is_live(now, &member.holder))
+                    .filter(|(member, _)| planner.is_live(now, &member.holder))
                     .map(|(member, _)| member.holder.instance)
                     .collect();
                 drop(std::hint::black_box(live));
             };
-            (*peers as f64, median_time(15, look) * 1e6)
+            (*peers as f64, median_time(15, list_live) * 1e6)
         })
         .collect();
-    fit::report(
-        "list of live peers, made at a look after heartbeats",
+    fit::report_fit(
+        "list of live peers, rebuilt at a tick after heartbeats",
         "us by peers",
         &listed,
     );
 }
 
-/// Length of a frame with this body.
-fn frame(body: PeerMessage) -> f64 {
+/// Length in bytes of a signed frame with the given body.
+fn frame_len(body: PeerMessage) -> f64 {
     let keys = wire::Keys::new([&[7u8; 32][..]]).expect("keys");
     let envelope = wire::Envelope {
         from: fixture::holder("bole-1").to_string(),
@@ -424,18 +434,18 @@
     wire::sign_frame(&keys, &envelope).len() as f64
 }
 
-fn bytes() {
-    let core = Core::new("a", "b", 0);
+fn message_sizes() {
+    let engine = EngineFixture::new("a", "b", 0);
     let loads: Vec<(f64, f64)> = [0, 8, 16, 32]
         .iter()
         .map(|loads| {
             (
                 *loads as f64,
-                frame(PeerMessage::Heartbeat(heartbeat(1, *loads))),
+                frame_len(PeerMessage::Heartbeat(heartbeat(1, *loads))),
             )
         })
         .collect();
-    fit::report("heartbeat frame", "bytes by loads", &loads);
+    fit::report_fit("heartbeat frame", "bytes by loads", &loads);
     let rows: Vec<(f64, f64)> = [64, 128, 256, 1_024]
         .iter()
         .map(|count| {
@@ -447,18 +457,19 @@
             (*count as f64, value.len() as f64)
         })
         .collect();
-    fit::report("slice table document", "bytes by rows", &rows);
-    let join = |step: fn(&Core, u32) -> peer::ReplicationStep| -> Vec<(f64, f64)> {
+    fit::report_fit("slice table document", "bytes by rows", &rows);
+    let copy = |step: fn(&EngineFixture, u32) -> peer::ReplicationStep| -> Vec<(f64, f64)> {
         [1_000, 2_000, 5_000, 10_000]
             .iter()
             .map(|count| {
                 let steps = (0..*count)
-                    .map(|number| frame(PeerMessage::ReplicationStep(step(&core, number))));
-                let acknowledgement = frame(PeerMessage::ReplicationAck(peer::ReplicationAck {
-                    slice: 1_000,
-                    epoch: 3,
-                    number: 1 << 20,
-                }));
+                    .map(|number| frame_len(PeerMessage::ReplicationStep(step(&engine, number))));
+                let acknowledgement =
+                    frame_len(PeerMessage::ReplicationAck(peer::ReplicationAck {
+                        slice: 1_000,
+                        epoch: 3,
+                        number: 1 << 20,
+                    }));
                 (
                     f64::from(*count),
                     steps.sum::<f64>() + f64::from(*count) * acknowledgement,
@@ -466,50 +477,50 @@
             })
             .collect()
     };
-    fit::report(
+    fit::report_fit(
         "copy of feeds with acknowledgements",
         "bytes by feeds",
-        &join(fixture::feed_step),
+        &copy(fixture::feed_step),
     );
-    fit::report(
+    fit::report_fit(
         "copy of claims with acknowledgements",
         "bytes by claims",
-        &join(fixture::claim_step),
+        &copy(fixture::claim_step),
     );
-    let yielded: Vec<(f64, f64)> = [16, 64, 256, 1_024]
+    let takeover: Vec<(f64, f64)> = [16, 64, 256, 1_024]
         .iter()
         .map(|count| {
             let slices = (0..*count).collect();
             (
                 f64::from(*count),
-                frame(PeerMessage::TakeoverRequest(peer::TakeoverRequest {
+                frame_len(PeerMessage::TakeoverRequest(peer::TakeoverRequest {
                     slices,
                 })),
             )
         })
         .collect();
-    fit::report("request to take slices over", "bytes by slices", &yielded);
-    let pull: Vec<(f64, f64)> = [(58, 100), (462, 800), (1_850, 3_200), (3_700, 6_400)]
+    fit::report_fit("request to take slices over", "bytes by slices", &takeover);
+    let request: Vec<(f64, f64)> = [(58, 100), (462, 800), (1_850, 3_200), (3_700, 6_400)]
         .iter()
         .map(|(services, servers)| {
             let config = fixture::config(*services, *servers);
-            let have = config.shared().map(|entry| peer::Version {
+            let versions = config.shared().map(|entry| peer::Version {
                 key: entry.key.clone(),
                 modified: entry.mod_revision,
             });
-            let have = have.collect();
+            let versions = versions.collect();
             (
                 *servers as f64,
-                frame(PeerMessage::ConfigRequest(peer::ConfigRequest {
-                    known_versions: have,
+                frame_len(PeerMessage::ConfigRequest(peer::ConfigRequest {
+                    known_versions: versions,
                 })),
             )
         })
         .collect();
-    fit::report(
-        "question for copies, services and servers together",
+    fit::report_fit(
+        "configuration request, services and servers together",
         "bytes by servers",
-        &pull,
+        &request,
     );
 }
 
@@ -518,28 +529,28 @@
     let mut calls = Vec::new();
     for count in [3, 5, 7, 9] {
         let mut fleet = fleet::Fleet::start(count, 1_024, 0).await;
-        let calm = fleet.calm(Duration::from_secs(10)).await;
-        idle.push((count as f64, calm.heartbeat_bytes));
-        calls.push((count as f64, calm.calls));
-        println!("{count} instances in calm: {calm:?}");
+        let rates = fleet.measure_rates(Duration::from_secs(10)).await;
+        idle.push((count as f64, rates.heartbeat_bytes));
+        calls.push((count as f64, rates.calls));
+        println!("{count} idle instances: {rates:?}");
         let change = fleet.watch_bytes().await;
         println!("{count} instances: watch bytes per change {change:?}");
-        let takeover = fleet.takeover().await;
+        let takeover = fleet.kill_one().await;
         println!(
             "{count} instances: killed one, platform calls and writes until settled {takeover:?}"
         );
-        let replaced = fleet.replace().await;
+        let replaced = fleet.replace_one().await;
         println!(
             "{count} instances: replaced one, platform calls and writes until settled {replaced:?}"
         );
     }
-    fit::report(
+    fit::report_fit(
         "heartbeats sent",
         "bytes per instance and second by instances",
         &idle,
     );
-    fit::report(
-        "platform calls in calm",
+    fit::report_fit(
+        "platform calls of idle instances",
         "calls per instance and second by instances",
         &calls,
     );
--- a/examples/utils/fixture.rs
+++ b/examples/utils/fixture.rs
@@ -1,6 +1,6 @@
-//! A decision core with a configuration, for benchmarks and slopes.
+//! An engine with a configuration, for the benchmarks and the `slopes` example.
 
-#![allow(dead_code, reason = "each program uses its own part")]
+#![allow(dead_code, reason = "no program uses all of these functions")]
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -30,53 +30,57 @@
 use serde_json::json;
 use tokio::time::Instant;
 
-/// Slices of the table, as by default.
+/// Slices of the table; the default of the settings.
 pub(crate) const SLICES: u32 = 1_024;
 
-/// Backend servers of the service, as at Abay's dispatch.
+/// Backend servers of the service, as many as the customer Abay has for `dispatch`.
 pub(crate) const SERVERS: usize = 15;
 
-/// Longer than any run.
-const LONG: Duration = Duration::from_secs(1 << 24);
+/// Validity of confirmations and of authority; longer than any run.
+const LONGER_THAN_ANY_RUN: Duration = Duration::from_secs(1 << 24);
 
-/// A CoAP GET as a driver's handset sends it: 4 bytes of token, one path segment.
+/// A CoAP GET as a driver's handset sends it: a 4-byte token and one path segment.
 pub(crate) const GET: &[u8] =
     b"\x44\x01\x12\x34\x01\x02\x03\x04\xb5route\xffwhere is the next pickup";
 
 /// A CoAP GET with Observe 0, which opens a feed.
 pub(crate) const OBSERVE: &[u8] = b"\x44\x01\x12\x34\x01\x02\x03\x04\x60\x55route";
 
-/// A CoAP POST of a pickup.
+/// A CoAP POST that books a pickup.
 pub(crate) const POST: &[u8] =
     b"\x44\x02\x12\x34\x01\x02\x03\x04\xb6pickup\xff{\"kitchen\":42,\"litres\":60}";
 
-/// A server's notification of some 60 bytes.
+/// A server's notification of about 60 bytes.
 pub(crate) const NOTIFICATION: &[u8] =
     b"\x58\x45\x12\x34\x00\x00\x00\x00\x00\x00\x00\x01\x61\x07\xff{\"stop\":17,\"kitchen\":\"Bole 4\",\"litres\":60}";
 
-/// A name as an id.
-pub(crate) fn name<T: std::str::FromStr>(text: &str) -> T
+/// Parses an id.
+///
+/// # Panics
+///
+/// If the text is not a valid id.
+pub(crate) fn parse_id<T: std::str::FromStr>(text: &str) -> T
 where
     T::Err: std::fmt::Debug,
 {
-    text.parse().expect("a legal name")
+    text.parse().expect("a valid id")
 }
 
-/// One life of an instance.
+/// The instance with a fixed incarnation.
 pub(crate) fn holder(instance: &str) -> id::Holder {
     id::Holder {
-        instance: name(instance),
+        instance: parse_id(instance),
         incarnation: id::Incarnation(1_733_000_000_000_000),
     }
 }
 
 /// The address of the caller with this number.
-pub(crate) fn caller(number: u32) -> id::Endpoint {
+pub(crate) fn caller_address(number: u32) -> id::Endpoint {
     let ip = Ipv4Addr::from(0x0a00_0000 | number >> 8);
     id::Endpoint(SocketAddr::new(ip.into(), 20_000 + (number & 0xff) as u16))
 }
 
-/// An entry of the platform.
+/// An entry of the store.
 pub(crate) fn entry(key: String, revision: u64, value: &serde_json::Value) -> Entry {
     Entry {
         key,
@@ -85,12 +89,13 @@
     }
 }
 
-/// A document in its envelope.
+/// A document with its revision, operator and write id.
 pub(crate) fn envelope(revision: u64, body: &serde_json::Value) -> serde_json::Value {
     json!({"revision": revision, "operator": "bench", "write_id": "0123456789abcdef", "body": body})
 }
 
-/// A configuration with so many services, servers spread over them evenly.
+/// A configuration with the given numbers of services and servers, in which every service has
+/// equally many servers, all of them confirmed.
 pub(crate) fn config(services: usize, servers: usize) -> Config {
     let mut config = Config::default();
     let profile = json!({"slow_start_s": 0, "queue_per_slot": 1_000, "max_per_caller": 100_000,
@@ -112,12 +117,12 @@
     }
     let now = Instant::now();
     for server in config.servers() {
-        server.confirm(now, LONG);
+        server.confirm(now, LONGER_THAN_ANY_RUN);
     }
     config
 }
 
-/// What the platform lists of a server.
+/// The platform's entry of a server.
 pub(crate) fn server_entry(number: usize, services: usize, revision: u64) -> Entry {
     let ip = Ipv4Addr::from(0x0c00_0000 | number as u32);
     let body = json!({
@@ -131,7 +136,7 @@
     entry(format!("platform/servers/server-{number}"), revision, &body)
 }
 
-/// A table in which one instance is home and another backup of everything.
+/// A table in which one instance is home and another one is backup of every slice.
 pub(crate) fn table(slices: u32, epoch: u64, home: &str, backup: &str) -> Arc<Table> {
     let mut table = Table::new(slices);
     for slice in 0..slices {
@@ -146,48 +151,48 @@
     Arc::new(table)
 }
 
-/// A view in which these instances live.
-pub(crate) fn view(now: Instant, instances: &[&str]) -> Arc<MembershipView> {
+/// A membership view in which the given instances are live.
+pub(crate) fn membership_view(now: Instant, instances: &[&str]) -> Arc<MembershipView> {
     let mut view = MembershipView {
-        authority_until: Some(now + LONG),
+        authority_until: Some(now + LONGER_THAN_ANY_RUN),
         ..MembershipView::default()
     };
-    for (place, instance) in instances.iter().enumerate() {
-        let address = SocketAddr::new(Ipv4Addr::new(10, 9, 0, place as u8).into(), 7_000);
+    for (index, instance) in instances.iter().enumerate() {
+        let address = SocketAddr::new(Ipv4Addr::new(10, 9, 0, index as u8).into(), 7_000);
         let member = Member {
             holder: holder(instance),
-            zone: name("bole"),
+            zone: parse_id("bole"),
             address: id::Endpoint(address),
             leaving: false,
         };
         view.live.insert(member.holder.clone());
-        view.known.insert(name(instance), member);
+        view.known.insert(parse_id(instance), member);
     }
     Arc::new(view)
 }
 
-/// The core of one worker, the only one of its instance.
-pub(crate) struct Core {
+/// The engine of an instance with a single worker, and its virtual time.
+pub(crate) struct EngineFixture {
     pub(crate) engine: Engine,
     pub(crate) now: Instant,
-    pub(crate) born: Instant,
+    pub(crate) created_at: Instant,
     service: id::Service,
 }
 
-/// An open request at a server: where it went and under which number.
+/// A forwarded request: its server and its attempt id.
 #[derive(Clone, Copy)]
-pub(crate) struct Sent {
-    pub(crate) to: id::Endpoint,
+pub(crate) struct ForwardedRequest {
+    pub(crate) server: id::Endpoint,
     pub(crate) attempt: id::Attempt,
 }
 
-impl Core {
-    /// A core of the instance `a`; `home` and `backup` hold all slices.
+impl EngineFixture {
+    /// The engine of instance `a`, with `home` and `backup` as the home and the backup of all slices.
     pub(crate) fn new(home: &str, backup: &str, feeds: usize) -> Self {
         let now = Instant::now();
         let mut engine = Engine::new(Settings {
             me: holder("a"),
-            zone: name("bole"),
+            zone: parse_id("bole"),
             worker: 0,
             workers: 1,
             hash_key: 7,
@@ -199,17 +204,20 @@
             now,
             Event::Snapshot(Arc::new(config(1, SERVERS).snapshot())),
         );
-        engine.handle(now, Event::Membership(view(now, &["a", "b", "c"])));
+        engine.handle(
+            now,
+            Event::Membership(membership_view(now, &["a", "b", "c"])),
+        );
         engine.handle(now, Event::Table(table(SLICES, 1, home, backup)));
         Self {
             engine,
             now,
-            born: now,
-            service: name("service-0"),
+            created_at: now,
+            service: parse_id("service-0"),
         }
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time and handles a tick.
     pub(crate) fn advance(&mut self, by: Duration) {
         self.now += by;
         self.engine.handle(self.now, Event::Tick);
@@ -218,11 +226,10 @@
     pub(crate) fn flow(&self, number: u32) -> Flow {
         Flow {
             service: self.service.clone(),
-            caller: caller(number),
+            caller: caller_address(number),
         }
     }
 
-    /// A request event.
     pub(crate) fn request(&self, number: u32, id: u128, kind: Kind) -> Event {
         let datagram = match kind {
             Kind::NonIdempotent => POST,
@@ -247,50 +254,50 @@
         self.engine.handle(self.now, event)
     }
 
-    /// Opens so many feeds, from the caller with the first number on.
-    pub(crate) fn open_feeds(&mut self, first: u32, count: u32) -> Vec<Sent> {
+    /// Opens `count` feeds, one for each caller from number `first` on.
+    pub(crate) fn open_feeds(&mut self, first: u32, count: u32) -> Vec<ForwardedRequest> {
         (first..first + count)
             .map(|number| {
                 let opened = self.handle(self.request(number, 1, Kind::OpenFeed));
-                let sent = sent(&opened).expect("forwarded");
-                let done = self.handle(answer(sent, true));
-                self.acknowledge(&done);
+                let sent = first_forwarded(&opened).expect("forwarded");
+                let answered = self.handle(answer(sent, true));
+                self.acknowledge(&answered);
                 sent
             })
             .collect()
     }
 
-    /// Acknowledges what was replicated, as the backup `b`; returns what follows.
+    /// Acknowledges the replication steps as the backup does; returns the actions that follow.
     pub(crate) fn acknowledge(&mut self, actions: &[Action]) -> Vec<Action> {
-        let mut follow = Vec::new();
-        for event in receipts(actions) {
-            follow.extend(self.handle(event));
+        let mut following = Vec::new();
+        for event in backup_acknowledgements(actions) {
+            following.extend(self.handle(event));
         }
-        follow
+        following
     }
 }
 
-/// Where the first forwarded request went.
-pub(crate) fn sent(actions: &[Action]) -> Option<Sent> {
+/// The first forwarded request among the actions.
+pub(crate) fn first_forwarded(actions: &[Action]) -> Option<ForwardedRequest> {
     actions.iter().find_map(|action| match action {
         Action::Forward {
             server, attempt, ..
-        } => Some(Sent {
-            to: server.address,
+        } => Some(ForwardedRequest {
+            server: server.address,
             attempt: *attempt,
         }),
         _ => None,
     })
 }
 
-/// The server's answer.
-pub(crate) fn answer(sent: Sent, feed: bool) -> Event {
+/// The server's answer to a forwarded request.
+pub(crate) fn answer(sent: ForwardedRequest, keeps_feed_open: bool) -> Event {
     Event::Answer {
-        from: sent.to,
+        from: sent.server,
         attempt: sent.attempt,
         answer: Answer {
             verdict: Verdict::Handled,
-            keeps_feed_open: feed,
+            keeps_feed_open,
             has_more_blocks: false,
             retry_after: None,
             datagram: Bytes::copy_from_slice(NOTIFICATION),
@@ -298,9 +305,9 @@
     }
 }
 
-/// The backup's acknowledgements of what was sent to it.
-pub(crate) fn receipts(actions: &[Action]) -> Vec<Event> {
-    let step = |action: &Action| match action {
+/// The backup's acknowledgements of the replication steps among the actions.
+pub(crate) fn backup_acknowledgements(actions: &[Action]) -> Vec<Event> {
+    let acknowledgement = |action: &Action| match action {
         Action::Peer {
             to,
             body: peer::PeerMessage::ReplicationStep(step),
@@ -314,12 +321,12 @@
         }),
         _ => None,
     };
-    actions.iter().filter_map(step).collect()
+    actions.iter().filter_map(acknowledgement).collect()
 }
 
-/// What a home sends its backup about the feed of a caller.
-pub(crate) fn feed_step(core: &Core, number: u32) -> peer::ReplicationStep {
-    let flow = core.flow(number);
+/// The replication step by which a home copies a caller's feed to its backup.
+pub(crate) fn feed_step(engine: &EngineFixture, number: u32) -> peer::ReplicationStep {
+    let flow = engine.flow(number);
     let slice = godwitreel::table::slice(SLICES, 7, &flow);
     peer::ReplicationStep {
         slice: slice.0,
@@ -335,9 +342,9 @@
     }
 }
 
-/// What a home sends its backup about a non-idempotent request.
-pub(crate) fn claim_step(core: &Core, number: u32) -> peer::ReplicationStep {
-    let flow = core.flow(number);
+/// The replication step by which a home copies the claim of a non-idempotent request.
+pub(crate) fn claim_step(engine: &EngineFixture, number: u32) -> peer::ReplicationStep {
+    let flow = engine.flow(number);
     let slice = godwitreel::table::slice(SLICES, 7, &flow);
     peer::ReplicationStep {
         slice: slice.0,
--- a/examples/utils/fleet.rs
+++ b/examples/utils/fleet.rs
@@ -1,6 +1,6 @@
-//! Real daemons on loopback, beside a stand-in platform and plain backend servers.
+//! Real daemons on loopback, with a stand-in platform and minimal backend servers.
 
-#![allow(dead_code, reason = "each program uses its own part")]
+#![allow(dead_code, reason = "no program uses all of these functions")]
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -28,28 +28,28 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-/// Most daemons at once.
+/// Most daemons that run at the same time.
 const MAX_DAEMONS: usize = 25;
 
-/// Longest wait for anything that must come about.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Longest wait for an expected state.
+const STATE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Ticks of a process's clock in a second.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second in `/proc/PID/stat`.
+const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
 
 const ZONES: [&str; 3] = ["bole", "kality", "merkato"];
 
-/// Runs a program's work on a runtime of its own.
-pub(crate) fn run(work: impl Future<Output = ()>) {
+/// Runs a future to its end on a new runtime.
+pub(crate) fn run(future: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(4)
         .enable_all()
         .build()
         .expect("runtime");
-    runtime.block_on(work);
+    runtime.block_on(future);
 }
 
-/// One daemon.
+/// A running daemon; it is killed when it is dropped.
 pub(crate) struct Daemon {
     pub(crate) name: String,
     pub(crate) status: SocketAddr,
@@ -57,7 +57,7 @@
     child: Child,
 }
 
-/// Daemons with what they need.
+/// Daemons with their platform and settings files.
 pub(crate) struct Fleet {
     pub(crate) platform: platform::Handle,
     pub(crate) daemons: Vec<Daemon>,
@@ -67,9 +67,9 @@
     client: reqwest::Client,
 }
 
-/// What an instance spends, per second.
+/// Resource use of an instance, per second.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Spent {
+pub(crate) struct ResourceRates {
     pub(crate) heartbeat_bytes: f64,
     pub(crate) control_bytes: f64,
     pub(crate) cpu_percent: f64,
@@ -78,9 +78,9 @@
     pub(crate) leases: f64,
 }
 
-/// What something cost the platform.
+/// Duration of an operation and the platform calls that it caused.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Cost {
+pub(crate) struct OperationCost {
     pub(crate) seconds: f64,
     pub(crate) reads: u64,
     pub(crate) writes: u64,
@@ -92,9 +92,9 @@
     (Ipv4Addr::LOCALHOST, 0).into()
 }
 
-/// Answers every request at once: 2.05 with the acknowledgement. Feeds stay open
-/// and silent.
-async fn serve(socket: UdpSocket) {
+/// Answers every request at once with a piggybacked 2.05 response. Feeds stay open
+/// without notifications.
+async fn serve_coap(socket: UdpSocket) {
     const TOKEN: std::ops::Range<usize> = 4..12;
     let mut buffer = [0; 2_048];
     while let Ok((length, from)) = socket.recv_from(&mut buffer).await {
@@ -112,15 +112,15 @@
     }
 }
 
-async fn health(listener: TcpListener) {
+async fn serve_health(listener: TcpListener) {
     let answer = || async { r#"{"service": "dispatch", "state": "up"}"# };
     let router = Router::new().route("/health", get(answer));
     let _ = axum::serve(listener, router).await;
 }
 
 impl Fleet {
-    /// Starts daemons before some backend servers and waits until every slice has
-    /// a home and a backup.
+    /// Starts backend servers and daemons and waits until every slice has a home and a
+    /// backup.
     pub(crate) async fn start(count: usize, slices: u32, servers: usize) -> Self {
         assert!(count <= MAX_DAEMONS, "too many daemons");
         let platform = platform::start(local()).await.expect("platform");
@@ -141,31 +141,31 @@
         for _ in 0..count {
             fleet.add();
         }
-        fleet.settled(servers).await;
+        fleet.wait_until_settled(servers).await;
         fleet
     }
 
     async fn list_servers(&self, count: usize) {
         let listener = TcpListener::bind(local()).await.expect("bind");
-        let checked = listener.local_addr().expect("address");
-        tokio::spawn(health(listener));
+        let health_address = listener.local_addr().expect("address");
+        tokio::spawn(serve_health(listener));
         for number in 0..count {
             let socket = UdpSocket::bind(local()).await.expect("bind");
             let listed = json!({
                 "service": "dispatch",
                 "zone": ZONES[number % ZONES.len()],
                 "address": socket.local_addr().expect("address").to_string(),
-                "health": checked.to_string(),
+                "health": health_address.to_string(),
                 "slots": 1_000,
                 "state": "up",
             });
-            tokio::spawn(serve(socket));
+            tokio::spawn(serve_coap(socket));
             let key = format!("platform/servers/dispatch-{number}");
             self.platform.put(&key, listed.to_string());
         }
     }
 
-    /// Writes a revision of the profile that the service has chosen.
+    /// Writes a revision of the service's profile.
     pub(crate) fn change_profile(&self, revision: u64) {
         let body = json!({"slow_start_s": 0, "queue_per_slot": 100, "max_in_progress": 100_000,
             "feed_silence_s": 3_600});
@@ -173,7 +173,7 @@
         self.platform.put(key, document(revision, &body));
     }
 
-    /// Starts one more daemon.
+    /// Starts another daemon.
     pub(crate) fn add(&mut self) {
         self.started += 1;
         let zone = ZONES[self.started % ZONES.len()];
@@ -194,7 +194,7 @@
         });
         let path = self.dir.path().join(format!("{name}.jsonc"));
         std::fs::write(&path, settings.to_string()).expect("settings");
-        let child = Command::new(program())
+        let child = Command::new(daemon_path())
             .arg(&path)
             .stdin(Stdio::null())
             .spawn()
@@ -207,11 +207,15 @@
         });
     }
 
-    /// Waits until every slice has a home and a backup, evenly spread.
-    pub(crate) async fn settled(&self, servers: usize) {
-        let end = Instant::now() + PATIENCE;
+    /// Waits until every slice has a home and a backup, the homes are spread evenly and the
+    /// daemons use at least `servers` backend servers.
+    pub(crate) async fn wait_until_settled(&self, servers: usize) {
+        let end = Instant::now() + STATE_TIMEOUT;
         while !self.is_settled(servers).await {
-            assert!(Instant::now() < end, "the slices were not spread");
+            assert!(
+                Instant::now() < end,
+                "the slices were not placed evenly in time"
+            );
             sleep(Duration::from_millis(20)).await;
         }
     }
@@ -223,9 +227,9 @@
             let Some(status) = self.status(daemon).await else {
                 return false;
             };
-            let ready = status.servers.iter().filter(|s| s.takes_work).count();
-            let even = status.homes * 2 > share;
-            if !status.ready || status.alone > 0 || ready < servers || !even {
+            let usable = status.servers.iter().filter(|s| s.takes_work).count();
+            let is_even = status.homes * 2 > share;
+            if !status.ready || status.alone > 0 || usable < servers || !is_even {
                 return false;
             }
             homes += status.homes;
@@ -239,36 +243,36 @@
         request.send().await.ok()?.json().await.ok()
     }
 
-    /// Bytes sent to peers of these kinds so far.
+    /// Bytes of the given message kinds that the daemon has sent to its peers so far.
     pub(crate) async fn sent_bytes(&self, daemon: &Daemon, kinds: &[&str]) -> f64 {
         let url = format!("http://{}/metrics", daemon.status);
         let answer = self.client.get(url).send().await.expect("metrics");
         let text = answer.text().await.expect("text");
-        let counted = |line: &&str| {
-            let of = |kind: &&str| line.contains(&format!("kind=\"{kind}\""));
+        let is_counted = |line: &&str| {
+            let has_kind = |kind: &&str| line.contains(&format!("kind=\"{kind}\""));
             line.starts_with("godwitreel_peer_bytes_total{")
                 && line.contains("\"sent\"")
-                && kinds.iter().any(of)
+                && kinds.iter().any(has_kind)
         };
         let value = |line: &str| line.rsplit(' ').next().and_then(|n| n.parse::<f64>().ok());
-        text.lines().filter(counted).filter_map(value).sum()
+        text.lines().filter(is_counted).filter_map(value).sum()
     }
 
-    /// What the daemons spend in this time, per instance and second.
-    pub(crate) async fn calm(&self, time: Duration) -> Spent {
+    /// Measures the resource use over a time span, per instance and second.
+    pub(crate) async fn measure_rates(&self, time: Duration) -> ResourceRates {
         let before = self.totals().await;
         let start = Instant::now();
         sleep(time).await;
         let after = self.totals().await;
-        let per = start.elapsed().as_secs_f64() * self.daemons.len() as f64;
-        let spent = |place: usize| (after[place] - before[place]) / per;
-        Spent {
-            heartbeat_bytes: spent(0),
-            control_bytes: spent(1),
-            cpu_percent: spent(2) * 100.0,
-            calls: spent(3) + spent(4),
-            reads: spent(3),
-            leases: spent(4),
+        let instance_seconds = start.elapsed().as_secs_f64() * self.daemons.len() as f64;
+        let rate = |index: usize| (after[index] - before[index]) / instance_seconds;
+        ResourceRates {
+            heartbeat_bytes: rate(0),
+            control_bytes: rate(1),
+            cpu_percent: rate(2) * 100.0,
+            calls: rate(3) + rate(4),
+            reads: rate(3),
+            leases: rate(4),
         }
     }
 
@@ -285,34 +289,35 @@
         totals
     }
 
-    /// Kills one daemon; the cost until its slices are placed anew.
-    pub(crate) async fn takeover(&mut self) -> Cost {
+    /// Kills a daemon and returns the cost until other daemons have taken over its slices.
+    pub(crate) async fn kill_one(&mut self) -> OperationCost {
         let before = self.platform.counters();
         let start = Instant::now();
         self.daemons.pop();
-        // The home that is gone still counts until it is suspected.
-        self.settled(0).await;
-        self.cost(before, start)
+        // The killed daemon stays home of its slices until the others suspect it.
+        self.wait_until_settled(0).await;
+        self.cost_since(before, start)
     }
 
-    /// Stops one daemon gracefully and starts another.
-    pub(crate) async fn replace(&mut self) -> Cost {
+    /// Stops a daemon gracefully, starts another one and returns the cost until the slices
+    /// are placed.
+    pub(crate) async fn replace_one(&mut self) -> OperationCost {
         let before = self.platform.counters();
         let start = Instant::now();
         let mut daemon = self.daemons.remove(0);
         daemon.signal(Signal::SIGTERM);
         while daemon.child.try_wait().expect("wait").is_none() {
-            assert!(start.elapsed() < PATIENCE, "the daemon did not stop");
+            assert!(start.elapsed() < STATE_TIMEOUT, "the daemon did not stop");
             sleep(Duration::from_millis(20)).await;
         }
         self.add();
-        self.settled(0).await;
-        self.cost(before, start)
+        self.wait_until_settled(0).await;
+        self.cost_since(before, start)
     }
 
-    fn cost(&self, before: platform::Counters, start: Instant) -> Cost {
+    fn cost_since(&self, before: platform::Counters, start: Instant) -> OperationCost {
         let after = self.platform.counters();
-        Cost {
+        OperationCost {
             seconds: start.elapsed().as_secs_f64(),
             reads: after.reads - before.reads,
             writes: after.writes - before.writes,
@@ -321,7 +326,7 @@
         }
     }
 
-    /// Bytes that a watch gets for a change, by length of the value.
+    /// Bytes that a watch receives for a change, by length of the value.
     pub(crate) async fn watch_bytes(&self) -> Vec<(f64, f64)> {
         let mut points = Vec::new();
         for length in [100, 400, 1_600, 6_400] {
@@ -344,7 +349,7 @@
         points
     }
 
-    /// The slice table as the platform has it.
+    /// The slice table as stored in the platform.
     pub(crate) fn table(&self) -> table::Table {
         let mut table = table::Table::new(self.slices);
         for number in 0..self.slices.div_ceil(table::ROWS_PER_DOCUMENT) {
@@ -352,15 +357,15 @@
             let value = self.platform.get(&key).unwrap_or_default();
             let document: table::Document = serde_json::from_slice(&value).expect("document");
             let first = number * table::ROWS_PER_DOCUMENT;
-            for (place, row) in document.rows.into_iter().enumerate() {
-                table.update_if_newer(godwitreel::id::Slice(first + place as u32), row);
+            for (index, row) in document.rows.into_iter().enumerate() {
+                table.update_if_newer(godwitreel::id::Slice(first + index as u32), row);
             }
         }
         table
     }
 }
 
-/// Kinds of peer messages that are not part of a caller's traffic.
+/// Kinds of peer messages that carry no caller's traffic.
 pub(crate) const CONTROL_KINDS: [&str; 4] = ["heartbeat", "yield", "pull", "push"];
 
 fn document(revision: u64, body: &serde_json::Value) -> String {
@@ -369,24 +374,24 @@
     envelope.to_string()
 }
 
-/// The daemon stands beside the directory of the examples.
-fn program() -> PathBuf {
+/// Path of the daemon's binary, in the parent of the directory of the examples.
+fn daemon_path() -> PathBuf {
     let own = std::env::current_exe().expect("own path");
     let release = own.ancestors().nth(2).expect("a target directory");
     release.join("godwitreeld")
 }
 
 impl Daemon {
-    /// Processor time used so far, in seconds.
+    /// Processor time used since the start, in seconds.
     pub(crate) fn processor_seconds(&self) -> f64 {
         let path = format!("/proc/{}/stat", self.child.id());
         let stat = std::fs::read_to_string(path).unwrap_or_default();
-        let after = stat.rsplit(") ").next().unwrap_or_default();
-        let ticks = after.split(' ').skip(11).take(2);
-        ticks.filter_map(|t| t.parse::<f64>().ok()).sum::<f64>() / TICKS
+        let fields = stat.rsplit(") ").next().unwrap_or_default();
+        let ticks = fields.split(' ').skip(11).take(2);
+        ticks.filter_map(|t| t.parse::<f64>().ok()).sum::<f64>() / CLOCK_TICKS_PER_SECOND
     }
 
-    /// Memory in use, in kilobytes.
+    /// Resident memory in kilobytes.
     pub(crate) fn resident_kilobytes(&self) -> f64 {
         let path = format!("/proc/{}/status", self.child.id());
         let status = std::fs::read_to_string(path).unwrap_or_default();
