--- a/examples/policy/rounds.rs
+++ b/examples/policy/rounds.rs
@@ -75,7 +75,7 @@
 }
 
 /// The service `dispatch` of the customer Abay, loaded to a share of its servers' slots.
-pub(crate) fn abay(share: f64) -> Plan {
+pub(crate) fn abay_dispatch(share: f64) -> Plan {
     let (servers, slots, service_time) = (15, 2, 0.02);
     let rate = share * f64::from(slots) * f64::from(servers) / service_time;
     Plan {
@@ -104,7 +104,7 @@
 }
 
 /// The booking service of the customer Naukluft, loaded to a share of its servers' slots.
-pub(crate) fn naukluft(share: f64) -> Plan {
+pub(crate) fn naukluft_booking(share: f64) -> Plan {
     let (servers, slots, service_time) = (15, 3, 0.02);
     let rate = share * f64::from(slots) * f64::from(servers) / service_time;
     Plan {
@@ -113,7 +113,7 @@
         slots,
         zone_delay: 0.001,
         rate: Arc::new(move |_| rate),
-        ..abay(share)
+        ..abay_dispatch(share)
     }
 }
 
@@ -143,7 +143,10 @@
 }
 
 fn policy_choice() {
-    for (customer, plan) in [("Abay", abay(0.7)), ("Naukluft", naukluft(0.7))] {
+    for (customer, plan) in [
+        ("Abay", abay_dispatch(0.7)),
+        ("Naukluft", naukluft_booking(0.7)),
+    ] {
         let columns = concat_columns(&[&LATENCY, &CORRECTNESS]);
         measure::print_header(&format!("{customer}, 70 % of slots"), &columns);
         for policy in POLICIES {
@@ -191,7 +194,7 @@
     measure::print_header("Abay, 70 % of slots, wrong load reports", &columns);
     for policy in [Policy::BoundedLoad, Policy::TwoChoices, Policy::LeastLoaded] {
         for (reports, load_reports) in load_report_variants {
-            let plan = with_profile(abay(0.7), |profile| profile.policy = policy);
+            let plan = with_profile(abay_dispatch(0.7), |profile| profile.policy = policy);
             run_and_print(
                 &format!("{policy:?}, {reports}"),
                 &columns,
@@ -207,7 +210,7 @@
         &columns,
     );
     for policy in POLICIES {
-        let plan = with_profile(abay(0.6), |profile| profile.policy = policy);
+        let plan = with_profile(abay_dispatch(0.6), |profile| profile.policy = policy);
         let slow = fault(10.0, |simulation| simulation.models[5].slowdown = 10.0);
         let plan = Plan {
             faults: vec![slow],
@@ -224,7 +227,9 @@
         &columns,
     );
     for percent in [50, 80, 100] {
-        let plan = with_profile(abay(0.5), |profile| profile.spill_percent = percent);
+        let plan = with_profile(abay_dispatch(0.5), |profile| {
+            profile.spill_percent = percent
+        });
         let drain = fault(5.0, |simulation| {
             for server in [0, 4, 8] {
                 simulation.models[server].health = Health::Draining;
@@ -262,7 +267,7 @@
             has_backup,
             faults,
             duration: 75.0,
-            ..abay(0.5)
+            ..abay_dispatch(0.5)
         };
         run_and_print(name, &columns, &plan);
     }
@@ -306,7 +311,7 @@
         ("budget 100 %", 100, 3),
         ("budget 100 %, 6 attempts", 100, 6),
     ] {
-        let plan = with_profile(abay(0.8), |profile| {
+        let plan = with_profile(abay_dispatch(0.8), |profile| {
             profile.retry_budget_percent = budget;
             profile.max_attempts = attempts;
             profile.attempt_timeout_ms = 300;
@@ -331,7 +336,7 @@
         &columns,
     );
     for seconds in [0, 5, 10, 20, 60] {
-        let plan = with_profile(abay(0.6), |profile| profile.slow_start_s = seconds);
+        let plan = with_profile(abay_dispatch(0.6), |profile| profile.slow_start_s = seconds);
         let stop = fault(27.0, |simulation| {
             for server in 0..5 {
                 simulation.models[server].health = Health::Draining;
@@ -372,7 +377,9 @@
         &columns,
     );
     for floor in [0, 20, 50, 80] {
-        let plan = with_profile(abay(0.6), |profile| profile.eject_floor_percent = floor);
+        let plan = with_profile(abay_dispatch(0.6), |profile| {
+            profile.eject_floor_percent = floor
+        });
         let lose = move |loss: f64| {
             move |simulation: &mut Simulation| {
                 for server in 0..12 {
@@ -400,7 +407,7 @@
             ("after 3, floor 50 %", 3, 50),
             ("after 10, floor 50 %", 10, 50),
         ] {
-            let plan = with_profile(abay(0.15), |profile| {
+            let plan = with_profile(abay_dispatch(0.15), |profile| {
                 profile.eject_after = after;
                 profile.eject_floor_percent = floor;
             });
@@ -425,7 +432,7 @@
     );
     for queue in [0, 1, 2, 4, 6, 16, 100] {
         for honours_retry_after in [true, false] {
-            let plan = with_profile(abay(0.7), |profile| {
+            let plan = with_profile(abay_dispatch(0.7), |profile| {
                 profile.queue_per_slot = queue;
                 profile.policy = Policy::LeastLoaded;
             });
@@ -500,13 +507,13 @@
             &columns,
             &Plan {
                 faults,
-                ..abay(0.4)
+                ..abay_dispatch(0.4)
             },
         );
     }
     let idle = Plan {
         faults: vec![silent(15)],
-        ..abay(0.005)
+        ..abay_dispatch(0.005)
     };
     run_and_print("health of all down, 0.5 % load", &columns, &idle);
 }
@@ -522,7 +529,10 @@
 
 fn balance_weight() {
     let columns = concat_columns(&[&FEEDS, &CORRECTNESS]);
-    for (customer, plan) in [("Abay", abay(0.4)), ("Naukluft", naukluft(0.4))] {
+    for (customer, plan) in [
+        ("Abay", abay_dispatch(0.4)),
+        ("Naukluft", naukluft_booking(0.4)),
+    ] {
         let title = format!("{customer}, 40 %, 5 of 15 servers drain at 15 s, restart at 25 s");
         measure::print_header(&title, &columns);
         for weight in [0, 10, 50, 75, 90, 100] {
--- a/examples/policy/simulation.rs
+++ b/examples/policy/simulation.rs
@@ -317,7 +317,7 @@
                 issued_at,
                 caller_retries,
             } => {
-                self.call(caller, kind, issued_at, caller_retries);
+                self.issue_call(caller, kind, issued_at, caller_retries);
             }
             SimulationEvent::Tick => {
                 for instance in 0..self.instances.len() {
--- a/examples/policy/simulation/caller.rs
+++ b/examples/policy/simulation/caller.rs
@@ -39,6 +39,7 @@
     pub(super) caller_retries: u32,
 }
 
+/// The state of a feed at its caller.
 pub(super) struct FeedObserver {
     pub(super) last_notification: f64,
     pub(super) longest_gap: f64,
@@ -57,10 +58,16 @@
             Kind::Idempotent
         };
         let caller = 1_000_000 + self.rng.random_range(0..5_000);
-        self.call(caller, kind, self.now, 0);
+        self.issue_call(caller, kind, self.now, 0);
     }
 
-    pub(super) fn call(&mut self, caller: u64, kind: Kind, issued_at: f64, caller_retries: u32) {
+    pub(super) fn issue_call(
+        &mut self,
+        caller: u64,
+        kind: Kind,
+        issued_at: f64,
+        caller_retries: u32,
+    ) {
         self.next_call += 1;
         let number = self.next_call;
         let call = Call {
--- a/examples/relay.rs
+++ b/examples/relay.rs
@@ -111,7 +111,7 @@
     show("memory of the loaded instance", "MB", |run| run.megabytes);
 }
 
-/// Figures of one run under load.
+/// Results of one run under load.
 #[derive(Clone, Copy, Debug)]
 struct Run {
     requests: f64,
@@ -286,7 +286,7 @@
         sleep(Duration::from_millis(5)).await;
     }
     println!(
-        "{}: revision {revision} is not in force in time",
+        "{}: revision {revision} did not take effect in time",
         daemon.name
     );
 }
--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -70,7 +70,7 @@
             message_sizes();
         }
         Some("fleet") => fleet::run(fleet_slopes()),
-        _ => println!("usage: slopes memory|engine|fleet"),
+        _ => println!("usage: slopes memory|core|fleet"),
     }
 }
 
@@ -119,7 +119,7 @@
     fit::report_fit("feed at its backup", "bytes by feeds", &copies);
     let records = growth(&|engine, count| finish_requests(engine, count));
     fit::report_fit(
-        "settled non-idempotent request at its home",
+        "finished non-idempotent request at its home",
         "bytes by requests",
         &records,
     );
@@ -173,7 +173,7 @@
     }
 }
 
-/// Numbers of services and servers, in the proportion of the largest planned deployment.
+/// Numbers of services and servers, in the proportion that the system is designed for.
 const CONFIG_SIZES: [(usize, usize); 4] =
     [(462, 800), (925, 1_600), (1_850, 3_200), (3_700, 6_400)];
 
--- a/examples/utils/fixture.rs
+++ b/examples/utils/fixture.rs
@@ -66,7 +66,7 @@
     text.parse().expect("a valid id")
 }
 
-/// The instance with a fixed incarnation.
+/// The holder id of an instance, with a fixed incarnation.
 pub(crate) fn holder(instance: &str) -> id::Holder {
     id::Holder {
         instance: parse_id(instance),
@@ -94,8 +94,8 @@
     json!({"revision": revision, "operator": "bench", "write_id": "0123456789abcdef", "body": body})
 }
 
-/// A configuration with the given numbers of services and servers, in which every service has
-/// equally many servers, all of them confirmed.
+/// A configuration with the given numbers of services and confirmed servers. The servers are
+/// assigned to the services in turn.
 pub(crate) fn config(services: usize, servers: usize) -> Config {
     let mut config = Config::default();
     let profile = json!({"slow_start_s": 0, "queue_per_slot": 1_000, "max_per_caller": 100_000,
@@ -187,7 +187,7 @@
 }
 
 impl EngineFixture {
-    /// The engine of instance `a`, with `home` and `backup` as the home and the backup of all slices.
+    /// The engine of instance `a`; `home` and `backup` are the home and the backup of all slices.
     pub(crate) fn new(home: &str, backup: &str, feeds: usize) -> Self {
         let now = Instant::now();
         let mut engine = Engine::new(Settings {
