--- a/tests/history/backend.rs
+++ b/tests/history/backend.rs
@@ -1,5 +1,5 @@
-//! Backend servers: slots, refusals, silence; every start is counted and no copy
-//! is recognised, so that a second sending shows.
+//! Simulated backend servers with slots, refusals and lost answers. They count every
+//! start and do not detect duplicates, so that a request sent twice is noticed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,152 +11,164 @@
 use rand::RngExt;
 
 use crate::fleet::Fleet;
+use crate::fleet::ForwardedRequest;
 use crate::fleet::Input;
-use crate::fleet::Item;
-use crate::fleet::Sending;
+use crate::fleet::Scheduled;
 use crate::lab;
 
 /// How a server behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Mood {
-    Well,
-    /// Refuses everything.
-    Shedding,
-    /// Takes three seconds for each request.
+pub(crate) enum ServerBehavior {
+    /// Answers every request.
+    Normal,
+    /// Refuses every request.
+    Overloaded,
+    /// Needs three seconds for each request.
     Slow,
-    /// Takes requests, starts none, says nothing.
-    Deaf,
-    /// Runs requests, and all its answers are lost.
-    Mute,
-    /// Refuses new work; its feeds go on for a while.
+    /// Receives requests, but starts none and sends no answer.
+    Unresponsive,
+    /// Runs requests, but all its answers are lost.
+    AnswersLost,
+    /// Refuses new requests; its open feeds continue.
     Draining,
 }
 
-/// A registration of a feed.
+/// An open feed at a server.
 #[derive(Clone, Debug)]
-pub(crate) struct Registration {
+pub(crate) struct OpenFeed {
     pub(crate) node: usize,
-    pub(crate) life: u64,
+    pub(crate) incarnation: u64,
     pub(crate) number: u64,
 }
 
-/// One server.
+/// A simulated backend server.
 pub(crate) struct Backend {
     pub(crate) id: id::Server,
     pub(crate) service: &'static str,
     pub(crate) address: id::Endpoint,
-    pub(crate) mood: Mood,
-    pub(crate) busy: u32,
-    pub(crate) feeds: BTreeMap<(usize, id::Attempt), Registration>,
+    pub(crate) behavior: ServerBehavior,
+    pub(crate) running_requests: u32,
+    pub(crate) feeds: BTreeMap<(usize, id::Attempt), OpenFeed>,
 }
 
 const SLOTS: u32 = 2;
-const MOST_WAITING: u32 = 10;
+const MAX_QUEUED: u32 = 10;
 
 impl Backend {
-    /// Whether it refuses new work now.
-    pub(crate) fn refuses(&self) -> bool {
-        matches!(self.mood, Mood::Shedding | Mood::Draining) || self.busy >= SLOTS + MOST_WAITING
+    /// Whether the server refuses_request a new request now.
+    pub(crate) fn refuses_request(&self) -> bool {
+        matches!(
+            self.behavior,
+            ServerBehavior::Overloaded | ServerBehavior::Draining
+        ) || self.running_requests >= SLOTS + MAX_QUEUED
     }
 
-    pub(crate) fn work_time(&self) -> Duration {
-        let own = match self.mood {
-            Mood::Slow => Duration::from_secs(3),
+    pub(crate) fn service_time(&self) -> Duration {
+        let own = match self.behavior {
+            ServerBehavior::Slow => Duration::from_secs(3),
             _ => Duration::from_millis(30),
         };
-        own * (1 + self.busy / SLOTS)
+        own * (1 + self.running_requests / SLOTS)
     }
 }
 
 impl Fleet {
-    /// A request reaches a server.
-    pub(crate) fn serve(&mut self, sending: Sending) {
-        let backend = &mut self.backends[sending.server];
-        let ticket = &mut self.tickets[sending.number as usize];
-        if backend.service != sending.service.as_str()
-            || ticket.flow.service.as_str() != backend.service
+    /// Handles a request that reached a server.
+    pub(crate) fn serve(&mut self, forwarded: ForwardedRequest) {
+        let backend = &mut self.backends[forwarded.server];
+        let tracked = &mut self.tracked_requests[forwarded.number as usize];
+        if backend.service != forwarded.service.as_str()
+            || tracked.flow.service.as_str() != backend.service
         {
-            let text = format!("(d) {} was sent a {} request", backend.id, sending.service);
+            let text = format!(
+                "(d) {} received a request for service {}",
+                backend.id, forwarded.service
+            );
             self.violations.push(text);
         }
-        if backend.mood == Mood::Deaf {
+        if backend.behavior == ServerBehavior::Unresponsive {
             return;
         }
-        if backend.refuses() {
+        if backend.refuses_request() {
             let answer = lab::refusal();
-            self.reply(&sending, answer);
+            self.reply(&forwarded, answer);
             return;
         }
-        ticket.starts += 1;
-        backend.busy += 1;
-        let wait = backend.work_time();
-        self.push(self.now + wait, Item::Finish(sending));
+        tracked.starts += 1;
+        backend.running_requests += 1;
+        let wait = backend.service_time();
+        self.schedule(self.now + wait, Scheduled::Finish(forwarded));
     }
 
-    pub(crate) fn finish(&mut self, sending: &Sending) {
-        let kind = self.tickets[sending.number as usize].kind;
-        let backend = &mut self.backends[sending.server];
-        backend.busy -= 1;
+    pub(crate) fn finish(&mut self, forwarded: &ForwardedRequest) {
+        let kind = self.tracked_requests[forwarded.number as usize].kind;
+        let backend = &mut self.backends[forwarded.server];
+        backend.running_requests -= 1;
         let mut answer = lab::answer("");
-        answer.datagram = self.stamped(sending.number);
+        answer.datagram = self.numbered_datagram(forwarded.number);
         if kind == Kind::OpenFeed {
             answer.keeps_feed_open = true;
-            let registration = Registration {
-                node: sending.node,
-                life: sending.life,
-                number: sending.number,
+            let feed = OpenFeed {
+                node: forwarded.node,
+                incarnation: forwarded.incarnation,
+                number: forwarded.number,
             };
-            let key = (sending.node, sending.attempt);
-            self.backends[sending.server]
-                .feeds
-                .insert(key, registration);
+            let key = (forwarded.node, forwarded.attempt);
+            self.backends[forwarded.server].feeds.insert(key, feed);
         }
-        self.reply(sending, answer);
+        self.reply(forwarded, answer);
     }
 
-    pub(crate) fn stamped(&self, number: u64) -> Bytes {
+    pub(crate) fn numbered_datagram(&self, number: u64) -> Bytes {
         Bytes::copy_from_slice(&number.to_be_bytes())
     }
 
-    pub(crate) fn reply(&mut self, sending: &Sending, answer: Answer) {
-        let mute = self.backends[sending.server].mood == Mood::Mute;
-        if mute || self.is_lost() {
+    pub(crate) fn reply(&mut self, forwarded: &ForwardedRequest, answer: Answer) {
+        let is_answer_lost =
+            self.backends[forwarded.server].behavior == ServerBehavior::AnswersLost;
+        if is_answer_lost || self.is_lost() {
             return;
         }
-        let from = self.backends[sending.server].address;
+        let from = self.backends[forwarded.server].address;
         let at = self.now + self.delay();
-        let input = Input::Answer(from, sending.attempt, answer);
+        let input = Input::Answer(from, forwarded.attempt, answer);
         if self.rng.random_bool(0.02) {
             let later = at + self.delay();
-            let copy = Item::Node(sending.node, sending.life, input.clone());
-            self.push(later, copy);
+            let copy = Scheduled::Node(forwarded.node, forwarded.incarnation, input.clone());
+            self.schedule(later, copy);
         }
-        self.push(at, Item::Node(sending.node, sending.life, input));
+        self.schedule(
+            at,
+            Scheduled::Node(forwarded.node, forwarded.incarnation, input),
+        );
     }
 
-    pub(crate) fn notify(&mut self) {
-        for place in 0..self.backends.len() {
-            let backend = &self.backends[place];
-            if matches!(backend.mood, Mood::Deaf | Mood::Mute) {
+    pub(crate) fn send_notifications(&mut self) {
+        for index in 0..self.backends.len() {
+            let backend = &self.backends[index];
+            if matches!(
+                backend.behavior,
+                ServerBehavior::Unresponsive | ServerBehavior::AnswersLost
+            ) {
                 continue;
             }
-            let feeds: Vec<(id::Attempt, Registration)> = backend
+            let feeds: Vec<(id::Attempt, OpenFeed)> = backend
                 .feeds
                 .iter()
-                .map(|((_, attempt), registration)| (*attempt, registration.clone()))
+                .map(|((_, attempt), feed)| (*attempt, feed.clone()))
                 .collect();
-            for (attempt, registration) in feeds {
+            for (attempt, feed) in feeds {
                 let mut answer = lab::notification("");
-                answer.datagram = self.stamped(registration.number);
-                let sending = Sending {
-                    node: registration.node,
-                    life: registration.life,
-                    server: place,
-                    service: self.backends[place].service.parse().expect("a legal name"),
+                answer.datagram = self.numbered_datagram(feed.number);
+                let forwarded = ForwardedRequest {
+                    node: feed.node,
+                    incarnation: feed.incarnation,
+                    server: index,
+                    service: self.backends[index].service.parse().expect("a legal name"),
                     attempt,
-                    number: registration.number,
+                    number: feed.number,
                 };
-                self.reply(&sending, answer);
+                self.reply(&forwarded, answer);
             }
         }
     }
--- a/tests/history/caller.rs
+++ b/tests/history/caller.rs
@@ -1,4 +1,5 @@
-//! Callers: copies until something is heard, and what they were told.
+//! Simulated callers: they retransmit until an answer or acknowledgement arrives, and
+//! the outcomes they receive are recorded.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,77 +10,80 @@
 use godwitreel::request::Outcome;
 use rand::RngExt;
 
+use crate::fleet::CallerMessage;
 use crate::fleet::Fleet;
 use crate::fleet::Input;
-use crate::fleet::Item;
-use crate::fleet::ToCaller;
+use crate::fleet::Scheduled;
 use crate::fleet::number_of;
 use crate::lab::ms;
 
-/// Waits between the copies of a request.
-pub(crate) const COPY_WAITS: [Duration; 3] = [
+/// Delays between the transmissions of a request.
+pub(crate) const RETRANSMIT_DELAYS: [Duration; 3] = [
     Duration::from_secs(2),
     Duration::from_secs(4),
     Duration::from_secs(8),
 ];
 
-/// Silence after which a caller opens its feed anew, as with Max-Age.
+/// Time without a notification after which a caller registers its feed again, as a
+/// client does when Max-Age has passed.
 pub(crate) const REOPEN_AFTER: Duration = Duration::from_secs(20);
 
-/// One request through its whole life.
-pub(crate) struct Ticket {
+/// A request and everything that happened to it.
+pub(crate) struct TrackedRequest {
     pub(crate) flow: Flow,
     pub(crate) kind: Kind,
-    pub(crate) sent: Duration,
-    pub(crate) copies: usize,
+    pub(crate) sent_at: Duration,
+    pub(crate) transmissions: usize,
     pub(crate) is_acknowledged: bool,
     pub(crate) starts: u32,
-    /// Outcomes that some instance gave, with the time.
-    pub(crate) given: Vec<(Duration, Outcome)>,
-    /// Outcomes that reached the caller.
-    pub(crate) told: Vec<Outcome>,
-    /// When an engine first had it.
-    pub(crate) handled: Option<Duration>,
-    /// Engines that had it.
-    pub(crate) holders: Vec<(usize, u64)>,
-    /// Whether something that carried it was lost, killed or frozen.
-    pub(crate) excused: bool,
+    /// Outcomes that instances sent, with the time.
+    pub(crate) sent_outcomes: Vec<(Duration, Outcome)>,
+    /// Outcomes that the caller received.
+    pub(crate) received_outcomes: Vec<Outcome>,
+    /// Time at which an engine first handled the request.
+    pub(crate) first_handled: Option<Duration>,
+    /// Node and incarnation of each process that handled the request.
+    pub(crate) handled_by: Vec<(usize, u64)>,
+    /// Whether a message with the request was lost, or a process that held it was
+    /// killed or frozen; the request may then end without an outcome.
+    pub(crate) is_fault_affected: bool,
 }
 
-/// The feed that a caller keeps open.
+/// A feed that a caller keeps open.
 #[derive(Clone, Debug)]
-pub(crate) struct Board {
+pub(crate) struct Subscription {
     pub(crate) flow: Flow,
     pub(crate) number: u64,
-    pub(crate) newest: u32,
-    pub(crate) at: Duration,
+    pub(crate) newest_sequence: u32,
+    pub(crate) last_notification: Duration,
     pub(crate) reopened: u32,
-    /// Message numbers seen, with the time: a caller drops what looks like a copy.
-    pub(crate) messages: HashMap<u16, Duration>,
-    /// Longest time without a fresh notification.
-    pub(crate) gap: Duration,
+    /// Message IDs received, with the time: a caller drops message_ids with a known ID as
+    /// duplicates.
+    pub(crate) message_ids: HashMap<u16, Duration>,
+    /// Longest time without a new notification.
+    pub(crate) longest_gap: Duration,
 }
 
-/// How long a message number is remembered (RFC 7252, section 4.8.2).
+/// How long a message ID identifies a duplicate (RFC 7252, section 4.8.2).
 const MESSAGE_LIFETIME: Duration = Duration::from_secs(145);
 
-impl Board {
-    /// Whether a message is a copy by its number.
-    pub(crate) fn is_copy(&mut self, now: Duration, message: u16) -> bool {
-        let seen = self.messages.insert(message, now);
+impl Subscription {
+    /// Whether a message with this ID was received within [`MESSAGE_LIFETIME`].
+    pub(crate) fn is_duplicate(&mut self, now: Duration, message: u16) -> bool {
+        let seen = self.message_ids.insert(message, now);
         seen.is_some_and(|at| now < at + MESSAGE_LIFETIME)
     }
 
-    /// Notes a sign of life.
-    pub(crate) fn refresh(&mut self, now: Duration, sequence: u32) {
-        self.gap = self.gap.max(now - self.at);
-        self.newest = sequence;
-        self.at = now;
+    /// Records a new notification.
+    pub(crate) fn record_notification(&mut self, now: Duration, sequence: u32) {
+        self.longest_gap = self.longest_gap.max(now - self.last_notification);
+        self.newest_sequence = sequence;
+        self.last_notification = now;
     }
 }
 
-/// Whether a notification is newer than the newest seen (RFC 7641, section 3.4).
-pub(crate) fn is_fresh(old: (u32, Duration), new: (u32, Duration)) -> bool {
+/// Whether a notification is newer than the newest_sequence received (RFC 7641, section 3.4).
+pub(crate) fn is_newer(old: (u32, Duration), new: (u32, Duration)) -> bool {
     const HALF: u32 = 1 << 23;
     const LONG: Duration = Duration::from_secs(128);
     let (v1, v2) = (old.0, new.0);
@@ -87,62 +91,62 @@
 }
 
 impl Fleet {
-    /// A caller sends a new request.
-    pub(crate) fn send_new(&mut self, flow: Flow, kind: Kind) -> u64 {
-        let number = self.tickets.len() as u64;
-        self.tickets.push(Ticket {
+    /// Sends a new request from a caller.
+    pub(crate) fn send_request(&mut self, flow: Flow, kind: Kind) -> u64 {
+        let number = self.tracked_requests.len() as u64;
+        self.tracked_requests.push(TrackedRequest {
             flow,
             kind,
-            sent: self.now,
-            copies: 0,
+            sent_at: self.now,
+            transmissions: 0,
             is_acknowledged: false,
             starts: 0,
-            given: Vec::new(),
-            told: Vec::new(),
-            handled: None,
-            holders: Vec::new(),
-            excused: false,
+            sent_outcomes: Vec::new(),
+            received_outcomes: Vec::new(),
+            first_handled: None,
+            handled_by: Vec::new(),
+            is_fault_affected: false,
         });
-        self.copy(number);
+        self.transmit(number);
         number
     }
 
-    pub(crate) fn copy(&mut self, number: u64) {
-        let ticket = &self.tickets[number as usize];
-        if ticket.is_acknowledged || !ticket.told.is_empty() {
+    pub(crate) fn transmit(&mut self, number: u64) {
+        let tracked = &self.tracked_requests[number as usize];
+        if tracked.is_acknowledged || !tracked.received_outcomes.is_empty() {
             return;
         }
-        let copies = ticket.copies;
-        self.tickets[number as usize].copies += 1;
-        if let Some(wait) = COPY_WAITS.get(copies) {
-            self.push(self.now + *wait, Item::Copy(number));
+        let transmissions = tracked.transmissions;
+        self.tracked_requests[number as usize].transmissions += 1;
+        if let Some(wait) = RETRANSMIT_DELAYS.get(transmissions) {
+            self.schedule(self.now + *wait, Scheduled::Retransmit(number));
         }
         if self.is_lost() {
-            self.excuse(number);
+            self.mark_as_affected(number);
             return;
         }
-        self.spray(Input::Request(number, 0));
+        self.send_to_any_node(Input::Request(number, 0));
     }
 
-    /// The fabric gives a packet to any instance.
-    pub(crate) fn spray(&mut self, input: Input) {
-        let place = self.rng.random_range(0..self.nodes.len());
+    /// Sends a packet to a random instance, as the fabric does.
+    pub(crate) fn send_to_any_node(&mut self, input: Input) {
+        let index = self.rng.random_range(0..self.nodes.len());
         let at = self.now + ms(3) + self.delay();
-        self.push(at, Item::Node(place, 0, input));
+        self.schedule(at, Scheduled::Node(index, 0, input));
     }
 
-    pub(crate) fn hear(&mut self, message: ToCaller) {
+    pub(crate) fn receive_at_caller(&mut self, message: CallerMessage) {
         match message {
-            ToCaller::Acknowledge(number) => {
-                self.tickets[number as usize].is_acknowledged = true;
+            CallerMessage::Acknowledge(number) => {
+                self.tracked_requests[number as usize].is_acknowledged = true;
             }
-            ToCaller::Outcome {
+            CallerMessage::Outcome {
                 number,
                 outcome,
                 sequence,
                 separate,
-            } => self.hear_outcome(number, outcome, sequence, separate),
-            ToCaller::Notify {
+            } => self.receive_outcome(number, outcome, sequence, separate),
+            CallerMessage::Notify {
                 flow,
                 token,
                 message,
@@ -151,39 +155,50 @@
                 datagram,
             } => {
                 if confirmable {
-                    self.spray(Input::Receipt(flow.clone(), message, 0));
+                    self.send_to_any_node(Input::Receipt(flow.clone(), message, 0));
                 }
-                let board = self.boards.iter_mut().find(|board| board.number == token);
-                if board.is_none_or(|board| !board.is_copy(self.now, message)) {
-                    self.hear_notification(&flow, token, sequence, datagram);
+                let subscription = self
+                    .subscriptions
+                    .iter_mut()
+                    .find(|subscription| subscription.number == token);
+                if subscription
+                    .is_none_or(|subscription| !subscription.is_duplicate(self.now, message))
+                {
+                    self.receive_notification(&flow, token, sequence, datagram);
                 }
             }
         }
     }
 
-    pub(crate) fn hear_outcome(
+    pub(crate) fn receive_outcome(
         &mut self,
         number: u64,
         outcome: Outcome,
         sequence: Option<u32>,
         separate: Option<u16>,
     ) {
-        let ticket = &mut self.tickets[number as usize];
-        let flow = ticket.flow.clone();
-        ticket.told.push(outcome);
-        let (now, is_open) = (self.now, ticket.kind == Kind::OpenFeed);
+        let tracked = &mut self.tracked_requests[number as usize];
+        let flow = tracked.flow.clone();
+        tracked.received_outcomes.push(outcome);
+        let (now, is_open) = (self.now, tracked.kind == Kind::OpenFeed);
         if let Some(message) = separate {
-            self.spray(Input::Receipt(flow, message, 0));
+            self.send_to_any_node(Input::Receipt(flow, message, 0));
         }
-        let board = self.boards.iter_mut().find(|board| board.number == number);
-        if let (Some(board), true, Some(sequence)) = (board, is_open, sequence)
-            && is_fresh((board.newest, board.at), (sequence, now))
+        let subscription = self
+            .subscriptions
+            .iter_mut()
+            .find(|subscription| subscription.number == number);
+        if let (Some(subscription), true, Some(sequence)) = (subscription, is_open, sequence)
+            && is_newer(
+                (subscription.newest_sequence, subscription.last_notification),
+                (sequence, now),
+            )
         {
-            board.refresh(now, sequence);
+            subscription.record_notification(now, sequence);
         }
     }
 
-    pub(crate) fn hear_notification(
+    pub(crate) fn receive_notification(
         &mut self,
         flow: &Flow,
         token: u64,
@@ -194,55 +209,62 @@
         if let Some(datagram) = &datagram
             && number_of(datagram) != token
         {
-            let text = format!("(c) feed {token} was given another's notification");
+            let text = format!("(c) feed {token} received the notification of another feed");
             self.violations.push(text);
         }
-        let board = self.boards.iter().position(|board| board.number == token);
-        let Some(place) = board else {
+        let subscription = self
+            .subscriptions
+            .iter()
+            .position(|subscription| subscription.number == token);
+        let Some(index) = subscription else {
             return;
         };
-        let board = &mut self.boards[place];
-        if board.flow != *flow {
-            self.violations
-                .push(format!("(c) feed {token}: wrong caller"));
+        let subscription = &mut self.subscriptions[index];
+        if subscription.flow != *flow {
+            self.violations.push(format!(
+                "(c) the notification for feed {token} went to another caller"
+            ));
             return;
         }
         if datagram.is_none() {
-            self.reopen(place);
-        } else if is_fresh((board.newest, board.at), (sequence, now)) {
-            board.refresh(now, sequence);
-            self.figures.notifications += 1;
+            self.reopen(index);
+        } else if is_newer(
+            (subscription.newest_sequence, subscription.last_notification),
+            (sequence, now),
+        ) {
+            subscription.record_notification(now, sequence);
+            self.counts.notifications += 1;
         }
     }
 
-    /// A caller opens a feed and keeps it open from now on.
-    pub(crate) fn open_board(&mut self, flow: Flow) {
-        let number = self.send_new(flow.clone(), Kind::OpenFeed);
-        self.boards.push(Board {
+    /// Opens a feed that the caller keeps open until the end of the run.
+    pub(crate) fn open_subscription(&mut self, flow: Flow) {
+        let number = self.send_request(flow.clone(), Kind::OpenFeed);
+        self.subscriptions.push(Subscription {
             flow,
             number,
-            newest: 0,
-            at: self.now,
+            newest_sequence: 0,
+            last_notification: self.now,
             reopened: 0,
-            messages: HashMap::new(),
-            gap: Duration::ZERO,
+            message_ids: HashMap::new(),
+            longest_gap: Duration::ZERO,
         });
     }
 
-    pub(crate) fn reopen(&mut self, place: usize) {
-        let flow = self.boards[place].flow.clone();
-        let number = self.send_new(flow, Kind::OpenFeed);
-        let board = &mut self.boards[place];
-        board.number = number;
-        board.newest = 0;
-        board.at = self.now;
-        board.reopened += 1;
+    pub(crate) fn reopen(&mut self, index: usize) {
+        let flow = self.subscriptions[index].flow.clone();
+        let number = self.send_request(flow, Kind::OpenFeed);
+        let subscription = &mut self.subscriptions[index];
+        subscription.number = number;
+        subscription.newest_sequence = 0;
+        subscription.last_notification = self.now;
+        subscription.reopened += 1;
     }
 
-    pub(crate) fn watch_boards(&mut self) {
-        for place in 0..self.boards.len() {
-            if self.now >= self.boards[place].at + REOPEN_AFTER {
-                self.reopen(place);
+    pub(crate) fn reopen_silent_subscriptions(&mut self) {
+        for index in 0..self.subscriptions.len() {
+            if self.now >= self.subscriptions[index].last_notification + REOPEN_AFTER {
+                self.reopen(index);
             }
         }
     }
--- a/tests/history/faults.rs
+++ b/tests/history/faults.rs
@@ -1,4 +1,4 @@
-//! Faults at random times, and their undoing.
+//! Injects faults at random times and undoes them.
 
 use std::time::Duration;
 
@@ -6,56 +6,56 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use crate::backend::Mood;
+use crate::backend::ServerBehavior;
 use crate::fleet::Fleet;
 use crate::lab::ms;
 use crate::lab::secs;
 
-/// Something to undo.
-enum Undo {
-    Cut(usize, usize),
-    Platform,
-    Answers,
-    Slowness,
-    Link(usize),
-    Mood(usize),
-    Loss,
+/// A fault to undo.
+enum UndoFault {
+    BlockedLink(usize, usize),
+    PlatformOutage,
+    LostAnswers,
+    SlowPlatform,
+    PlatformLink(usize),
+    ServerBehavior(usize),
+    MessageLoss,
 }
 
-/// The generator of faults.
+/// Generates random faults from a seed.
 pub(crate) struct Faults {
     rng: SmallRng,
-    next: Duration,
-    undo: Vec<(Duration, Undo)>,
+    next_fault: Duration,
+    pending_undo: Vec<(Duration, UndoFault)>,
 }
 
 impl Faults {
     pub(crate) fn new(seed: u64) -> Self {
         Self {
             rng: SmallRng::seed_from_u64(seed ^ 0xfa17),
-            next: secs(10),
-            undo: Vec::new(),
+            next_fault: secs(10),
+            pending_undo: Vec::new(),
         }
     }
 
-    pub(crate) fn step(&mut self, fleet: &mut Fleet) {
+    pub(crate) fn advance(&mut self, fleet: &mut Fleet) {
         self.undo_due(fleet, fleet.now);
-        if fleet.now < self.next {
+        if fleet.now < self.next_fault {
             return;
         }
-        self.next = fleet.now + ms(self.rng.random_range(300..4_000));
-        self.strike(fleet);
+        self.next_fault = fleet.now + ms(self.rng.random_range(300..4_000));
+        self.inject_fault(fleet);
     }
 
-    /// Undoes everything.
-    pub(crate) fn heal(&mut self, fleet: &mut Fleet) {
+    /// Undoes all faults.
+    pub(crate) fn undo_all(&mut self, fleet: &mut Fleet) {
         self.undo_due(fleet, Duration::MAX);
-        fleet.cuts.clear();
-        fleet.loss = 0.0;
+        fleet.blocked_links.clear();
+        fleet.loss_rate = 0.0;
         let now = fleet.now;
         for node in &mut fleet.nodes {
             node.frozen_until = node.frozen_until.min(now);
-            node.is_linked = true;
+            node.is_platform_reachable = true;
             if !node.is_up && node.restart_at.is_none() {
                 node.restart_at = Some(now);
             }
@@ -63,31 +63,31 @@
     }
 
     fn undo_due(&mut self, fleet: &mut Fleet, now: Duration) {
-        let undo = std::mem::take(&mut self.undo);
-        for (at, what) in undo {
+        let pending = std::mem::take(&mut self.pending_undo);
+        for (at, fault) in pending {
             if at > now {
-                self.undo.push((at, what));
+                self.pending_undo.push((at, fault));
                 continue;
             }
-            match what {
-                Undo::Cut(a, b) => {
-                    fleet.cuts.remove(&(a, b));
+            match fault {
+                UndoFault::BlockedLink(a, b) => {
+                    fleet.blocked_links.remove(&(a, b));
                 }
-                Undo::Platform => fleet.platform.is_down = false,
-                Undo::Answers => fleet.platform.loses_answers = false,
-                Undo::Slowness => fleet.platform.is_slow = false,
-                Undo::Link(node) => fleet.nodes[node].is_linked = true,
-                Undo::Mood(server) => fleet.drain(server, false),
-                Undo::Loss => fleet.loss = 0.005,
+                UndoFault::PlatformOutage => fleet.platform.is_down = false,
+                UndoFault::LostAnswers => fleet.platform.loses_answers = false,
+                UndoFault::SlowPlatform => fleet.platform.is_slow = false,
+                UndoFault::PlatformLink(node) => fleet.nodes[node].is_platform_reachable = true,
+                UndoFault::ServerBehavior(server) => fleet.drain(server, false),
+                UndoFault::MessageLoss => fleet.loss_rate = 0.005,
             }
         }
     }
 
-    fn later(&mut self, fleet: &Fleet, least: u64, most: u64) -> Duration {
-        fleet.now + ms(self.rng.random_range(least..most))
+    fn random_time(&mut self, fleet: &Fleet, min_ms: u64, max_ms: u64) -> Duration {
+        fleet.now + ms(self.rng.random_range(min_ms..max_ms))
     }
 
-    fn strike(&mut self, fleet: &mut Fleet) {
+    fn inject_fault(&mut self, fleet: &mut Fleet) {
         let count = fleet.nodes.len();
         let node = self.rng.random_range(0..count);
         let other = (node + self.rng.random_range(1..count)) % count;
@@ -99,39 +99,39 @@
             6 => self.partition(fleet),
             7 => {
                 fleet.platform.is_down = true;
-                let at = self.later(fleet, 1_000, 25_000);
-                self.undo.push((at, Undo::Platform));
+                let at = self.random_time(fleet, 1_000, 25_000);
+                self.pending_undo.push((at, UndoFault::PlatformOutage));
             }
             8 => {
                 fleet.platform.loses_answers = true;
-                let at = self.later(fleet, 1_000, 10_000);
-                self.undo.push((at, Undo::Answers));
+                let at = self.random_time(fleet, 1_000, 10_000);
+                self.pending_undo.push((at, UndoFault::LostAnswers));
             }
             9 => {
                 fleet.platform.is_slow = true;
-                let at = self.later(fleet, 1_000, 10_000);
-                self.undo.push((at, Undo::Slowness));
+                let at = self.random_time(fleet, 1_000, 10_000);
+                self.pending_undo.push((at, UndoFault::SlowPlatform));
             }
             10 => {
-                fleet.nodes[node].is_linked = false;
-                let at = self.later(fleet, 1_000, 30_000);
-                self.undo.push((at, Undo::Link(node)));
+                fleet.nodes[node].is_platform_reachable = false;
+                let at = self.random_time(fleet, 1_000, 30_000);
+                self.pending_undo.push((at, UndoFault::PlatformLink(node)));
             }
             11 => self.leave(fleet, node),
-            _ => self.trouble_server(fleet),
+            _ => self.degrade_server(fleet),
         }
         if self.rng.random_bool(0.1) {
-            fleet.loss = 0.1;
-            let at = self.later(fleet, 500, 4_000);
-            self.undo.push((at, Undo::Loss));
+            fleet.loss_rate = 0.1;
+            let at = self.random_time(fleet, 500, 4_000);
+            self.pending_undo.push((at, UndoFault::MessageLoss));
         }
     }
 
     fn kill(&mut self, fleet: &mut Fleet, node: usize) {
         if fleet.nodes[node].is_up {
-            fleet.stop(node);
-            fleet.figures.kills += 1;
-            fleet.nodes[node].restart_at = Some(self.later(fleet, 200, 15_000));
+            fleet.kill_node(node);
+            fleet.counts.kills += 1;
+            fleet.nodes[node].restart_at = Some(self.random_time(fleet, 200, 15_000));
         }
     }
 
@@ -144,37 +144,38 @@
             1 | 2 => self.rng.random_range(3_000..9_000),
             _ => self.rng.random_range(9_000..40_000),
         };
-        fleet.figures.freezes += 1;
-        fleet.freeze(node, ms(length));
+        fleet.counts.freezes += 1;
+        fleet.freeze_node(node, ms(length));
     }
 
     fn cut(&mut self, fleet: &mut Fleet, here: &[usize], there: &[usize], both: bool) {
-        let at = self.later(fleet, 1_000, 15_000);
+        let at = self.random_time(fleet, 1_000, 15_000);
         for a in here {
             for b in there {
-                fleet.cuts.insert((*a, *b));
-                self.undo.push((at, Undo::Cut(*a, *b)));
+                fleet.blocked_links.insert((*a, *b));
+                self.pending_undo.push((at, UndoFault::BlockedLink(*a, *b)));
                 if both {
-                    fleet.cuts.insert((*b, *a));
-                    self.undo.push((at, Undo::Cut(*b, *a)));
+                    fleet.blocked_links.insert((*b, *a));
+                    self.pending_undo.push((at, UndoFault::BlockedLink(*b, *a)));
                 }
             }
         }
     }
 
-    /// Cuts one availability zone off, half of the time from the platform too.
+    /// Cuts one availability zone off from the others, with probability 0.5 from the
+    /// platform too.
     fn partition(&mut self, fleet: &mut Fleet) {
         let zone = fleet.nodes[self.rng.random_range(0..fleet.nodes.len())]
             .zone
             .clone();
-        let inside = |place: &usize| fleet.nodes[*place].zone == zone;
-        let places = 0..fleet.nodes.len();
-        let (here, there): (Vec<usize>, Vec<usize>) = places.partition(inside);
+        let inside = |index: &usize| fleet.nodes[*index].zone == zone;
+        let indices = 0..fleet.nodes.len();
+        let (here, there): (Vec<usize>, Vec<usize>) = indices.partition(inside);
         if self.rng.random_bool(0.5) {
-            let at = self.later(fleet, 2_000, 25_000);
+            let at = self.random_time(fleet, 2_000, 25_000);
             for node in &here {
-                fleet.nodes[*node].is_linked = false;
-                self.undo.push((at, Undo::Link(*node)));
+                fleet.nodes[*node].is_platform_reachable = false;
+                self.pending_undo.push((at, UndoFault::PlatformLink(*node)));
             }
         }
         self.cut(fleet, &here, &there, true);
@@ -188,21 +189,22 @@
         }
     }
 
-    fn trouble_server(&mut self, fleet: &mut Fleet) {
-        let moods = [
-            Mood::Shedding,
-            Mood::Slow,
-            Mood::Deaf,
-            Mood::Mute,
-            Mood::Draining,
+    fn degrade_server(&mut self, fleet: &mut Fleet) {
+        let behaviors = [
+            ServerBehavior::Overloaded,
+            ServerBehavior::Slow,
+            ServerBehavior::Unresponsive,
+            ServerBehavior::AnswersLost,
+            ServerBehavior::Draining,
         ];
         let server = self.rng.random_range(0..fleet.backends.len());
-        fleet.backends[server].mood = moods[self.rng.random_range(0..moods.len())];
+        fleet.backends[server].behavior = behaviors[self.rng.random_range(0..behaviors.len())];
         if self.rng.random_bool(0.3) {
-            // A restart: its registrations are gone, and nobody is told.
+            // The server restarts: it loses its feeds and notifies nobody.
             fleet.backends[server].feeds.clear();
         }
-        let at = self.later(fleet, 1_000, 15_000);
-        self.undo.push((at, Undo::Mood(server)));
+        let at = self.random_time(fleet, 1_000, 15_000);
+        self.pending_undo
+            .push((at, UndoFault::ServerBehavior(server)));
     }
 }
--- a/tests/history/fleet.rs
+++ b/tests/history/fleet.rs
@@ -1,5 +1,6 @@
-//! A small fleet in one thread: engines and controls joined by queues whose
-//! messages a seeded generator loses, delays, doubles and reorders.
+//! Simulates a small fleet in one thread: engines and slice planners exchange messages
+//! through a queue, where a seeded generator drops, delays, duplicates and reorders
+//! them.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -44,9 +45,9 @@
 use tokio::time::Instant;
 
 use crate::backend::Backend;
-use crate::backend::Mood;
-use crate::caller::Board;
-use crate::caller::Ticket;
+use crate::backend::ServerBehavior;
+use crate::caller::Subscription;
+use crate::caller::TrackedRequest;
 use crate::lab;
 use crate::lab::ms;
 use crate::lab::secs;
@@ -56,15 +57,15 @@
 pub(crate) const SERVICES: [&str; 2] = ["dispatch", "ledger"];
 pub(crate) const PARK_TIME: Duration = Duration::from_secs(5);
 const ZONES: [&str; 3] = ["bole", "kality", "merkato"];
-const TICK: Duration = Duration::from_millis(50);
-const BEAT: Duration = Duration::from_secs(1);
-pub(crate) const PROBE: Duration = Duration::from_secs(2);
-const LEAVE_WITHIN: Duration = Duration::from_secs(30);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+pub(crate) const POLL_INTERVAL: Duration = Duration::from_secs(2);
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Marks datagrams that stand for receipts.
+/// First byte of datagrams that represent acknowledgements of callers.
 const RECEIPT: u8 = 1;
 
-/// What a node is handed.
+/// Input of a node.
 #[derive(Clone, Debug)]
 pub(crate) enum Input {
     Request(u64, u32),
@@ -72,28 +73,28 @@
     Answer(id::Endpoint, id::Attempt, Answer),
     Peer(id::Holder, peer::PeerMessage),
     Listing(Vec<Entry>, Duration),
-    Silent,
-    Change(Entry),
-    Removed(String),
-    Written(u32, WriteResult),
+    StoreUnreachable,
+    EntryChanged(Entry),
+    EntryRemoved(String),
+    WriteFinished(u32, WriteResult),
 }
 
-/// A write of the slice table on its way.
+/// A write of the slice table that has not reached the platform yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Write {
     pub(crate) node: usize,
-    pub(crate) life: u64,
+    pub(crate) incarnation: u64,
     pub(crate) document: u32,
     pub(crate) expected: Option<u64>,
     pub(crate) value: Bytes,
-    pub(crate) is_told: bool,
+    pub(crate) expects_result: bool,
 }
 
-/// A request on its way to a server.
+/// A request that was forwarded to a server.
 #[derive(Clone, Debug)]
-pub(crate) struct Sending {
+pub(crate) struct ForwardedRequest {
     pub(crate) node: usize,
-    pub(crate) life: u64,
+    pub(crate) incarnation: u64,
     pub(crate) server: usize,
     pub(crate) service: id::Service,
     pub(crate) attempt: id::Attempt,
@@ -101,7 +102,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub(crate) enum ToCaller {
+pub(crate) enum CallerMessage {
     Outcome {
         number: u64,
         outcome: Outcome,
@@ -120,17 +121,17 @@
 }
 
 #[derive(Clone, Debug)]
-pub(crate) enum Item {
+pub(crate) enum Scheduled {
     Node(usize, u64, Input),
-    Server(Sending),
-    Finish(Sending),
+    Server(ForwardedRequest),
+    Finish(ForwardedRequest),
     Reject(usize, usize, id::Attempt),
-    Caller(ToCaller),
-    Copy(u64),
+    Caller(CallerMessage),
+    Retransmit(u64),
     Write(Write),
 }
 
-/// One entry instance.
+/// A simulated entry instance.
 pub(crate) struct Node {
     pub(crate) holder: id::Holder,
     pub(crate) zone: id::Zone,
@@ -140,27 +141,27 @@
     pub(crate) is_up: bool,
     pub(crate) frozen_until: Duration,
     pub(crate) leaving_since: Option<Duration>,
-    pub(crate) is_linked: bool,
+    pub(crate) is_platform_reachable: bool,
     pub(crate) restart_at: Option<Duration>,
     pub(crate) inbox: VecDeque<Input>,
-    pub(crate) known: BTreeMap<String, Entry>,
+    pub(crate) known_entries: BTreeMap<String, Entry>,
     pub(crate) epochs: HashMap<id::Slice, id::Epoch>,
     pub(crate) table: Arc<table::Table>,
-    pub(crate) next_beat: Duration,
-    pub(crate) next_probe: Duration,
+    pub(crate) next_heartbeat: Duration,
+    pub(crate) next_poll: Duration,
     pub(crate) next_renewal: Duration,
     pub(crate) is_withdrawn: bool,
 }
 
-/// Figures of one run.
+/// Counts of one run.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Figures {
+pub(crate) struct Counts {
     pub(crate) requests: u64,
-    pub(crate) once: u64,
+    pub(crate) non_idempotent: u64,
     pub(crate) answered: u64,
     pub(crate) not_run: u64,
     pub(crate) unknown: u64,
-    pub(crate) untold: u64,
+    pub(crate) without_outcome: u64,
     pub(crate) notifications: u64,
     pub(crate) feeds: u64,
     pub(crate) reopened: u64,
@@ -169,33 +170,34 @@
     pub(crate) reasons: BTreeMap<Reason, u64>,
 }
 
-/// The fleet and the world around it.
+/// The simulated fleet with its callers, servers and platform.
 pub(crate) struct Fleet {
     pub(crate) now: Duration,
-    pub(crate) base: Instant,
+    pub(crate) start: Instant,
     pub(crate) rng: SmallRng,
     pub(crate) nodes: Vec<Node>,
     pub(crate) platform: Platform,
     pub(crate) backends: Vec<Backend>,
-    pub(crate) tickets: Vec<Ticket>,
-    pub(crate) boards: Vec<Board>,
-    pub(crate) cuts: HashSet<(usize, usize)>,
-    pub(crate) loss: f64,
-    pub(crate) worst_delay: u64,
+    pub(crate) tracked_requests: Vec<TrackedRequest>,
+    pub(crate) subscriptions: Vec<Subscription>,
+    pub(crate) blocked_links: HashSet<(usize, usize)>,
+    pub(crate) loss_rate: f64,
+    pub(crate) max_delay_ms: u64,
     pub(crate) profile: Profile,
     pub(crate) violations: Vec<String>,
-    pub(crate) figures: Figures,
+    pub(crate) counts: Counts,
     pub(crate) workers: u8,
-    pub(crate) lives: u64,
+    pub(crate) started_nodes: u64,
     pub(crate) queue: BinaryHeap<Reverse<(Duration, u64)>>,
-    pub(crate) items: HashMap<u64, Item>,
-    pub(crate) next_item: u64,
+    pub(crate) scheduled: HashMap<u64, Scheduled>,
+    pub(crate) next_id: u64,
     pub(crate) next_tick: Duration,
     pub(crate) next_notification: Duration,
-    pub(crate) rows: HashMap<(id::Slice, id::Epoch), Row>,
+    pub(crate) first_rows: HashMap<(id::Slice, id::Epoch), Row>,
 }
 
-/// Timings short enough for a run of two minutes; their order is the real one.
+/// Returns a profile whose times are short enough for a run of two minutes; by length
+/// they have the same order as in production.
 pub(crate) fn profile() -> Profile {
     Profile {
         deadline_ms: 6_000,
@@ -211,31 +213,31 @@
     pub(crate) fn new(seed: u64, count: usize, workers: u8) -> Self {
         let mut fleet = Self {
             now: Duration::ZERO,
-            base: Instant::now(),
+            start: Instant::now(),
             rng: SmallRng::seed_from_u64(seed),
             nodes: Vec::new(),
             platform: Platform::default(),
             backends: Vec::new(),
-            tickets: Vec::new(),
-            boards: Vec::new(),
-            cuts: HashSet::new(),
-            loss: 0.005,
-            worst_delay: 20,
+            tracked_requests: Vec::new(),
+            subscriptions: Vec::new(),
+            blocked_links: HashSet::new(),
+            loss_rate: 0.005,
+            max_delay_ms: 20,
             profile: profile(),
             violations: Vec::new(),
-            figures: Figures::default(),
+            counts: Counts::default(),
             workers,
-            lives: 0,
+            started_nodes: 0,
             queue: BinaryHeap::new(),
-            items: HashMap::new(),
-            next_item: 0,
+            scheduled: HashMap::new(),
+            next_id: 0,
             next_tick: Duration::ZERO,
             next_notification: Duration::ZERO,
-            rows: HashMap::new(),
+            first_rows: HashMap::new(),
         };
         fleet.add_backends();
-        for place in 0..count {
-            let node = fleet.node(place);
+        for index in 0..count {
+            let node = fleet.node(index);
             fleet.nodes.push(node);
         }
         fleet
@@ -249,8 +251,8 @@
                     id: format!("{service}-{number}").parse().expect("a legal name"),
                     service,
                     address: lab::endpoint(2, port),
-                    mood: Mood::Well,
-                    busy: 0,
+                    behavior: ServerBehavior::Normal,
+                    running_requests: 0,
                     feeds: BTreeMap::new(),
                 });
             }
@@ -258,15 +260,15 @@
     }
 
     pub(crate) fn at(&self, offset: Duration) -> Instant {
-        self.base + offset
+        self.start + offset
     }
 
-    pub(crate) fn node(&mut self, place: usize) -> Node {
-        self.lives += 1;
-        // As in the daemon, a life is numbered by its start in microseconds.
-        let life = self.now.as_micros() as u64 + 1_000 + self.lives;
-        let holder = lab::holder(&format!("e{place}"), life);
-        let zone: id::Zone = ZONES[place % ZONES.len()].parse().expect("a legal name");
+    pub(crate) fn node(&mut self, index: usize) -> Node {
+        self.started_nodes += 1;
+        // As in the daemon, the incarnation is the start time in microseconds.
+        let incarnation = self.now.as_micros() as u64 + 1_000 + self.started_nodes;
+        let holder = lab::holder(&format!("e{index}"), incarnation);
+        let zone: id::Zone = ZONES[index % ZONES.len()].parse().expect("a legal name");
         let now = self.at(self.now);
         let servers: Vec<Arc<Server>> = self
             .backends
@@ -275,7 +277,7 @@
             .map(|(n, b)| lab::server(now, b.id.as_str(), b.service, 1_000 + n as u16))
             .collect();
         for (server, backend) in servers.iter().zip(&self.backends) {
-            server.state().draining = backend.mood == Mood::Draining;
+            server.state().draining = backend.behavior == ServerBehavior::Draining;
         }
         let snapshot = self.snapshot(&servers);
         let workers = self.workers;
@@ -291,7 +293,7 @@
         let settings = control::Settings {
             me: holder.clone(),
             zone: zone.clone(),
-            address: lab::endpoint(4, place as u16),
+            address: lab::endpoint(4, index as u16),
             slices: SLICE_COUNT,
             suspect_after: secs(3),
             isolation_limit: secs(15),
@@ -306,14 +308,14 @@
             is_up: true,
             frozen_until: Duration::ZERO,
             leaving_since: None,
-            is_linked: true,
+            is_platform_reachable: true,
             restart_at: None,
             inbox: VecDeque::new(),
-            known: BTreeMap::new(),
+            known_entries: BTreeMap::new(),
             epochs: HashMap::new(),
             table: Arc::new(table::Table::new(SLICE_COUNT)),
-            next_beat: self.now,
-            next_probe: self.now,
+            next_heartbeat: self.now,
+            next_poll: self.now,
             next_renewal: self.now,
             is_withdrawn: false,
         }
@@ -332,28 +334,28 @@
         lab::snapshot(services.collect())
     }
 
-    pub(crate) fn push(&mut self, at: Duration, item: Item) {
-        self.next_item += 1;
-        self.queue.push(Reverse((at, self.next_item)));
-        self.items.insert(self.next_item, item);
+    pub(crate) fn schedule(&mut self, at: Duration, item: Scheduled) {
+        self.next_id += 1;
+        self.queue.push(Reverse((at, self.next_id)));
+        self.scheduled.insert(self.next_id, item);
     }
 
     pub(crate) fn delay(&mut self) -> Duration {
-        // Most are quick, some are late enough to be overtaken by a takeover.
+        // A few messages are delayed so long that a takeover happens before they arrive.
         let most = if self.rng.random_bool(0.02) {
-            self.worst_delay * 20
+            self.max_delay_ms * 20
         } else {
-            self.worst_delay
+            self.max_delay_ms
         };
         ms(1 + self.rng.random_range(0..most))
     }
 
     pub(crate) fn is_lost(&mut self) -> bool {
-        let loss = self.loss;
+        let loss = self.loss_rate;
         self.rng.random_bool(loss)
     }
 
-    /// Runs until a time.
+    /// Runs the simulation until the given time.
     pub(crate) fn run_until(&mut self, until: Duration) {
         while self.now < until {
             let due = self.queue.peek().map(|Reverse((at, _))| *at);
@@ -367,67 +369,69 @@
                 let Some(Reverse((_, number))) = self.queue.pop() else {
                     continue;
                 };
-                let item = self.items.remove(&number).expect("pushed before");
-                self.take(item);
+                let item = self.scheduled.remove(&number).expect("scheduled event");
+                self.run_scheduled(item);
             } else {
-                self.next_tick += TICK;
+                self.next_tick += TICK_INTERVAL;
                 self.tick();
             }
         }
     }
 
-    pub(crate) fn take(&mut self, item: Item) {
+    pub(crate) fn run_scheduled(&mut self, item: Scheduled) {
         match item {
-            Item::Node(place, life, input) => self.arrive(place, life, input),
-            Item::Server(sending) => self.serve(sending),
-            Item::Finish(sending) => self.finish(&sending),
-            Item::Reject(server, node, attempt) => {
+            Scheduled::Node(index, incarnation, input) => {
+                self.deliver_input(index, incarnation, input)
+            }
+            Scheduled::Server(forwarded) => self.serve(forwarded),
+            Scheduled::Finish(forwarded) => self.finish(&forwarded),
+            Scheduled::Reject(server, node, attempt) => {
                 self.backends[server].feeds.remove(&(node, attempt));
             }
-            Item::Caller(message) => self.hear(message),
-            Item::Copy(number) => self.copy(number),
-            Item::Write(write) => self.store(write),
+            Scheduled::Caller(message) => self.receive_at_caller(message),
+            Scheduled::Retransmit(number) => self.transmit(number),
+            Scheduled::Write(write) => self.process_write(write),
         }
     }
 
-    pub(crate) fn arrive(&mut self, place: usize, life: u64, input: Input) {
-        let node = &self.nodes[place];
-        let same = life == 0 || node.holder.incarnation.0 == life;
-        if !node.is_up || !same {
-            self.drop_input(&input);
+    pub(crate) fn deliver_input(&mut self, index: usize, incarnation: u64, input: Input) {
+        let node = &self.nodes[index];
+        let is_current = incarnation == 0 || node.holder.incarnation.0 == incarnation;
+        if !node.is_up || !is_current {
+            self.record_dropped_input(&input);
             return;
         }
         if self.now < node.frozen_until || !node.inbox.is_empty() {
-            self.drop_input(&input);
-            self.nodes[place].inbox.push_back(input);
+            self.record_dropped_input(&input);
+            self.nodes[index].inbox.push_back(input);
             return;
         }
-        self.handle(place, input);
+        self.handle(index, input);
     }
 
-    pub(crate) fn drop_input(&mut self, input: &Input) {
+    pub(crate) fn record_dropped_input(&mut self, input: &Input) {
         match input {
-            Input::Request(number, _) => self.excuse(*number),
-            Input::Peer(_, peer::PeerMessage::Relay(relay)) => self.drop_relay(relay),
+            Input::Request(number, _) => self.mark_as_affected(*number),
+            Input::Peer(_, peer::PeerMessage::Relay(relay)) => self.record_dropped_relay(relay),
             _ => {}
         }
     }
 
-    pub(crate) fn drop_relay(&mut self, relay: &peer::Relay) {
+    pub(crate) fn record_dropped_relay(&mut self, relay: &peer::Relay) {
         if relay.datagram.len() == 8 {
-            self.excuse(number_of(&relay.datagram));
+            self.mark_as_affected(number_of(&relay.datagram));
         }
     }
 
-    pub(crate) fn excuse(&mut self, number: u64) {
-        self.tickets[number as usize].excused = true;
+    pub(crate) fn mark_as_affected(&mut self, number: u64) {
+        self.tracked_requests[number as usize].is_fault_affected = true;
     }
 
-    /// Handles one input at a node that is awake.
-    pub(crate) fn handle(&mut self, place: usize, input: Input) {
+    /// Handles an input at a node that is up and not frozen.
+    pub(crate) fn handle(&mut self, index: usize, input: Input) {
         let now = self.at(self.now);
         match input {
-            Input::Request(number, hops) => self.handle_request(place, number, hops, None),
+            Input::Request(number, hops) => self.handle_request(index, number, hops, None),
             Input::Receipt(flow, message, hops) => {
                 let datagram = receipt_datagram(message);
                 let slice = table::slice(SLICE_COUNT, lab::HASH_KEY, &flow);
@@ -438,7 +442,7 @@
                     hops,
                     datagram,
                 };
-                self.give(place, slice, event);
+                self.handle_at_engine(index, slice, event);
             }
             Input::Answer(from, attempt, answer) => {
                 let worker = (attempt.0 >> ATTEMPT_BITS) as usize;
@@ -447,40 +451,40 @@
                     attempt,
                     answer,
                 };
-                let actions = self.nodes[place].engines[worker].handle(now, event);
-                self.act(place, actions);
+                let actions = self.nodes[index].engines[worker].handle(now, event);
+                self.carry_out_actions(index, actions);
             }
-            Input::Peer(from, body) => self.handle_peer(place, from, body),
-            Input::Listing(entries, at) => self.handle_listing(place, entries, at),
-            Input::Silent => self.nodes[place].control.lose_contact(),
-            Input::Change(entry) => self.learn(place, entry),
-            Input::Removed(key) => {
-                let node = &mut self.nodes[place];
-                node.known.remove(&key);
+            Input::Peer(from, body) => self.handle_peer(index, from, body),
+            Input::Listing(entries, at) => self.handle_listing(index, entries, at),
+            Input::StoreUnreachable => self.nodes[index].control.lose_contact(),
+            Input::EntryChanged(entry) => self.apply_entry(index, entry),
+            Input::EntryRemoved(key) => {
+                let node = &mut self.nodes[index];
+                node.known_entries.remove(&key);
                 node.control.remove(&key);
             }
-            Input::Written(document, written) => {
-                self.nodes[place]
+            Input::WriteFinished(document, written) => {
+                self.nodes[index]
                     .control
                     .write_finished(now, document, written);
-                self.plan(place);
+                self.run_planner(index);
             }
         }
     }
 
     pub(crate) fn handle_request(
         &mut self,
-        place: usize,
+        index: usize,
         number: u64,
         hops: u32,
         released: Option<id::Holder>,
     ) {
         let now = self.now;
-        let life = self.nodes[place].holder.incarnation.0;
-        let ticket = &mut self.tickets[number as usize];
-        ticket.handled.get_or_insert(now);
-        if !ticket.holders.contains(&(place, life)) {
-            ticket.holders.push((place, life));
+        let incarnation = self.nodes[index].holder.incarnation.0;
+        let tracked = &mut self.tracked_requests[number as usize];
+        tracked.first_handled.get_or_insert(now);
+        if !tracked.handled_by.contains(&(index, incarnation)) {
+            tracked.handled_by.push((index, incarnation));
         }
         let request = self.request(number);
         let slice = table::slice(SLICE_COUNT, lab::HASH_KEY, &request.flow);
@@ -492,277 +496,294 @@
             },
             None => Event::Request { request, hops },
         };
-        self.give(place, slice, event);
+        self.handle_at_engine(index, slice, event);
     }
 
     pub(crate) fn request(&self, number: u64) -> Request {
-        let ticket = &self.tickets[number as usize];
-        lab::request(&ticket.flow, number, ticket.kind)
+        let tracked = &self.tracked_requests[number as usize];
+        lab::request(&tracked.flow, number, tracked.kind)
     }
 
-    pub(crate) fn give(&mut self, place: usize, slice: id::Slice, event: Event) {
+    pub(crate) fn handle_at_engine(&mut self, index: usize, slice: id::Slice, event: Event) {
         let now = self.at(self.now);
         let worker = (slice.0 % u32::from(self.workers)) as usize;
         let subject = match &event {
             Event::Request { request, .. } => Some(request.id.0 as u64),
             _ => None,
         };
-        let actions = self.nodes[place].engines[worker].handle(now, event);
+        let actions = self.nodes[index].engines[worker].handle(now, event);
         let dropped = lab::has_reason(&actions, Reason::TooManyHops)
             || lab::has_reason(&actions, Reason::ParkFull);
         if let Some(number) = subject.filter(|_| dropped) {
-            self.excuse(number);
+            self.mark_as_affected(number);
         }
-        self.act(place, actions);
+        self.carry_out_actions(index, actions);
     }
 
-    pub(crate) fn handle_peer(&mut self, place: usize, from: id::Holder, body: peer::PeerMessage) {
+    pub(crate) fn handle_peer(&mut self, index: usize, from: id::Holder, body: peer::PeerMessage) {
         let now = self.at(self.now);
         match body {
             peer::PeerMessage::Relay(relay) => {
                 let flow = peer::unpack_flow(relay.flow.as_ref()).expect("packed by an engine");
                 if relay.datagram.len() == 8 {
                     let released = relay.released.then_some(from);
-                    self.handle_request(place, number_of(&relay.datagram), relay.hops, released);
+                    self.handle_request(index, number_of(&relay.datagram), relay.hops, released);
                 } else {
                     let message = u16::from_be_bytes([relay.datagram[1], relay.datagram[2]]);
-                    self.handle(place, Input::Receipt(flow, message, relay.hops));
+                    self.handle(index, Input::Receipt(flow, message, relay.hops));
                 }
             }
             peer::PeerMessage::Heartbeat(message) => {
-                self.nodes[place].control.heartbeat(now, &from, &message);
-                self.copy_tables(place, &from);
+                self.nodes[index].control.heartbeat(now, &from, &message);
+                self.copy_table_documents(index, &from);
             }
             peer::PeerMessage::TakeoverRequest(message) => {
-                self.nodes[place]
+                self.nodes[index]
                     .control
                     .takeover_requested(now, &from, &message.slices);
             }
             body => {
-                if let Some(slice) = slice_of(&body) {
-                    self.give(place, slice, Event::Peer { from, body });
+                if let Some(slice) = slice_of_message(&body) {
+                    self.handle_at_engine(index, slice, Event::Peer { from, body });
                 }
             }
         }
     }
 
-    /// Peers give each other copies of what the platform holds.
-    pub(crate) fn copy_tables(&mut self, place: usize, from: &id::Holder) {
+    /// Copies the newer table documents of a peer, as instances do with the values of the
+    /// platform.
+    pub(crate) fn copy_table_documents(&mut self, index: usize, from: &id::Holder) {
         let sender = self.nodes.iter().find(|node| node.holder == *from);
         let Some(sender) = sender else {
             return;
         };
         let newer = |entry: &&Entry| {
-            let known = self.nodes[place].known.get(&entry.key);
+            let known = self.nodes[index].known_entries.get(&entry.key);
             entry.key.starts_with(SLICES_PREFIX)
                 && known.is_none_or(|known| known.mod_revision < entry.mod_revision)
         };
-        let entries: Vec<Entry> = sender.known.values().filter(newer).cloned().collect();
-        let life = self.nodes[place].holder.incarnation.0;
+        let entries: Vec<Entry> = sender
+            .known_entries
+            .values()
+            .filter(newer)
+            .cloned()
+            .collect();
+        let incarnation = self.nodes[index].holder.incarnation.0;
         for entry in entries {
             let at = self.now + secs(2);
-            self.push(at, Item::Node(place, life, Input::Change(entry)));
+            self.schedule(
+                at,
+                Scheduled::Node(index, incarnation, Input::EntryChanged(entry)),
+            );
         }
     }
 
-    pub(crate) fn learn(&mut self, place: usize, entry: Entry) {
+    pub(crate) fn apply_entry(&mut self, index: usize, entry: Entry) {
         let now = self.at(self.now);
-        let node = &mut self.nodes[place];
-        let known = node.known.get(&entry.key);
+        let node = &mut self.nodes[index];
+        let known = node.known_entries.get(&entry.key);
         if known.is_some_and(|known| known.mod_revision >= entry.mod_revision) {
             return;
         }
         node.control.apply_entry(now, &entry);
-        node.known.insert(entry.key.clone(), entry);
+        node.known_entries.insert(entry.key.clone(), entry);
     }
 
-    pub(crate) fn handle_listing(&mut self, place: usize, entries: Vec<Entry>, at: Duration) {
+    pub(crate) fn handle_listing(&mut self, index: usize, entries: Vec<Entry>, at: Duration) {
         let at = self.at(at);
         let keep: BTreeSet<&str> = entries.iter().map(|entry| entry.key.as_str()).collect();
-        let node = &mut self.nodes[place];
-        node.known.retain(|key, _| keep.contains(key.as_str()));
+        let node = &mut self.nodes[index];
+        node.known_entries
+            .retain(|key, _| keep.contains(key.as_str()));
         node.control.retain(&keep);
         node.control.contact(at);
         for entry in entries {
-            self.learn(place, entry);
+            self.apply_entry(index, entry);
         }
     }
 
-    pub(crate) fn plan(&mut self, place: usize) {
+    pub(crate) fn run_planner(&mut self, index: usize) {
         let now = self.at(self.now);
-        let node = &mut self.nodes[place];
+        let node = &mut self.nodes[index];
         node.control.set_leaving(node.leaving_since.is_some());
         let commands = node.control.tick(now);
         for command in commands {
-            self.carry_out(place, command);
+            self.carry_out_command(index, command);
         }
     }
 
-    pub(crate) fn carry_out(&mut self, place: usize, command: Command) {
+    pub(crate) fn carry_out_command(&mut self, index: usize, command: Command) {
         match command {
             Command::Write {
                 document,
                 expected,
                 rows,
-            } => self.write(place, document, expected, rows),
+            } => self.write(index, document, expected, rows),
             Command::AddBackup { slices, backup } => {
                 for slice in slices {
                     let event = Event::AddBackup {
                         slices: vec![slice],
                         backup: backup.clone(),
                     };
-                    self.give(place, slice, event);
+                    self.handle_at_engine(index, slice, event);
                 }
             }
             Command::CancelBackup(slices) => {
                 for slice in slices {
-                    self.give(place, slice, Event::CancelBackup(vec![slice]));
+                    self.handle_at_engine(index, slice, Event::CancelBackup(vec![slice]));
                 }
             }
             Command::RequestTakeover { to, slices } => {
                 let slices = slices.into_iter().map(|slice| slice.0).collect();
                 self.send(
-                    place,
+                    index,
                     &to,
                     peer::PeerMessage::TakeoverRequest(peer::TakeoverRequest { slices }),
                 );
             }
             Command::Table(table) => {
-                self.check_table(place, &table);
-                self.nodes[place].table = Arc::clone(&table);
-                self.tell(place, &Event::Table(table));
+                self.check_table(index, &table);
+                self.nodes[index].table = Arc::clone(&table);
+                self.broadcast_event(index, &Event::Table(table));
             }
-            Command::Membership(view) => self.tell(place, &Event::Membership(view)),
+            Command::Membership(view) => self.broadcast_event(index, &Event::Membership(view)),
         }
     }
 
-    pub(crate) fn tell(&mut self, place: usize, event: &Event) {
+    pub(crate) fn broadcast_event(&mut self, index: usize, event: &Event) {
         let now = self.at(self.now);
         for worker in 0..usize::from(self.workers) {
-            let actions = self.nodes[place].engines[worker].handle(now, event.clone());
-            self.act(place, actions);
+            let actions = self.nodes[index].engines[worker].handle(now, event.clone());
+            self.carry_out_actions(index, actions);
         }
     }
 
-    /// Epochs grow at each instance, and one epoch means one row everywhere.
-    pub(crate) fn check_table(&mut self, place: usize, table: &table::Table) {
+    /// Checks that epochs never decrease at an instance and that all instances have the
+    /// same row for an epoch.
+    pub(crate) fn check_table(&mut self, index: usize, table: &table::Table) {
         for (slice, row) in table.rows() {
-            let node = &mut self.nodes[place];
+            let node = &mut self.nodes[index];
             let known = node.epochs.insert(slice, row.epoch).unwrap_or_default();
             if row.epoch < known {
-                let text = format!("(g) {} went back in slice {slice}", node.holder);
+                let text = format!("(g) {} got a smaller epoch for slice {slice}", node.holder);
                 self.violations.push(text);
             }
-            let first = self.rows.entry((slice, row.epoch));
+            let first = self.first_rows.entry((slice, row.epoch));
             let first = first.or_insert_with(|| row.clone());
             if first != row {
-                let text = format!("(e) two rows for slice {slice} epoch {}", row.epoch);
+                let text = format!(
+                    "(e) two different rows for slice {slice} epoch {}",
+                    row.epoch
+                );
                 self.violations.push(text);
             }
         }
     }
 
     pub(crate) fn tick(&mut self) {
-        for key in self.platform.lapse(self.now) {
-            self.announce(&Input::Removed(key));
+        for key in self.platform.expire_leases(self.now) {
+            self.send_to_connected_nodes(&Input::EntryRemoved(key));
         }
-        for place in 0..self.nodes.len() {
-            self.tick_node(place);
+        for index in 0..self.nodes.len() {
+            self.tick_node(index);
         }
         if self.now >= self.next_notification {
             self.next_notification = self.now + secs(1);
-            self.notify();
+            self.send_notifications();
         }
-        self.watch_boards();
+        self.reopen_silent_subscriptions();
     }
 
-    pub(crate) fn tick_node(&mut self, place: usize) {
+    pub(crate) fn tick_node(&mut self, index: usize) {
         let due = |at: Option<Duration>| at.is_some_and(|at| at <= self.now);
-        if due(self.nodes[place].restart_at) {
-            self.nodes[place] = self.node(place);
+        if due(self.nodes[index].restart_at) {
+            self.nodes[index] = self.node(index);
         }
-        if !self.nodes[place].is_up || self.now < self.nodes[place].frozen_until {
+        if !self.nodes[index].is_up || self.now < self.nodes[index].frozen_until {
             return;
         }
-        while let Some(input) = self.nodes[place].inbox.pop_front() {
-            self.handle(place, input);
+        while let Some(input) = self.nodes[index].inbox.pop_front() {
+            self.handle(index, input);
         }
-        self.keep_registered(place);
-        self.probe(place);
-        if self.now >= self.nodes[place].next_beat {
-            self.nodes[place].next_beat = self.now + BEAT;
-            self.beat(place);
+        self.renew_registration(index);
+        self.poll_store(index);
+        if self.now >= self.nodes[index].next_heartbeat {
+            self.nodes[index].next_heartbeat = self.now + HEARTBEAT_INTERVAL;
+            self.send_heartbeats(index);
         }
-        // The planner looks at every other tick.
-        if (self.now.as_millis() / TICK.as_millis()).is_multiple_of(2) {
-            self.plan(place);
+        // The planner runs at every other tick.
+        if (self.now.as_millis() / TICK_INTERVAL.as_millis()).is_multiple_of(2) {
+            self.run_planner(index);
         }
-        self.tell(place, &Event::Tick);
-        self.end_leaving(place);
+        self.broadcast_event(index, &Event::Tick);
+        self.finish_leaving(index);
     }
 
-    pub(crate) fn end_leaving(&mut self, place: usize) {
-        let node = &self.nodes[place];
+    pub(crate) fn finish_leaving(&mut self, index: usize) {
+        let node = &self.nodes[index];
         let Some(since) = node.leaving_since else {
             return;
         };
         let (homes, backups, _) = node.control.holdings();
         let working: usize = node.engines.iter().map(Engine::in_progress).sum();
         let done = homes + backups == 0 && working == 0;
-        if done || self.now >= since + LEAVE_WITHIN {
+        if done || self.now >= since + LEAVE_TIMEOUT {
             let key = format!("{INSTANCES}{}", node.holder.instance);
             self.platform.withdraw(&key);
-            self.announce(&Input::Removed(key));
-            self.stop(place);
-            self.nodes[place].restart_at = Some(self.now + secs(2));
+            self.send_to_connected_nodes(&Input::EntryRemoved(key));
+            self.kill_node(index);
+            self.nodes[index].restart_at = Some(self.now + secs(2));
         }
     }
 
-    /// Begins or ends the draining of a server, and all health checks tell.
+    /// Begins or ends the draining of a server; the health checks of all nodes report
+    /// it.
     pub(crate) fn drain(&mut self, server: usize, draining: bool) {
-        self.backends[server].mood = match draining {
-            true => Mood::Draining,
-            false => Mood::Well,
+        self.backends[server].behavior = match draining {
+            true => ServerBehavior::Draining,
+            false => ServerBehavior::Normal,
         };
         for node in &self.nodes {
             node.servers[server].state().draining = draining;
         }
     }
 
-    /// Ends a process at once.
-    pub(crate) fn stop(&mut self, place: usize) {
-        let life = self.nodes[place].holder.incarnation.0;
-        let inbox = std::mem::take(&mut self.nodes[place].inbox);
+    /// Kills a process.
+    pub(crate) fn kill_node(&mut self, index: usize) {
+        let incarnation = self.nodes[index].holder.incarnation.0;
+        let inbox = std::mem::take(&mut self.nodes[index].inbox);
         for input in &inbox {
-            self.drop_input(input);
+            self.record_dropped_input(input);
         }
-        self.nodes[place].is_up = false;
-        self.nodes[place].frozen_until = Duration::ZERO;
-        self.excuse_held(place, life);
+        self.nodes[index].is_up = false;
+        self.nodes[index].frozen_until = Duration::ZERO;
+        self.mark_held_as_affected(index, incarnation);
     }
 
-    /// Stops a process for a while; what comes waits.
-    pub(crate) fn freeze(&mut self, place: usize, length: Duration) {
-        let life = self.nodes[place].holder.incarnation.0;
-        self.nodes[place].frozen_until = self.now + length;
-        self.excuse_held(place, life);
+    /// Pauses a process; its inputs wait until it continues.
+    pub(crate) fn freeze_node(&mut self, index: usize, length: Duration) {
+        let incarnation = self.nodes[index].holder.incarnation.0;
+        self.nodes[index].frozen_until = self.now + length;
+        self.mark_held_as_affected(index, incarnation);
     }
 
-    pub(crate) fn excuse_held(&mut self, place: usize, life: u64) {
-        for ticket in &mut self.tickets {
-            if ticket.given.is_empty() && ticket.holders.contains(&(place, life)) {
-                ticket.excused = true;
+    pub(crate) fn mark_held_as_affected(&mut self, index: usize, incarnation: u64) {
+        for tracked in &mut self.tracked_requests {
+            if tracked.sent_outcomes.is_empty()
+                && tracked.handled_by.contains(&(index, incarnation))
+            {
+                tracked.is_fault_affected = true;
             }
         }
     }
 
-    pub(crate) fn act(&mut self, place: usize, actions: Vec<Action>) {
+    pub(crate) fn carry_out_actions(&mut self, index: usize, actions: Vec<Action>) {
         for action in actions {
-            self.carry_out_action(place, action);
+            self.carry_out_action(index, action);
         }
     }
 
-    pub(crate) fn carry_out_action(&mut self, place: usize, action: Action) {
+    pub(crate) fn carry_out_action(&mut self, index: usize, action: Action) {
         match action {
             Action::Forward {
                 server,
@@ -772,9 +793,9 @@
                 ..
             } => {
                 let target = self.backend(&server.id);
-                let sending = Sending {
-                    node: place,
-                    life: self.nodes[place].holder.incarnation.0,
+                let forwarded = ForwardedRequest {
+                    node: index,
+                    incarnation: self.nodes[index].holder.incarnation.0,
                     server: target,
                     service,
                     attempt,
@@ -782,14 +803,14 @@
                 };
                 if !self.is_lost() {
                     let at = self.now + self.delay();
-                    self.push(at, Item::Server(sending));
+                    self.schedule(at, Scheduled::Server(forwarded));
                 }
             }
             Action::Reject { to, attempt, .. } => {
                 let target = self.backends.iter().position(|b| b.address == to);
-                let target = target.expect("all servers are known");
+                let target = target.expect("known server");
                 let at = self.now + self.delay();
-                self.push(at, Item::Reject(target, place, attempt));
+                self.schedule(at, Scheduled::Reject(target, index, attempt));
             }
             Action::Answer {
                 id,
@@ -797,9 +818,9 @@
                 sequence,
                 outcome,
                 ..
-            } => self.give_outcome(id.0 as u64, delivery, sequence, outcome),
+            } => self.record_sent_outcome(id.0 as u64, delivery, sequence, outcome),
             Action::Acknowledge { id, .. } => {
-                self.tell_caller(ToCaller::Acknowledge(id.0 as u64));
+                self.send_to_caller(CallerMessage::Acknowledge(id.0 as u64));
             }
             Action::Notify {
                 flow,
@@ -808,7 +829,7 @@
                 sequence,
                 confirmable,
                 datagram,
-            } => self.tell_caller(ToCaller::Notify {
+            } => self.send_to_caller(CallerMessage::Notify {
                 flow,
                 token: token.0 as u64,
                 message,
@@ -816,22 +837,22 @@
                 confirmable,
                 datagram,
             }),
-            Action::Peer { to, body } => self.send(place, &to, body),
+            Action::Peer { to, body } => self.send(index, &to, body),
             Action::BackupSynced { slice, backup } => {
-                self.nodes[place].control.backup_synced(slice, &backup);
+                self.nodes[index].control.backup_synced(slice, &backup);
             }
             Action::TraceEvent(note) => {
-                *self.figures.reasons.entry(note.reason).or_default() += 1;
+                *self.counts.reasons.entry(note.reason).or_default() += 1;
             }
         }
     }
 
     pub(crate) fn backend(&self, id: &id::Server) -> usize {
-        let place = self.backends.iter().position(|b| b.id == *id);
-        place.expect("all servers are known")
+        let index = self.backends.iter().position(|b| b.id == *id);
+        index.expect("known server")
     }
 
-    pub(crate) fn give_outcome(
+    pub(crate) fn record_sent_outcome(
         &mut self,
         number: u64,
         delivery: Delivery,
@@ -839,19 +860,19 @@
         outcome: Outcome,
     ) {
         let now = self.now;
-        let ticket = &mut self.tickets[number as usize];
-        ticket.given.push((now, outcome.clone()));
+        let tracked = &mut self.tracked_requests[number as usize];
+        tracked.sent_outcomes.push((now, outcome.clone()));
         if let Outcome::Answered(datagram) = &outcome
             && number_of(datagram) != number
         {
-            let text = format!("(c) request {number} was given another's answer");
+            let text = format!("(c) request {number} got the answer to another request");
             self.violations.push(text);
         }
         let separate = match delivery {
             Delivery::Direct => None,
             Delivery::Separate { message } => Some(message),
         };
-        self.tell_caller(ToCaller::Outcome {
+        self.send_to_caller(CallerMessage::Outcome {
             number,
             outcome,
             sequence,
@@ -859,14 +880,14 @@
         });
     }
 
-    pub(crate) fn tell_caller(&mut self, message: ToCaller) {
+    pub(crate) fn send_to_caller(&mut self, message: CallerMessage) {
         if !self.is_lost() {
             let at = self.now + self.delay();
-            self.push(at, Item::Caller(message));
+            self.schedule(at, Scheduled::Caller(message));
         }
     }
 
-    /// The newest row of a slice at the platform.
+    /// Rows of the slice table that the platform stores.
     pub(crate) fn platform_rows(&self) -> Vec<Row> {
         let entry = self.platform.get(&format!("{SLICES_PREFIX}0"));
         let Some(entry) = entry else {
@@ -876,9 +897,9 @@
         document.rows
     }
 
-    /// Table rows as a node's engines last got them.
-    pub(crate) fn node_table(&self, place: usize) -> &table::Table {
-        &self.nodes[place].table
+    /// The slice table that a node's engines received last.
+    pub(crate) fn node_table(&self, index: usize) -> &table::Table {
+        &self.nodes[index].table
     }
 }
 
@@ -891,7 +912,7 @@
     Bytes::copy_from_slice(&[RECEIPT, high, low])
 }
 
-fn slice_of(body: &peer::PeerMessage) -> Option<id::Slice> {
+fn slice_of_message(body: &peer::PeerMessage) -> Option<id::Slice> {
     match body {
         peer::PeerMessage::ReplicationStep(message) => Some(id::Slice(message.slice)),
         peer::PeerMessage::ReplicationAck(message) => Some(id::Slice(message.slice)),
--- a/tests/history/platform.rs
+++ b/tests/history/platform.rs
@@ -1,4 +1,4 @@
-//! The platform as the fleet sees it: documents by compare-and-swap, leases.
+//! Simulated platform: a store with compare-and-swap and leases.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,21 +15,21 @@
 
 use crate::fleet::Fleet;
 use crate::fleet::Input;
-use crate::fleet::Item;
-use crate::fleet::PROBE;
+use crate::fleet::POLL_INTERVAL;
+use crate::fleet::Scheduled;
 use crate::fleet::Write;
 use crate::lab;
 use crate::lab::ms;
 use crate::lab::secs;
 
-/// Life of a registration without renewal.
+/// Time after which a registration that is not renewed expires.
 pub(crate) const TTL: Duration = Duration::from_secs(6);
 
-/// The store.
+/// The simulated store and its faults.
 #[derive(Default)]
 pub(crate) struct Platform {
     pub(crate) is_down: bool,
-    /// Answers are lost after the write took effect.
+    /// Whether answers are lost after the write took effect.
     pub(crate) loses_answers: bool,
     pub(crate) is_slow: bool,
     revision: u64,
@@ -46,7 +46,7 @@
         self.entries.get(key).cloned()
     }
 
-    pub(crate) fn swap(
+    pub(crate) fn compare_and_swap(
         &mut self,
         key: &str,
         expected: Option<u64>,
@@ -70,7 +70,7 @@
         entry
     }
 
-    /// Registers or renews; returns the entry if it changed.
+    /// Registers an instance or renews its lease; returns the entry if it changed.
     pub(crate) fn register(&mut self, now: Duration, registration: &Registration) -> Option<Entry> {
         let key = format!("{INSTANCES}{}", registration.holder.instance);
         let value = Bytes::from(serde_json::to_vec(registration).expect("plain data"));
@@ -86,8 +86,9 @@
         self.entries.remove(key);
     }
 
-    /// Keys whose lease has lapsed. While it is down the platform ends no lease.
-    pub(crate) fn lapse(&mut self, now: Duration) -> Vec<String> {
+    /// Deletes the entries whose lease has expired and returns their keys. While the
+    /// platform is down no lease expires.
+    pub(crate) fn expire_leases(&mut self, now: Duration) -> Vec<String> {
         if self.is_down {
             for until in self.leases.values_mut() {
                 *until = (*until).max(now + Duration::from_secs(1));
@@ -106,42 +107,43 @@
 impl Fleet {
     pub(crate) fn write(
         &mut self,
-        place: usize,
+        index: usize,
         document: u32,
         expected: Option<u64>,
         rows: Vec<Row>,
     ) {
-        self.next_item += 1;
+        self.next_id += 1;
         let content = Document {
-            write_id: self.next_item.to_string(),
+            write_id: self.next_id.to_string(),
             rows,
         };
         let value = Bytes::from(serde_json::to_vec(&content).expect("plain data"));
         let write = Write {
-            node: place,
-            life: self.nodes[place].holder.incarnation.0,
+            node: index,
+            incarnation: self.nodes[index].holder.incarnation.0,
             document,
             expected,
             value,
-            is_told: true,
+            expects_result: true,
         };
         let wait = match self.platform.is_slow {
             true => ms(self.rng.random_range(500..3_000)),
             false => self.delay(),
         };
-        self.push(self.now + wait, Item::Write(write));
+        self.schedule(self.now + wait, Scheduled::Write(write));
     }
 
-    /// A write reaches the platform, or what stands between.
-    pub(crate) fn store(&mut self, mut write: Write) {
-        let reachable = self.nodes[write.node].is_linked && !self.platform.is_down;
-        if write.is_told && !reachable {
-            // It hangs somewhere: the writer gives up, and half of them arrive later.
-            self.report(&write, secs(5), WriteResult::Unknown);
+    /// Applies a write at the platform, or loses or delays it on the way there.
+    pub(crate) fn process_write(&mut self, mut write: Write) {
+        let reachable = self.nodes[write.node].is_platform_reachable && !self.platform.is_down;
+        if write.expects_result && !reachable {
+            // The write is delayed: the writer times out, and half of these writes still
+            // reach the platform later.
+            self.report_write(&write, secs(5), WriteResult::Unknown);
             if self.rng.random_bool(0.5) {
-                write.is_told = false;
+                write.expects_result = false;
                 let late = ms(self.rng.random_range(1_000..12_000));
-                self.push(self.now + late, Item::Write(write));
+                self.schedule(self.now + late, Scheduled::Write(write));
             }
             return;
         }
@@ -150,80 +152,86 @@
         }
         let key = format!("{SLICES_PREFIX}{}", write.document);
         let value = write.value.clone();
-        let written = match self.platform.swap(&key, write.expected, value) {
+        let written = match self.platform.compare_and_swap(&key, write.expected, value) {
             Ok(entry) => {
                 let version = entry.mod_revision;
-                self.announce(&Input::Change(entry));
+                self.send_to_connected_nodes(&Input::EntryChanged(entry));
                 WriteResult::Done(version)
             }
             Err(found) => WriteResult::Lost(found),
         };
-        if !write.is_told {
+        if !write.expects_result {
             return;
         }
         if self.platform.loses_answers && self.rng.random_bool(0.5) {
-            self.report(&write, secs(5), WriteResult::Unknown);
+            self.report_write(&write, secs(5), WriteResult::Unknown);
             return;
         }
         let wait = self.delay();
-        self.report(&write, wait, written);
+        self.report_write(&write, wait, written);
     }
 
-    pub(crate) fn report(&mut self, write: &Write, wait: Duration, written: WriteResult) {
-        let input = Input::Written(write.document, written);
-        self.push(self.now + wait, Item::Node(write.node, write.life, input));
+    pub(crate) fn report_write(&mut self, write: &Write, wait: Duration, written: WriteResult) {
+        let input = Input::WriteFinished(write.document, written);
+        self.schedule(
+            self.now + wait,
+            Scheduled::Node(write.node, write.incarnation, input),
+        );
     }
 
-    /// Tells every instance that the platform can reach.
-    pub(crate) fn announce(&mut self, input: &Input) {
-        for place in 0..self.nodes.len() {
-            if !self.nodes[place].is_linked || !self.nodes[place].is_up {
+    /// Sends an input to every instance that is connected to the platform.
+    pub(crate) fn send_to_connected_nodes(&mut self, input: &Input) {
+        for index in 0..self.nodes.len() {
+            if !self.nodes[index].is_platform_reachable || !self.nodes[index].is_up {
                 continue;
             }
-            let life = self.nodes[place].holder.incarnation.0;
-            // One watch hands its changes on in order.
+            let incarnation = self.nodes[index].holder.incarnation.0;
+            // All changes have the same delay, since a watch delivers them in order.
             let wait = if self.platform.is_slow {
                 secs(1)
             } else {
                 ms(20)
             };
-            self.push(self.now + wait, Item::Node(place, life, input.clone()));
+            self.schedule(
+                self.now + wait,
+                Scheduled::Node(index, incarnation, input.clone()),
+            );
         }
     }
 
-    pub(crate) fn keep_registered(&mut self, place: usize) {
-        let node = &self.nodes[place];
-        let reachable = node.is_linked && !self.platform.is_down;
+    pub(crate) fn renew_registration(&mut self, index: usize) {
+        let node = &self.nodes[index];
+        let reachable = node.is_platform_reachable && !self.platform.is_down;
         if !reachable || self.now < node.next_renewal || node.is_withdrawn {
             return;
         }
         let registration = Registration {
             holder: node.holder.clone(),
             zone: node.zone.clone(),
-            peer: lab::endpoint(4, place as u16),
-            status: lab::endpoint(5, place as u16),
+            peer: lab::endpoint(4, index as u16),
+            status: lab::endpoint(5, index as u16),
             leaving: node.leaving_since.is_some(),
         };
-        self.nodes[place].next_renewal = self.now + PROBE;
+        self.nodes[index].next_renewal = self.now + POLL_INTERVAL;
         if let Some(entry) = self.platform.register(self.now, &registration) {
-            self.announce(&Input::Change(entry));
+            self.send_to_connected_nodes(&Input::EntryChanged(entry));
         }
     }
 
-    pub(crate) fn probe(&mut self, place: usize) {
-        let node = &self.nodes[place];
-        if self.now < node.next_probe {
+    pub(crate) fn poll_store(&mut self, index: usize) {
+        let node = &self.nodes[index];
+        if self.now < node.next_poll {
             return;
         }
-        let reachable = node.is_linked && !self.platform.is_down;
-        let life = node.holder.incarnation.0;
-        self.nodes[place].next_probe = self.now + PROBE;
+        let reachable = node.is_platform_reachable && !self.platform.is_down;
+        let incarnation = node.holder.incarnation.0;
+        self.nodes[index].next_poll = self.now + POLL_INTERVAL;
         let (wait, input) = if reachable {
             let entries = self.platform.entries();
             (ms(20), Input::Listing(entries, self.now))
         } else {
-            (secs(1), Input::Silent)
+            (secs(1), Input::StoreUnreachable)
         };
-        self.push(self.now + wait, Item::Node(place, life, input));
+        self.schedule(self.now + wait, Scheduled::Node(index, incarnation, input));
     }
 }
