--- a/tests/burnfleet.rs
+++ b/tests/burnfleet.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use coap_lite::RequestType;
-use program::Desk;
+use program::OperatorDir;
 use serde_json::Value;
 use serde_json::json;
 use standin::caller;
@@ -68,8 +68,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_report_counts_each_request_once_and_names_who_is_missing() {
     let mut cluster = Cluster::start(lenient()).await;
-    let desk = Desk::new();
-    desk.configure(&cluster, &["bole-1", "kality-2", "merkato-3"]);
+    let operator_dir = OperatorDir::new();
+    operator_dir.configure(&cluster, &["bole-1", "kality-2", "merkato-3"]);
     let driver = cluster.caller("dispatch", 1).await;
     book_all(&driver, "good", 20).await;
     cluster
@@ -79,22 +79,22 @@
     book_all(&driver, "bad", 4).await;
 
     let arguments = ["report", "burn", "--output", "json", "--plot", "burn.svg"];
-    let whole = desk.run(&arguments).await;
+    let whole = operator_dir.run(&arguments).await;
     assert_eq!(whole.code, 0, "{whole:?}");
     let report = whole.json();
     assert_eq!(counts(&report), (20, 4));
     assert_eq!(report["services"]["dispatch"]["verdict"], "ok");
     assert_eq!(report["gaps"], json!([]));
-    let plot = std::fs::read_to_string(desk.file("burn.svg")).expect("a plot");
+    let plot = std::fs::read_to_string(operator_dir.file("burn.svg")).expect("a plot");
     assert!(plot.contains("<svg") && plot.contains("dispatch"), "{plot}");
 
     cluster.instances[1].kill();
-    let partly = desk.run(&arguments).await;
+    let partly = operator_dir.run(&arguments).await;
     assert_eq!(partly.code, 4, "{partly:?}");
     let report = partly.json();
     assert_eq!(report["gaps"][0]["instance"], "kality-2");
     assert_eq!(report["services"]["dispatch"]["verdict"], "unknown-gap");
-    let table = desk.run(&["report", "burn"]).await;
+    let table = operator_dir.run(&["report", "burn"]).await;
     assert!(table.out.contains("gap: kality-2"), "{table:?}");
 }
 
@@ -103,10 +103,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn without_the_list_of_instances_nothing_is_well() {
     let cluster = Cluster::start(lenient()).await;
-    let desk = Desk::new();
-    desk.configure(&cluster, &["bole-1", "kality-2", "merkato-3"]);
+    let operator_dir = OperatorDir::new();
+    operator_dir.configure(&cluster, &["bole-1", "kality-2", "merkato-3"]);
     cluster.platform.down(true);
-    let partly = desk.run(&["report", "burn", "--output", "json"]).await;
+    let partly = operator_dir
+        .run(&["report", "burn", "--output", "json"])
+        .await;
     assert_eq!(partly.code, 4, "{partly:?}");
     let report = partly.json();
     assert_eq!(report["gaps"], json!([]));
@@ -120,8 +122,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_booking_is_explained() {
     let cluster = Cluster::start(lenient()).await;
-    let desk = Desk::new();
-    desk.configure(&cluster, &["bole-1", "kality-2", "merkato-3"]);
+    let operator_dir = OperatorDir::new();
+    operator_dir.configure(&cluster, &["bole-1", "kality-2", "merkato-3"]);
     // Past the fabric, so that the instances see the caller's own address.
     let listener = cluster.instances[0].listeners["dispatch"];
     let mut settings = caller::Settings::new(listener);
@@ -133,7 +135,7 @@
     let address = driver.address().expect("an address");
     let own = format!("127.0.0.1:{}", address.port());
     let question = ["explain", "--service", "dispatch", "--caller", &own];
-    let told = desk
+    let told = operator_dir
         .run(&[&question[..], &["--output", "json"]].concat())
         .await;
     assert_eq!(told.code, 0, "{told:?}");
@@ -156,7 +158,7 @@
     let server = server.expect("a server");
     assert_eq!(cluster.servers[server].starts("booking-1"), 1);
 
-    let table = desk.run(&question).await;
+    let table = operator_dir.run(&question).await;
     for word in ["answered", "forwarded", server] {
         assert!(table.out.contains(word), "{word}: {table:?}");
     }
--- a/tests/program/mod.rs
+++ b/tests/program/mod.rs
@@ -1,6 +1,6 @@
-//! The operators' tool, run as its operators run it: with a settings file.
+//! Runs the `godwitreel` program with a settings file, as operators do.
 
-#![allow(dead_code, reason = "each test file uses its own part")]
+#![allow(dead_code, reason = "no test file uses all of it")]
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -13,10 +13,10 @@
 
 use crate::utils::Cluster;
 
-/// Longest run of the program before it counts as hanging.
+/// Time after which a run of the program is taken for stuck and killed.
 const RUN_LIMIT: Duration = Duration::from_secs(90);
 
-/// How one run of the program ended.
+/// Exit code and output of one run of the program.
 #[derive(Debug)]
 pub(crate) struct Run {
     pub(crate) code: i32,
@@ -31,28 +31,28 @@
     }
 }
 
-/// An operator's desk: a directory with the settings file in it.
-pub(crate) struct Desk {
+/// Working directory of an operator, with the tool's settings file.
+pub(crate) struct OperatorDir {
     dir: TempDir,
 }
 
-impl Desk {
-    /// An empty directory from which the repository's samples are reachable by the
-    /// paths that its pages use.
+impl OperatorDir {
+    /// Creates a directory that links to the repository's sample settings, so that the
+    /// paths in the documentation work there.
     pub(crate) fn new() -> Self {
         let dir = TempDir::new().expect("directory");
         let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy");
-        std::os::unix::fs::symlink(deploy, dir.path().join("deploy")).expect("link");
+        std::os::unix::fs::symlink(deploy, dir.path().join("deploy")).expect("symbolic link");
         Self { dir }
     }
 
-    /// Where a file of this name is.
+    /// Path of a file in the directory.
     pub(crate) fn file(&self, name: &str) -> PathBuf {
         self.dir.path().join(name)
     }
 
-    /// Writes the settings file: a deployment's platform, and the instances that
-    /// the operator knows by name.
+    /// Writes the settings file with a deployment's platform and the status addresses
+    /// of the instances in `known`.
     pub(crate) fn configure(&self, cluster: &Cluster, known: &[&str]) {
         let instances = cluster.instances.iter();
         let instances = instances.filter(|instance| known.contains(&instance.name.as_str()));
@@ -67,8 +67,8 @@
         std::fs::write(self.file("tool.jsonc"), text).expect("settings");
     }
 
-    /// Runs the program. It blocks a thread of its own, as the platform that it
-    /// talks to runs on this runtime.
+    /// Runs the program on a blocking thread, since the stand-in platform that it calls
+    /// runs on the test's runtime.
     pub(crate) async fn run(&self, arguments: &[&str]) -> Run {
         let mut command = cargo_bin_cmd!("godwitreel");
         command
@@ -76,8 +76,9 @@
             .env("GODWITREEL_CONFIG", self.file("tool.jsonc"))
             .args(arguments)
             .timeout(RUN_LIMIT);
-        let running = tokio::task::spawn_blocking(move || command.output().expect("a run"));
-        let output = running.await.expect("a run");
+        let running =
+            tokio::task::spawn_blocking(move || command.output().expect("program output"));
+        let output = running.await.expect("program output");
         Run {
             code: output.status.code().expect("the program ends by itself"),
             out: String::from_utf8(output.stdout).expect("text"),
