--- a/tests/daemon.rs
+++ b/tests/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon program: its command line, its refusals and its logs.
+//! Tests the daemon program: command line, error messages for wrong settings, and logs.
 
 use std::fs;
 use std::net::Ipv4Addr;
@@ -26,19 +26,20 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_godwitreeld");
 
-/// Longest wait for the program.
-const PATIENCE: Duration = Duration::from_secs(40);
+/// Longest wait for the program to start serving or to exit.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Exit code of every refusal.
-const REFUSED: i32 = 1;
+/// Exit code when the daemon refuses to start.
+const EXIT_REFUSED: i32 = 1;
 
 fn daemon() -> Command {
     let mut command = Command::new(PROGRAM);
-    command.timeout(PATIENCE);
+    command.timeout(WAIT_TIMEOUT);
     command
 }
 
-/// Settings that can run: the platform is away, which must not hold a start up.
+/// Returns valid settings. Nothing listens at the platform's address; the daemon must
+/// start without the platform.
 fn settings() -> Value {
     json!({
         "instance": "bole-1",
@@ -51,7 +52,7 @@
     })
 }
 
-fn write(dir: &TempDir, text: &str) -> PathBuf {
+fn write_settings(dir: &TempDir, text: &str) -> PathBuf {
     let path = dir.path().join("daemon.jsonc");
     fs::write(&path, text).expect("settings");
     path
@@ -62,8 +63,8 @@
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy");
     let mut checked = 0;
     let customers = fs::read_dir(deploy).expect("deploy").flatten();
-    // Beside the customers' folders lie the files of the users' platform, which the
-    // tests of its adapter check.
+    // Files outside the customers' folders configure the users' platform. The adapter's
+    // tests check them.
     for customer in customers.filter(|entry| entry.path().is_dir()) {
         for file in fs::read_dir(customer.path()).expect("files").flatten() {
             let path = file.path();
@@ -89,11 +90,11 @@
     let version = contains(env!("CARGO_PKG_VERSION"));
     daemon().arg("--version").assert().code(0).stdout(version);
     let missing = contains("SETTINGS");
-    daemon().assert().code(REFUSED).stderr(missing);
+    daemon().assert().code(EXIT_REFUSED).stderr(missing);
 }
 
-/// The operator must find the fault from the message alone: file, line, field,
-/// value and what is allowed.
+/// A message about wrong settings names the file, line, field, value and what is
+/// allowed, so that the operator can fix the file without further help.
 #[test]
 fn wrong_settings_are_refused_with_their_place() {
     let dir = TempDir::new().expect("directory");
@@ -126,14 +127,14 @@
         \"peer\": \"127.0.0.1:7100\",\n\"status\": \"127.0.0.1:7101\",\n\
         \"platform\": [\"http://127.0.0.1:7090\"],\n\"workers\": 2,\n\"slices\": 64,\n\
         \"keys\": [\"000102030405060708090a0b0c0d0e0f\"]\n}\n";
-    let path = write(&dir, text);
+    let path = write_settings(&dir, text);
     daemon().arg("--check").arg(&path).assert().code(0);
     for (from, to, line, field, allowed) in cases {
         assert!(text.contains(from), "{from}");
-        let path = write(&dir, &text.replacen(from, to, 1));
-        let place = format!("{}:{line}: {field}: ", path.display());
+        let path = write_settings(&dir, &text.replacen(from, to, 1));
+        let location = format!("{}:{line}: {field}: ", path.display());
         let message = || {
-            contains(place.clone())
+            contains(location.clone())
                 .and(contains("want "))
                 .and(contains(allowed))
         };
@@ -145,7 +146,7 @@
             command
                 .arg(&path)
                 .assert()
-                .code(REFUSED)
+                .code(EXIT_REFUSED)
                 .stdout("")
                 .stderr(message());
         }
@@ -160,14 +161,14 @@
     daemon()
         .arg(&missing)
         .assert()
-        .code(REFUSED)
+        .code(EXIT_REFUSED)
         .stderr(message);
-    let unfinished = write(&dir, "{ /* never closed");
+    let unfinished = write_settings(&dir, "{ /* never closed");
     let message = contains("daemon.jsonc:1").and(contains("comment"));
     daemon()
         .arg(&unfinished)
         .assert()
-        .code(REFUSED)
+        .code(EXIT_REFUSED)
         .stderr(message);
 }
 
@@ -176,23 +177,27 @@
     let dir = TempDir::new().expect("directory");
     let udp = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("bind");
     let tcp = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("bind");
-    let taken = [
+    let bound_ports = [
         ("peer", udp.local_addr().expect("address")),
         ("status", tcp.local_addr().expect("address")),
     ];
-    for (field, address) in taken {
+    for (field, address) in bound_ports {
         let mut settings = settings();
         settings[field] = json!(address.to_string());
-        let path = write(&dir, &settings.to_string());
+        let path = write_settings(&dir, &settings.to_string());
         let message = contains(address.to_string()).and(contains("bind"));
-        daemon().arg(&path).assert().code(REFUSED).stderr(message);
+        daemon()
+            .arg(&path)
+            .assert()
+            .code(EXIT_REFUSED)
+            .stderr(message);
     }
 }
 
-/// Ends the process when a test fails.
-struct Running(Option<Child>);
+/// A daemon process that is killed on drop, which also ends it when a test fails.
+struct DaemonProcess(Option<Child>);
 
-impl Running {
+impl DaemonProcess {
     fn start(path: &Path) -> Self {
         let child = std::process::Command::new(PROGRAM)
             .arg(path)
@@ -202,7 +207,7 @@
         Self(Some(child.expect("daemon")))
     }
 
-    /// Stops it by a signal; its exit code and what it logged.
+    /// Stops the daemon with SIGTERM and returns its exit code and log.
     fn stop(mut self) -> (Option<i32>, String) {
         let child = self.0.take().expect("running");
         let pid = Pid::from_raw(child.id() as i32);
@@ -213,7 +218,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for DaemonProcess {
     fn drop(&mut self) {
         if let Some(mut child) = self.0.take() {
             let _ = child.kill();
@@ -222,8 +227,9 @@
     }
 }
 
-/// Runs a daemon with these log settings until it serves, then stops it.
-fn logged(log: &Value) -> String {
+/// Runs a daemon with these log settings until its status port accepts connections,
+/// stops it and returns its log.
+fn run_and_collect_log(log: &Value) -> String {
     let dir = TempDir::new().expect("directory");
     let mut settings = settings();
     settings["log"] = log.clone();
@@ -232,14 +238,17 @@
         .expect("text")
         .parse()
         .expect("address");
-    let path = write(&dir, &settings.to_string());
-    let running = Running::start(&path);
-    let end = Instant::now() + PATIENCE;
+    let path = write_settings(&dir, &settings.to_string());
+    let running = DaemonProcess::start(&path);
+    let end = Instant::now() + WAIT_TIMEOUT;
     while TcpStream::connect(status).is_err() {
-        assert!(Instant::now() < end, "it does not serve");
+        assert!(
+            Instant::now() < end,
+            "the daemon does not accept connections"
+        );
         sleep(Duration::from_millis(20));
     }
-    // The handler of signals is there before the status port is bound.
+    // The signal handler is installed before the status port is bound.
     let (code, text) = running.stop();
     assert_eq!(code, Some(0), "{text}");
     text
@@ -252,10 +261,12 @@
 
 #[test]
 fn logs_are_json_lines_of_the_level() {
-    let records = records(&logged(&json!({"level": "info", "format": "json"})));
-    let said = |message: &str| records.iter().any(|record| record["msg"] == message);
+    let records = records(&run_and_collect_log(
+        &json!({"level": "info", "format": "json"}),
+    ));
+    let is_logged = |message: &str| records.iter().any(|record| record["msg"] == message);
     for message in ["starting", "running", "stopping", "stopped"] {
-        assert!(said(message), "{message}");
+        assert!(is_logged(message), "{message}");
     }
     for record in &records {
         for key in ["ts", "level", "msg", "module"] {
@@ -271,17 +282,17 @@
 #[test]
 fn log_level_is_set_by_module() {
     let log = json!({"level": "critical", "modules": {"godwitreel::daemon": "info"}});
-    let records = records(&logged(&log));
+    let records = records(&run_and_collect_log(&log));
     assert!(!records.is_empty());
     for record in &records {
         assert_eq!(record["module"], "godwitreel::daemon", "{record}");
     }
-    assert_eq!(logged(&json!({"level": "critical"})), "");
+    assert_eq!(run_and_collect_log(&json!({"level": "critical"})), "");
 }
 
 #[test]
 fn logs_can_be_text() {
-    let text = logged(&json!({"level": "info", "format": "text"}));
+    let text = run_and_collect_log(&json!({"level": "info", "format": "text"}));
     assert!(text.contains("stopped"), "{text}");
     assert!(serde_json::from_str::<Value>(text.lines().next().expect("a line")).is_err());
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings and document files: what is accepted, and how refusals read.
+//! Tests which settings and document files are accepted, and the error messages for
+//! those that are not.
 
 use std::fs;
 use std::path::Path;
@@ -32,9 +33,10 @@
     Daemon::parse(Path::new("daemon.jsonc"), text)
 }
 
-/// Refusal of the sample with one text replaced: line, field, value, allowed.
-fn refusal(from: &str, to: &str) -> (usize, String, String, String) {
-    assert!(SAMPLE.contains(from), "{from} is not in the sample");
+/// Replaces one text in the sample, which must make it invalid, and returns the error's
+/// line, field, value and allowed values.
+fn field_error(from: &str, to: &str) -> (usize, String, String, String) {
+    assert!(SAMPLE.contains(from), "{from} is missing in the sample");
     let error = parse(&SAMPLE.replacen(from, to, 1)).expect_err(to);
     match error {
         Error::Field {
@@ -48,7 +50,7 @@
     }
 }
 
-fn deploy(path: &str) -> Vec<PathBuf> {
+fn deploy_files(path: &str) -> Vec<PathBuf> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy");
     let files = fs::read_dir(root.join(path)).expect(path);
     files
@@ -59,7 +61,7 @@
 
 #[test]
 fn sample_has_its_values_and_the_defaults() {
-    let daemon = parse(SAMPLE).expect("the sample is right");
+    let daemon = parse(SAMPLE).expect("the sample is valid");
     assert_eq!(daemon.keys[0].as_bytes(), (0..16).collect::<Vec<u8>>());
     assert_eq!(daemon.advertised(), daemon.peer);
     assert_eq!(daemon.limits.max_flows, 500_000);
@@ -67,7 +69,10 @@
     assert_eq!(daemon.outsider_wait_s, 1_980);
     assert_eq!(daemon.peer_bytes_per_second.to_string(), "2048/s");
     assert_eq!(daemon.log.level, Level::Info);
-    assert!(!format!("{daemon:?}").contains("0a0b"), "a key is shown");
+    assert!(
+        !format!("{daemon:?}").contains("0a0b"),
+        "the debug output contains a key"
+    );
 }
 
 #[test]
@@ -131,7 +136,7 @@
         ),
     ];
     for (from, to, line, field, value) in cases {
-        let found = refusal(from, to);
+        let found = field_error(from, to);
         assert_eq!(
             (found.0, found.1.as_str(), found.2.as_str()),
             (line, field, value),
@@ -177,18 +182,18 @@
         ),
     ];
     for (field, allowed) in cases {
-        let found = refusal("\"heartbeat_ms\"", &extra(field));
+        let found = field_error("\"heartbeat_ms\"", &extra(field));
         assert_eq!((found.0, found.3.as_str()), (11, allowed), "{field}");
     }
-    let unknown = refusal("\"zone\"", "\"sone\"");
+    let unknown = field_error("\"zone\"", "\"sone\"");
     assert_eq!((unknown.0, unknown.1.as_str()), (5, "sone"));
     assert!(unknown.3.contains("`zone`"), "{}", unknown.3);
-    let twice = refusal("\"zone\"", "\"zone\": \"ayat\", \"zone\"");
+    let twice = field_error("\"zone\"", "\"zone\": \"ayat\", \"zone\"");
     assert_eq!(
         (twice.1.as_str(), twice.3.as_str()),
         ("zone", "each field once")
     );
-    let missing = refusal("\"zone\": \"bole\",", "");
+    let missing = field_error("\"zone\": \"bole\",", "");
     assert_eq!(
         (missing.1.as_str(), missing.2.as_str()),
         ("zone", "missing")
@@ -197,9 +202,9 @@
 
 #[test]
 fn broken_text_is_refused_with_its_line() {
-    assert_eq!(refusal("\"bole\",", "\"bole\"").0, 6);
-    assert_eq!(refusal("// A daemon.", "/ A daemon.").1, "(file)");
-    assert_eq!(refusal("    }\n}", "    }\n} x").0, 15);
+    assert_eq!(field_error("\"bole\",", "\"bole\"").0, 6);
+    assert_eq!(field_error("// A daemon.", "/ A daemon.").1, "(file)");
+    assert_eq!(field_error("    }\n}", "    }\n} x").0, 15);
 }
 
 #[test]
@@ -219,7 +224,7 @@
             .starts_with("p.jsonc:3: objective.good_percent: 100: ")
     );
     let text = "{ \"profile\": \"p\",\n\"address\": \"0.0.0.0:1\" }";
-    let error = settings::service(file, text).expect_err("nobody can send there");
+    let error = settings::service(file, text).expect_err("address is unspecified");
     assert!(
         error
             .to_string()
@@ -229,30 +234,30 @@
 
 #[test]
 fn sample_deployments_are_accepted() {
-    for (organisation, instances) in [("abay", 8), ("naukluft", 7)] {
-        let mut bound = Vec::new();
-        for file in deploy(organisation) {
+    for (customer, instances) in [("abay", 8), ("naukluft", 7)] {
+        let mut addresses = Vec::new();
+        for file in deploy_files(customer) {
             let daemon = Daemon::load(&file).unwrap_or_else(|e| panic!("{e}"));
             let stem = file.file_stem().and_then(|stem| stem.to_str());
             assert_eq!(stem, Some(daemon.instance.as_str()));
-            bound.extend([daemon.peer, daemon.status]);
-            bound.extend(daemon.listeners.values());
+            addresses.extend([daemon.peer, daemon.status]);
+            addresses.extend(daemon.listeners.values());
         }
-        let total = bound.len();
-        bound.sort();
-        bound.dedup();
-        assert_eq!((total, bound.len()), (instances * 4, instances * 4));
-        check_documents(organisation);
+        let total = addresses.len();
+        addresses.sort();
+        addresses.dedup();
+        assert_eq!((total, addresses.len()), (instances * 4, instances * 4));
+        check_documents(customer);
     }
 }
 
-fn check_documents(organisation: &str) {
+fn check_documents(customer: &str) {
     let read = |file: &PathBuf| settings::read(file).expect("a file");
-    let profiles = deploy(&format!("{organisation}/profiles"));
+    let profiles = deploy_files(&format!("{customer}/profiles"));
     for file in &profiles {
         settings::profile(file, &read(file)).unwrap_or_else(|e| panic!("{e}"));
     }
-    for file in deploy(&format!("{organisation}/services")) {
+    for file in deploy_files(&format!("{customer}/services")) {
         let service = settings::service(&file, &read(&file)).unwrap_or_else(|e| panic!("{e}"));
         let chosen = file.with_file_name(format!("../profiles/{}.jsonc", service.profile));
         assert!(chosen.exists(), "{} is chosen", service.profile);
