--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Choice of servers, and how the policy answers load and faults.
+//! Tests how the balancing policy selects servers under load and when servers fail.
 
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
@@ -44,7 +44,7 @@
 }
 
 fn server(number: u8, zone: &str) -> Arc<Server> {
-    let listed = document::Server {
+    let entry = document::Server {
         service: "dispatch".parse().unwrap(),
         zone: zone.parse().unwrap(),
         address: endpoint(11, number),
@@ -54,7 +54,7 @@
     };
     Arc::new(Server::new(
         format!("d{number:02}").parse().unwrap(),
-        &listed,
+        &entry,
     ))
 }
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// A profile whose servers are warm at once.
+/// Returns a profile without slow start.
 fn profile(policy: Policy) -> Profile {
     Profile {
         policy,
@@ -83,24 +83,26 @@
     }
 }
 
-/// Names of the servers chosen in many draws, one for each draw.
-fn draw(service: &Service, work: WorkKind, now: Instant) -> Vec<String> {
+/// Chooses a server [`DRAWS`] times, each time for another caller, and returns the names
+/// of the chosen servers.
+fn draw_servers(service: &Service, work: WorkKind, now: Instant) -> Vec<String> {
     let mut rng = SmallRng::seed_from_u64(1);
-    let place = zone("bole");
+    let local_zone = zone("bole");
     let chosen = (0..DRAWS).filter_map(|caller| {
         let flow = Flow {
             service: service.id.clone(),
             caller: endpoint(12, caller as u8),
         };
-        balance::choose(service, &flow, work, &place, &[], now, &mut rng)
+        balance::choose(service, &flow, work, &local_zone, &[], now, &mut rng)
     });
     chosen.map(|server| server.id.to_string()).collect()
 }
 
-/// Callers would wait behind each other at one server while others idle: all
-/// homes hear the same heartbeat, rank the server that was idle a second ago
-/// first, and fill it together. Requests are over long before the next heartbeat,
-/// so that only the own count is fresh enough to rank by.
+/// Guards against all homes sending their requests to the same server. Ranked by the
+/// counts in heartbeats, which are up to a second old, all homes would prefer the
+/// server that was idle at the last heartbeat and overload it, while others idle.
+/// Requests end long before the next heartbeat, so that only an instance's own count is
+/// current enough to rank by. Feeds last longer and are ranked by all counts.
 #[test]
 fn ranks_requests_by_own_count() {
     let now = Instant::now();
@@ -112,22 +114,22 @@
     service.servers[0].state().peer_outstanding = 2;
     service.servers[1].state().outstanding = 1;
     assert!(
-        draw(&service, WorkKind::Request, now)
+        draw_servers(&service, WorkKind::Request, now)
             .iter()
             .all(|id| id == "d01")
     );
     service.servers[0].state().peer_feeds = 2;
     service.servers[1].state().feeds = 1;
     assert!(
-        draw(&service, WorkKind::Feed, now)
+        draw_servers(&service, WorkKind::Feed, now)
             .iter()
             .all(|id| id == "d02")
     );
 }
 
-/// Callers would be refused though every server works: health endpoints fail
-/// together, confirmations run out, and no server takes work. What was known a
-/// moment ago, from addresses that answer, is better than refusing everyone.
+/// Guards against refusing all callers while every server works: when all health
+/// endpoints fail together, the confirmations expire and no server would take work. The
+/// servers that were confirmed up to a minute ago are used instead.
 #[test]
 fn goes_on_when_health_endpoints_fail_together() {
     let now = Instant::now();
@@ -135,16 +137,21 @@
     let service = service(profile(Policy::LeastLoaded), servers);
     confirm(&service, now);
     let later = now + Duration::from_secs(20);
-    assert_eq!(draw(&service, WorkKind::Request, later).len(), DRAWS);
+    assert_eq!(
+        draw_servers(&service, WorkKind::Request, later).len(),
+        DRAWS
+    );
     let end = now + Duration::from_secs(61);
-    assert!(draw(&service, WorkKind::Request, end).is_empty());
+    assert!(draw_servers(&service, WorkKind::Request, end).is_empty());
 }
 
-/// A pickup booking would reach the ledger: a server is replaced, its health
-/// falls silent alone, and it must not be trusted for old times' sake. The same
-/// once its health answer names another service, however silent the others are.
+/// Guards against requests that reach a server of another service, such as a pickup
+/// booking that reaches the ledger. When a server is replaced, only its health endpoint
+/// stops answering, and its expired confirmation must not be used. A server whose health
+/// answer names another service is not used either, even while no other health endpoint
+/// answers.
 #[test]
-fn trusts_no_server_that_is_silent_alone_or_disowned() {
+fn rejects_a_server_that_is_silent_alone_or_names_another_service() {
     let now = Instant::now();
     let servers = vec![server(1, "bole"), server(2, "bole"), server(3, "bole")];
     let service = service(profile(Policy::LeastLoaded), servers);
@@ -152,20 +159,20 @@
     let later = now + Duration::from_secs(20);
     service.servers[1].confirm(later, CONFIRM_FOR);
     service.servers[2].confirm(later, CONFIRM_FOR);
-    assert!(!draw(&service, WorkKind::Request, later).contains(&"d01".to_owned()));
+    assert!(!draw_servers(&service, WorkKind::Request, later).contains(&"d01".to_owned()));
     let end = now + Duration::from_secs(30);
     service.servers[0].revoke_confirmation();
     service.servers[0].confirm_by_answer(end);
-    let chosen = draw(&service, WorkKind::Request, end);
+    let chosen = draw_servers(&service, WorkKind::Request, end);
     assert_eq!(chosen.len(), DRAWS);
     assert!(!chosen.contains(&"d01".to_owned()));
 }
 
-/// While no health answer tells them apart, a server of another service shows by
-/// refusing our service's name every time. An application that says so at times
-/// answers something else in between and goes on.
+/// While no health endpoint answers, a server of another service is detected because it
+/// answers every request with "not found". A server of the right service that sometimes
+/// answers so also sends other answers, and stays in use.
 #[test]
-fn doubts_a_server_that_knows_nothing() {
+fn rejects_a_server_that_answers_only_not_found() {
     let now = Instant::now();
     let servers = vec![server(1, "bole"), server(2, "bole")];
     let service = service(profile(Policy::LeastLoaded), servers);
@@ -177,20 +184,20 @@
         service.servers[1].confirm_by_answer(later);
     }
     assert!(
-        draw(&service, WorkKind::Request, later)
+        draw_servers(&service, WorkKind::Request, later)
             .iter()
             .all(|id| id == "d02")
     );
 }
 
-/// One engine that is home of everything, without a backup.
-struct Home {
+/// An engine that is home of the only slice, without a backup.
+struct HomeEngine {
     engine: Engine,
     service: Service,
     now: Instant,
 }
 
-impl Home {
+impl HomeEngine {
     fn new(profile: Profile, servers: Vec<Arc<Server>>) -> Self {
         let now = Instant::now();
         let me = id::Holder {
@@ -228,10 +235,10 @@
         }
     }
 
-    /// Hands an event in; servers accept every feed at once. Returns the names of
-    /// the servers that were asked.
-    fn tell(&mut self, event: Event) -> Vec<String> {
-        let mut asked = Vec::new();
+    /// Lets the engine handle an event; servers accept every feed at once. Returns the
+    /// names of the servers that requests were forwarded to.
+    fn handle(&mut self, event: Event) -> Vec<String> {
+        let mut forwarded_to = Vec::new();
         for action in self.engine.handle(self.now, event) {
             let Action::Forward {
                 server, attempt, ..
@@ -239,7 +246,7 @@
             else {
                 continue;
             };
-            asked.push(server.id.to_string());
+            forwarded_to.push(server.id.to_string());
             let answer = Answer {
                 verdict: Verdict::Handled,
                 keeps_feed_open: true,
@@ -248,18 +255,18 @@
                 datagram: Bytes::new(),
             };
             let from = server.address;
-            let answered = Event::Answer {
+            let answer_event = Event::Answer {
                 from,
                 attempt,
                 answer,
             };
-            asked.extend(self.tell(answered));
+            forwarded_to.extend(self.handle(answer_event));
         }
-        asked
+        forwarded_to
     }
 
-    fn open(&mut self, number: u8) {
-        self.tell(Event::Request {
+    fn open_feed(&mut self, number: u8) {
+        self.handle(Event::Request {
             request: Request {
                 flow: Flow {
                     service: self.service.id.clone(),
@@ -276,19 +283,20 @@
         });
     }
 
-    /// Lets time pass while these servers' health is fine.
-    fn pass(&mut self, healthy: &[usize], time: Duration) -> Vec<String> {
+    /// Advances the time while the health endpoints of these servers answer. Returns the
+    /// names of the servers that requests were forwarded to.
+    fn advance(&mut self, healthy: &[usize], time: Duration) -> Vec<String> {
         const STEP: Duration = Duration::from_millis(100);
         let end = self.now + time;
-        let mut asked = Vec::new();
+        let mut forwarded_to = Vec::new();
         while self.now < end {
             self.now += STEP;
             for &server in healthy {
                 self.service.servers[server].confirm(self.now, CONFIRM_FOR);
             }
-            asked.extend(self.tell(Event::Tick));
+            forwarded_to.extend(self.handle(Event::Tick));
         }
-        asked
+        forwarded_to
     }
 
     fn feeds(&self) -> Vec<u32> {
@@ -297,8 +305,8 @@
     }
 }
 
-/// Sixty feeds at one server, then a second one starts.
-fn uneven(balance_weight: u32) -> Home {
+/// Returns an engine with two servers, of which the first has all 60 feeds.
+fn unbalanced_home(balance_weight: u32) -> HomeEngine {
     const FEEDS: u8 = 60;
     let profile = Profile {
         balance_weight,
@@ -306,42 +314,47 @@
         ..profile(Policy::LeastLoaded)
     };
     let servers = vec![server(1, "bole"), server(2, "bole")];
-    let mut home = Home::new(profile, servers);
-    home.pass(&[0], Duration::from_secs(1));
+    let mut home = HomeEngine::new(profile, servers);
+    home.advance(&[0], Duration::from_secs(1));
     for number in 0..FEEDS {
-        home.open(number);
+        home.open_feed(number);
     }
     home
 }
 
-/// Boards freeze at a crowded server while one that came back stands empty:
-/// feeds last all day, so that new ones alone never even the load out. The weight
-/// says how uneven is too uneven; at a low one no feed is touched.
+/// Guards against feeds that stay at an overloaded server while a restarted one has
+/// none. Feeds last all day, so that new feeds alone do not balance the load.
+/// `balance_weight` determines the imbalance at which feeds are moved; with a low weight
+/// none is.
 #[test]
 fn moves_feeds_as_the_weight_says() {
     let both = [0, 1];
-    let mut naukluft = uneven(90);
-    naukluft.pass(&both, Duration::from_secs(20));
-    let feeds = naukluft.feeds();
+    let mut high_weight = unbalanced_home(90);
+    high_weight.advance(&both, Duration::from_secs(20));
+    let feeds = high_weight.feeds();
     assert_eq!(feeds.iter().sum::<u32>(), 60);
     assert!(feeds[0] <= 42, "{feeds:?}");
-    let mut abay = uneven(10);
-    assert!(abay.pass(&both, Duration::from_secs(20)).is_empty());
-    assert_eq!(abay.feeds(), [60, 0]);
+    let mut low_weight = unbalanced_home(10);
+    assert!(
+        low_weight
+            .advance(&both, Duration::from_secs(20))
+            .is_empty()
+    );
+    assert_eq!(low_weight.feeds(), [60, 0]);
 }
 
-/// A driver's feed stands still for as long as the profile allows silence: its
-/// server died, health is silent, and nothing says that it leaves. Registered
-/// elsewhere soon, the feed goes on before the driver notices.
+/// Guards against a feed that pauses for the whole `feed_silence_s` of its profile after
+/// its server has died. Health checks are unanswered and the platform does not list the
+/// server as leaving. The feed must be registered at another server within seconds.
 #[test]
 fn moves_feeds_from_a_server_that_is_gone() {
-    let mut home = uneven(0);
-    home.pass(&[1], Duration::from_secs(5));
+    let mut home = unbalanced_home(0);
+    home.advance(&[1], Duration::from_secs(5));
     assert_eq!(home.feeds(), [0, 60]);
 }
 
-/// Callers of a server that hangs wait out their timeouts one after another, each
-/// failure costing one more caller a second. The measured default stops at three.
+/// Guards the defaults. Each failure at a server that hangs delays one more caller by
+/// about a second until the server is ejected, so that it is ejected after three.
 #[test]
 fn defaults_are_the_measured_ones() {
     let profile = Profile::default();
@@ -349,18 +362,19 @@
     assert_eq!(profile.eject_after, 3);
 }
 
-// A server refused and its pause is over. Two workers choose it at the same moment:
-// each looked before the other had counted its request. Only one may try it, or a
-// server that leaves by its refusals alone gets a trial from every worker.
+// A server has refused a request and its pause is over. Two workers choose it at the
+// same time, each before the other has counted its request. Only one of them may send a
+// trial request. Otherwise a server that is stopping, and shows it only by refusing,
+// gets a trial request from every worker.
 #[test]
 fn two_workers_share_one_trial_of_a_refusing_server() {
     let now = Instant::now();
-    let listed: document::Server = serde_json::from_value(serde_json::json!({
+    let entry: document::Server = serde_json::from_value(serde_json::json!({
         "service": "dispatch", "zone": "bole", "address": "127.0.0.1:1",
         "health": "127.0.0.1:2", "slots": 2,
     }))
     .expect("a server");
-    let server = Server::new("d1".parse().expect("a name"), &listed);
+    let server = Server::new("d1".parse().expect("a name"), &entry);
     assert!(server.reserve() && server.reserve());
     server.state().outstanding = 0;
     server.record_refusal(now, Duration::ZERO);
