--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of the operators' tool share: a stand-in platform, fake
-//! instances, and the real program run against them.
+//! Shared by the tests of the operators' tool: a stand-in platform, fake instances, and
+//! functions that run the real program against them.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -17,23 +17,23 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinSet;
 
-/// Longest run of the program before it counts as hanging.
+/// Time after which a run of the program is taken for stuck and killed.
 const RUN_LIMIT: Duration = Duration::from_secs(60);
-/// Longest wait for something to show up in the platform.
-const SEEN_LIMIT: Duration = Duration::from_secs(20);
-/// Time between two looks.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+/// Longest wait for a condition in [`wait_until`].
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
+/// Time between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 const LOOPBACK: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// A platform, a directory for files, and fake instances.
-pub(crate) struct Bench {
+/// A stand-in platform, a directory for files, and fake instances.
+pub(crate) struct ToolTest {
     pub(crate) platform: Arc<platform::Handle>,
     files: TempDir,
-    fakes: JoinSet<()>,
+    fake_instances: JoinSet<()>,
 }
 
-/// How one run of the program ended.
+/// Exit code and output of one run of the program.
 #[derive(Debug)]
 pub(crate) struct Run {
     pub(crate) code: i32,
@@ -48,12 +48,12 @@
     }
 }
 
-impl Bench {
+impl ToolTest {
     pub(crate) async fn start() -> Self {
         Self {
             platform: Arc::new(platform::start(LOOPBACK).await.unwrap()),
             files: tempfile::tempdir().unwrap(),
-            fakes: JoinSet::new(),
+            fake_instances: JoinSet::new(),
         }
     }
 
@@ -98,14 +98,14 @@
         let routes = Router::new()
             .route("/status", get(async move || Json(status())))
             .route("/explain", get(async move || Json(trace)));
-        self.fakes
+        self.fake_instances
             .spawn(async { axum::serve(listener, routes).await.unwrap() });
         self.register(name, address);
         address
     }
 
-    /// Registers an instance that answers nothing: its port is free.
-    pub(crate) async fn silent(&self, name: &str) {
+    /// Registers an instance at a port where nothing listens.
+    pub(crate) async fn unreachable_instance(&self, name: &str) {
         let listener = TcpListener::bind(LOOPBACK).await.unwrap();
         self.register(name, listener.local_addr().unwrap());
     }
@@ -117,27 +117,27 @@
         self.platform.put(&key, registration.to_string());
     }
 
-    /// What stands under a key.
+    /// The value of a key in the store, as JSON.
     pub(crate) fn stored(&self, key: &str) -> Option<Value> {
         let value = self.platform.get(key)?;
         Some(serde_json::from_slice(&value).unwrap())
     }
 
-    /// Waits until a key is there.
-    pub(crate) async fn seen(&self, key: &str) -> Value {
-        until(|| self.stored(key).is_some()).await;
+    /// Waits until a key exists and returns its value.
+    pub(crate) async fn wait_for_key(&self, key: &str) -> Value {
+        wait_until(|| self.stored(key).is_some()).await;
         self.stored(key).unwrap()
     }
 }
 
-/// Waits until this holds.
-pub(crate) async fn until(holds: impl Fn() -> bool) {
-    let looking = async {
-        while !holds() {
-            tokio::time::sleep(LOOK_EVERY).await;
+/// Waits until a condition holds.
+pub(crate) async fn wait_until(is_true: impl Fn() -> bool) {
+    let polling = async {
+        while !is_true() {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(SEEN_LIMIT, looking).await.unwrap();
+    tokio::time::timeout(WAIT_LIMIT, polling).await.unwrap();
 }
 
 /// Runs the program without a settings file in its environment.
@@ -145,8 +145,9 @@
     run_with(None, arguments).await
 }
 
-/// Runs the program with this settings file named by the environment, if any. It blocks a thread of its own, as the platform that it
-/// talks to runs on this runtime.
+/// Runs the program, with `GODWITREEL_CONFIG` naming this settings file if there is one.
+/// It runs on a blocking thread, since the stand-in platform that it calls runs on the
+/// test's runtime.
 pub(crate) async fn run_with(config: Option<&str>, arguments: Vec<&str>) -> Run {
     let mut command = assert_cmd::cargo::cargo_bin_cmd!("godwitreel");
     command
@@ -163,7 +164,7 @@
     }
 }
 
-/// An instance's status with these revisions in force.
+/// Returns an instance's status with these document revisions in force.
 pub(crate) fn status(name: &str, revisions: Value) -> Value {
     json!({ "holder": format!("{name}#1"), "zone": "bole", "ready": true,
         "leaving": false, "platform_silent_ms": 3, "revisions": revisions,
