--- a/tests/utils/mod.rs
+++ b/tests/utils/mod.rs
@@ -1,6 +1,7 @@
-//! A small deployment for tests: real daemons as processes, stand-ins in this one.
+//! Runs a small deployment for tests: the daemons as processes, the stand-ins for
+//! callers, servers, fabric and platform in the test process.
 
-#![allow(dead_code, reason = "each test file uses its own part")]
+#![allow(dead_code, reason = "no test file uses all of it")]
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -32,13 +33,13 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-/// Longest wait for anything that must come about.
+/// Longest wait for an expected event.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(40);
 
-/// Slices of the flow space in every deployment.
+/// Number of slices in every deployment.
 const SLICES: u32 = 64;
 
-/// Settings under which failures are noticed fast, so that tests are short.
+/// Returns daemon settings that detect failures fast, which keeps tests short.
 pub(crate) fn quick() -> Value {
     json!({
         "heartbeat_ms": 200,
@@ -47,13 +48,13 @@
     })
 }
 
-/// What a deployment is made of.
+/// Configuration of a deployment.
 pub(crate) struct Plan {
     /// Zone of each entry instance.
     pub(crate) zones: Vec<&'static str>,
-    /// Servers of each service, all in the first zone unless spread.
+    /// Services with their number of servers, which are spread over the zones.
     pub(crate) services: Vec<(&'static str, usize)>,
-    /// Fields of the profile that all services choose.
+    /// Fields of the profile that all services use.
     pub(crate) profile: Value,
     /// Fields added to every daemon's settings.
     pub(crate) settings: Value,
@@ -76,7 +77,7 @@
     }
 }
 
-/// One entry instance, a process of its own.
+/// An entry instance, which runs as a separate process.
 pub(crate) struct Instance {
     pub(crate) name: String,
     pub(crate) zone: &'static str,
@@ -84,11 +85,11 @@
     pub(crate) peer: SocketAddr,
     pub(crate) listeners: BTreeMap<&'static str, SocketAddr>,
     pub(crate) settings: PathBuf,
-    /// Stands before the peer port, in proxied deployments.
+    /// Proxy for the UDP peer port, in proxied deployments.
     pub(crate) peer_proxy: Option<proxy::Handle>,
-    /// Stands before the TCP port of the same number, where copies are served.
+    /// Proxy for the TCP port of the same number, which serves copies of the store.
     pub(crate) copies_proxy: Option<proxy::Handle>,
-    /// Stands before the platform, in proxied deployments.
+    /// Proxy between the instance and the platform, in proxied deployments.
     pub(crate) platform_proxy: Option<proxy::Handle>,
     child: Option<Child>,
 }
@@ -101,7 +102,7 @@
     pub(crate) fabrics: BTreeMap<&'static str, fabric::Handle>,
     pub(crate) instances: Vec<Instance>,
     dir: TempDir,
-    started: usize,
+    start_count: usize,
 }
 
 fn local() -> SocketAddr {
@@ -109,8 +110,8 @@
 }
 
 impl Cluster {
-    /// Starts everything and waits until every instance is ready and every slice
-    /// has a home and a backup.
+    /// Starts the stand-ins and all instances, and waits until every instance is ready
+    /// and every slice has a home and a backup.
     pub(crate) async fn start(plan: Plan) -> Self {
         let mut cluster = Self::prepare(plan).await;
         for place in 0..cluster.plan.zones.len() {
@@ -121,7 +122,7 @@
         cluster
     }
 
-    /// Starts the stand-ins alone.
+    /// Starts only the stand-ins.
     pub(crate) async fn prepare(plan: Plan) -> Self {
         let platform = platform::start(local()).await.expect("platform");
         let mut servers = BTreeMap::new();
@@ -156,18 +157,18 @@
             fabrics,
             instances: Vec::new(),
             dir: TempDir::new().expect("directory"),
-            started: 0,
+            start_count: 0,
         }
     }
 
-    /// Starts one more entry instance and gives it to the fabrics.
+    /// Starts one more entry instance and adds it to the fabrics.
     pub(crate) async fn add(&mut self, zone: &'static str) -> usize {
-        self.started += 1;
-        let name = format!("{zone}-{}", self.started);
+        self.start_count += 1;
+        let name = format!("{zone}-{}", self.start_count);
         self.add_as(zone, name).await
     }
 
-    /// Starts one more entry instance under a name of the test's choice.
+    /// Starts one more entry instance under the given name and adds it to the fabrics.
     pub(crate) async fn add_as(&mut self, zone: &'static str, name: String) -> usize {
         let peer = address::free();
         let status = address::free();
@@ -242,25 +243,25 @@
         std::fs::write(&instance.settings, settings.to_string()).expect("settings");
     }
 
-    /// Waits until every running instance is ready and the slices are spread.
+    /// Waits until every running instance is ready and no slice moves any more.
     ///
-    /// Slices that still move would end larger bodies midway, which is known and
-    /// said, and is no matter of the tests that begin here.
+    /// A slice that moves ends the block-wise transfers of its callers. That is a
+    /// documented limit, and the tests that call this function do not test it.
     pub(crate) async fn settled(&self) {
-        const STILL: Duration = Duration::from_millis(600);
-        const ROUNDS: usize = 60;
-        for _ in 0..ROUNDS {
+        const UNCHANGED_FOR: Duration = Duration::from_millis(600);
+        const MAX_ROUNDS: usize = 60;
+        for _ in 0..MAX_ROUNDS {
             let table = self.platform.get("godwitreel/slices/0");
-            self.spread().await;
-            sleep(STILL).await;
+            self.wait_until_slices_assigned().await;
+            sleep(UNCHANGED_FOR).await;
             if table == self.platform.get("godwitreel/slices/0") {
                 return;
             }
         }
-        panic!("the slices never rest");
+        panic!("the slice table keeps changing");
     }
 
-    async fn spread(&self) {
+    async fn wait_until_slices_assigned(&self) {
         self.until("every slice has a home and a backup", async || {
             let mut homes = 0;
             for instance in self.instances.iter().filter(|i| i.child.is_some()) {
@@ -270,8 +271,9 @@
                 if !status.ready || status.homes == 0 || status.alone > 0 {
                     return false;
                 }
-                let fit = |server: &godwitreel::status::Server| server.takes_work || server.leaving;
-                if status.servers.is_empty() || !status.servers.iter().all(fit) {
+                let takes_work_or_leaves =
+                    |server: &godwitreel::status::Server| server.takes_work || server.leaving;
+                if status.servers.is_empty() || !status.servers.iter().all(takes_work_or_leaves) {
                     return false;
                 }
                 homes += status.homes;
@@ -281,16 +283,16 @@
         .await;
     }
 
-    /// Waits, within [`PATIENCE`], until something holds.
-    pub(crate) async fn until(&self, what: &str, mut holds: impl AsyncFnMut() -> bool) {
+    /// Waits until a condition holds, and panics after [`PATIENCE`].
+    pub(crate) async fn until(&self, condition: &str, mut is_true: impl AsyncFnMut() -> bool) {
         let end = Instant::now() + PATIENCE;
-        while !holds().await {
-            assert!(Instant::now() < end, "did not come about: {what}");
+        while !is_true().await {
+            assert!(Instant::now() < end, "timed out waiting until {condition}");
             sleep(Duration::from_millis(50)).await;
         }
     }
 
-    /// A caller of a service, through the fabric.
+    /// Starts a caller that reaches a service through the fabric.
     pub(crate) async fn caller(&self, service: &str, seed: u64) -> caller::Caller {
         let fabric = &self.fabrics[service];
         let mut settings = caller::Settings::new(fabric.address());
@@ -306,7 +308,7 @@
         self.platform.put("godwitreel/profiles/standard", value);
     }
 
-    /// Lists a server under a state.
+    /// Writes a server's platform entry with the given state.
     pub(crate) fn list_server(&self, name: &str, state: &str) {
         let handle = &self.servers[name];
         let (service, number) = name.rsplit_once('-').expect("a name");
@@ -315,33 +317,34 @@
         list(&self.platform, name, service, zone, handle, state);
     }
 
-    /// How often the request with this payload was started, at all servers.
+    /// How often the servers together have started the request with this payload.
     pub(crate) fn starts(&self, id: &str) -> u64 {
         let servers = self.servers.values();
         servers.map(|server| server.starts(id)).sum()
     }
 
-    /// Requests that reached a server of another service.
+    /// Number of requests that reached a server of another service.
     pub(crate) fn wrong_service(&self) -> u64 {
         let servers = self.servers.values();
         servers.map(server::Handle::wrong_service).sum()
     }
 
-    /// Cuts these instances off from all others, both ways; with none it heals.
+    /// Cuts these instances off from all others in both directions. An empty list
+    /// restores all connections.
     pub(crate) fn part(&self, places: &[usize]) {
         for (place, instance) in self.instances.iter().enumerate() {
-            let inside = places.contains(&place);
+            let is_inside = places.contains(&place);
             let others = self.instances.iter().enumerate();
-            let beyond = others.filter(|(other, _)| places.contains(other) != inside);
-            let senders: BTreeSet<SocketAddr> = beyond.map(|(_, other)| other.peer).collect();
+            let outside = others.filter(|(other, _)| places.contains(other) != is_inside);
+            let senders: BTreeSet<SocketAddr> = outside.map(|(_, other)| other.peer).collect();
             let proxy = instance.peer_proxy.as_ref().expect("proxied");
             proxy.block(senders);
             let copies = instance.copies_proxy.as_ref().expect("proxied");
-            copies.cut_both(inside);
+            copies.cut_both(is_inside);
         }
     }
 
-    /// Cuts every instance off from every other one.
+    /// Cuts all instances off from each other.
     pub(crate) fn isolate(&self) {
         let senders: BTreeSet<SocketAddr> = self.instances.iter().map(|i| i.peer).collect();
         for instance in &self.instances {
@@ -352,13 +355,13 @@
         }
     }
 
-    /// Cuts an instance off from the platform.
+    /// Cuts an instance off from the platform, or reconnects it.
     pub(crate) fn cut_platform(&self, place: usize, cut: bool) {
         let proxy = self.instances[place].platform_proxy.as_ref();
         proxy.expect("proxied").cut_both(cut);
     }
 
-    /// The row of a caller's slice, as the platform has it.
+    /// The slice table row of a caller's slice, as the platform stores it.
     pub(crate) fn row(&self, service: &str, caller: SocketAddr) -> Row {
         let flow = Flow {
             service: service.parse().expect("a service"),
@@ -370,24 +373,24 @@
         document.rows[slice.0 as usize].clone()
     }
 
-    /// Place of the instance that this is.
+    /// Index of the instance with a holder's name.
     pub(crate) fn place(&self, holder: Option<&id::Holder>) -> usize {
         let name = holder.expect("a holder").instance.as_str();
         let mut instances = self.instances.iter();
         instances.position(|i| i.name == name).expect("known")
     }
 
-    /// Place of the home of a caller's slice.
+    /// Index of the home of a caller's slice.
     pub(crate) fn home(&self, service: &str, caller: SocketAddr) -> usize {
         self.place(self.row(service, caller).home.as_ref())
     }
 
-    /// Place of the backup of a caller's slice.
+    /// Index of the backup of a caller's slice.
     pub(crate) fn backup(&self, service: &str, caller: SocketAddr) -> usize {
         self.place(self.row(service, caller).backup.as_ref())
     }
 
-    /// A caller that sends straight to one instance, under its own address.
+    /// Starts a caller that sends directly to an instance's address, past the fabric.
     pub(crate) async fn caller_at(&self, service: &str, place: usize, seed: u64) -> caller::Caller {
         let mut settings = caller::Settings::new(self.instances[place].listeners[service]);
         settings.seed = seed;
@@ -396,23 +399,23 @@
         caller::start(settings).await.expect("caller")
     }
 
-    /// Sends a copy of a datagram to every running instance but one.
+    /// Sends a copy of a datagram to every running instance except one.
     pub(crate) async fn copies(
         &self,
         service: &str,
         caller: &caller::Caller,
         datagram: &[u8],
-        but: usize,
+        except: usize,
     ) {
         for (place, instance) in self.instances.iter().enumerate() {
-            if place != but && instance.child.is_some() {
+            if place != except && instance.child.is_some() {
                 let to = instance.listeners[service];
                 caller.send_copy(datagram, Some(to)).await;
             }
         }
     }
 
-    /// Takes an instance out of the fabrics.
+    /// Removes an instance from the fabrics.
     pub(crate) fn unlist(&self, place: usize) {
         for (service, address) in &self.instances[place].listeners {
             self.fabrics[service].remove(*address);
@@ -420,7 +423,7 @@
     }
 }
 
-/// Proxies before both peer ports, which have one number.
+/// Starts proxies for the UDP and TCP peer ports, which have the same number.
 async fn peer_proxies(peer: SocketAddr, seed: u64) -> (proxy::Handle, proxy::Handle) {
     loop {
         let datagrams = proxy::udp(local(), peer, seed).await.expect("proxy");
@@ -430,7 +433,7 @@
     }
 }
 
-/// Value of a sample in an instance's metrics, summed over its labels.
+/// Sum of all samples with this reason label in an instance's metrics.
 pub(crate) fn counted(metrics: &str, reason: &str) -> u64 {
     let label = format!("reason=\"{reason}\"");
     let samples = metrics.lines().filter(|line| line.contains(&label));
@@ -450,7 +453,7 @@
     handle: &server::Handle,
     state: &str,
 ) {
-    let listed = json!({
+    let entry = json!({
         "service": service,
         "zone": zone,
         "address": handle.address().to_string(),
@@ -458,18 +461,18 @@
         "slots": 2,
         "state": state,
     });
-    platform.put(&format!("platform/servers/{name}"), listed.to_string());
+    platform.put(&format!("platform/servers/{name}"), entry.to_string());
 }
 
 impl Instance {
-    /// Where peers send to.
+    /// The address that peers send to.
     pub(crate) fn advertised(&self) -> SocketAddr {
         self.peer_proxy
             .as_ref()
             .map_or(self.peer, proxy::Handle::address)
     }
 
-    /// Starts the process, again if it has ended.
+    /// Starts the process, or starts it again after it has ended.
     pub(crate) fn launch(&mut self) {
         let child = Command::new(env!("CARGO_BIN_EXE_godwitreeld"))
             .arg(&self.settings)
@@ -480,7 +483,8 @@
         self.child = Some(child);
     }
 
-    /// Where its log goes: a file beside its settings, which tests can read.
+    /// Where the log goes: to a file beside the settings, which tests can read, or with
+    /// `TEST_LOG` to the standard error of the test.
     fn stderr(&self) -> Stdio {
         if std::env::var_os("TEST_LOG").is_some() {
             return Stdio::inherit();
@@ -493,17 +497,17 @@
         self.settings.with_extension("log")
     }
 
-    /// What it has logged so far.
+    /// The log so far.
     pub(crate) fn log(&self) -> String {
         std::fs::read_to_string(self.log_path()).unwrap_or_default()
     }
 
-    /// Whether the process was started and not found to have ended.
+    /// Whether the process was started and has neither been killed nor waited for.
     pub(crate) fn runs(&self) -> bool {
         self.child.is_some()
     }
 
-    /// What it tells of itself, if it answers.
+    /// The answer to `/status`, if the instance answers.
     pub(crate) async fn status(&self) -> Option<Status> {
         let url = format!("http://{}/status", self.status);
         let client = reqwest::Client::new();
@@ -511,7 +515,7 @@
         request.send().await.ok()?.json().await.ok()
     }
 
-    /// Its metrics as text.
+    /// The metrics as text.
     pub(crate) async fn metrics(&self) -> String {
         let url = format!("http://{}/metrics", self.status);
         let answer = reqwest::get(url).await.expect("metrics");
@@ -525,7 +529,7 @@
         nix::sys::signal::kill(pid, signal).expect("signal");
     }
 
-    /// Ends the process at once.
+    /// Kills the process.
     pub(crate) fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -533,7 +537,7 @@
         }
     }
 
-    /// Waits for the process to end by itself; its exit code.
+    /// Waits until the process ends by itself and returns its exit code.
     pub(crate) async fn exited(&mut self) -> Option<i32> {
         let end = Instant::now() + PATIENCE;
         let child = self.child.as_mut().expect("running");
@@ -549,43 +553,44 @@
 }
 
 impl Drop for Instance {
-    /// A test that fails shows what its instances warned of and why they told any
-    /// caller "unknown": their logs go with the test.
+    /// Prints, when a test has failed, the instance's warnings and errors and its
+    /// reasons for outcomes that are unknown. The log files are deleted with the test's
+    /// directory.
     fn drop(&mut self) {
         self.kill();
         if !std::thread::panicking() {
             return;
         }
         let log = self.log();
-        let tells = |line: &&str| {
+        let is_relevant = |line: &&str| {
             ["unknown_", " WARN ", " ERRO "]
                 .iter()
                 .any(|mark| line.contains(mark))
         };
-        for line in log.lines().filter(tells) {
+        for line in log.lines().filter(is_relevant) {
             println!("{}: {line}", self.name);
         }
     }
 }
 
-/// What a feed gave until it was stopped.
+/// What a feed's caller received until it was stopped.
 #[derive(Debug)]
 pub(crate) struct Watched {
-    /// Notifications, each newer than the one before.
+    /// Number of notifications that were newer than all before.
     pub(crate) notifications: u64,
-    /// Longest time between two of them, the end included.
+    /// Longest time between two of these notifications, or from the last to the end.
     pub(crate) longest: Duration,
-    /// Time since the last one.
+    /// Time from the last of these notifications to the end.
     pub(crate) pause: Duration,
-    /// Notifications that came after a newer one.
+    /// Number of notifications that arrived after a newer one.
     pub(crate) outdated: u64,
-    /// Times that it came to be served by another server.
+    /// How often the feed changed to another server.
     pub(crate) moves: u64,
-    /// The last answer, if the feed ended.
+    /// The outcome with which the feed ended, if it did.
     pub(crate) ended: Option<caller::Outcome>,
 }
 
-/// A feed that a task reads without pause.
+/// Reads a feed in a background task.
 pub(crate) struct Watcher {
     stop: tokio::sync::watch::Sender<bool>,
     task: tokio::task::JoinHandle<Watched>,
@@ -609,8 +614,8 @@
 }
 
 async fn watch(mut feed: caller::Feed, stopping: &tokio::sync::watch::Receiver<bool>) -> Watched {
-    const LOOK_EVERY: Duration = Duration::from_millis(100);
-    let mut heard = Instant::now();
+    const POLL_INTERVAL: Duration = Duration::from_millis(100);
+    let mut last_notification = Instant::now();
     let mut watched = Watched {
         notifications: 0,
         longest: Duration::ZERO,
@@ -620,14 +625,14 @@
         ended: None,
     };
     loop {
-        let update = feed.next(LOOK_EVERY).await;
+        let update = feed.next(POLL_INTERVAL).await;
         let now = Instant::now();
-        watched.pause = now.duration_since(heard);
+        watched.pause = now.duration_since(last_notification);
         watched.longest = watched.longest.max(watched.pause);
         match update {
             caller::Update::Notification { .. } => {
                 watched.notifications += 1;
-                heard = now;
+                last_notification = now;
             }
             caller::Update::Ended(outcome) => watched.ended = Some(outcome),
             caller::Update::Silent => {}
