--- a/tests/blocks.rs
+++ b/tests/blocks.rs
@@ -133,7 +133,7 @@
     cluster.servers[&own].drain(true);
     cluster.list_server(&own, "leaving");
     cluster
-        .until("every instance knows of the drain", async || {
+        .wait_until("every instance knows of the drain", async || {
             for instance in &cluster.instances {
                 let status = instance.status().await;
                 let leaving = status.is_some_and(|status| {
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -89,7 +89,7 @@
         feeds.push(driver.observe("/route", DEADLINE).await.expect("a feed"));
     }
     cluster
-        .until("loads are omitted", async || {
+        .wait_until("loads are omitted", async || {
             withheld(&cluster.instances).await > 0
         })
         .await;
@@ -114,7 +114,7 @@
     let known = cluster.instances[0].status().await.expect("a status");
     let index = cluster.add("bole").await;
     cluster
-        .until("the new instance has the configuration", async || {
+        .wait_until("the new instance has the configuration", async || {
             let status = cluster.instances[index].status().await;
             status.is_some_and(|status| status.revisions == known.revisions)
         })
@@ -154,7 +154,7 @@
     assert!(bytes <= peers * BUDGET * seconds, "{bytes} bytes");
     // The debt of a configuration copy at the start may not be paid off yet.
     cluster
-        .until("nothing is omitted", async || {
+        .wait_until("nothing is omitted", async || {
             let before = withheld(&cluster.instances).await;
             tokio::time::sleep(2 * SECOND).await;
             withheld(&cluster.instances).await == before
--- a/tests/change.rs
+++ b/tests/change.rs
@@ -10,9 +10,9 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 use utils::Cluster;
-use utils::PATIENCE;
 use utils::Plan;
-use utils::quick;
+use utils::WAIT_TIMEOUT;
+use utils::fast_detection_settings;
 
 const PROFILE: &str = "profiles/standard";
 const DRAIN: &str = "godwitreel/drain/servers/dispatch-0";
@@ -29,7 +29,7 @@
 async fn in_force(cluster: &Cluster, places: &[usize], wanted: u64) -> Duration {
     let begun = Instant::now();
     cluster
-        .until("the change is in force", async || {
+        .wait_until("the change is in force", async || {
             for place in places {
                 if revision(cluster, *place).await != wanted {
                     return false;
@@ -51,7 +51,7 @@
 
 async fn all_drain(cluster: &Cluster, places: &[usize], wanted: bool) {
     cluster
-        .until("the wish to drain is known", async || {
+        .wait_until("the wish to drain is known", async || {
             for place in places {
                 if drains(cluster, *place).await != Some(wanted) {
                     return false;
@@ -66,7 +66,7 @@
     Plan {
         zones: ["bole", "kality", "merkato"].repeat(3),
         services: vec![("dispatch", 3)],
-        settings: quick(),
+        settings: fast_detection_settings(),
         proxied: true,
         ..Plan::default()
     }
@@ -86,12 +86,12 @@
 
     cluster.cut_platform(0, true);
     cluster.cut_platform(1, true);
-    cluster.part(&[1]);
+    cluster.cut_off(&[1]);
     cluster.change_profile(3, &json!({"retry_after_s": 4}));
     let took = in_force(&cluster, &[0, 2, 3, 4, 5, 6, 7, 8], 3).await;
     println!("one of them from its peers alone: {took:?}");
     assert_eq!(revision(&cluster, 1).await, 2);
-    cluster.part(&[]);
+    cluster.cut_off(&[]);
     cluster.cut_platform(0, false);
     cluster.cut_platform(1, false);
     let took = in_force(&cluster, &ALL, 3).await;
@@ -117,7 +117,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_withdrawn_wish_does_not_come_back_from_a_peer() {
     let cluster = Cluster::start(Plan {
-        settings: quick(),
+        settings: fast_detection_settings(),
         proxied: true,
         ..Plan::default()
     })
@@ -143,7 +143,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_instance_started_without_the_platform_serves() {
     let mut cluster = Cluster::start(Plan {
-        settings: quick(),
+        settings: fast_detection_settings(),
         ..Plan::default()
     })
     .await;
@@ -154,19 +154,22 @@
     let took = in_force(&cluster, &[place], 2).await;
     println!("configured by its seeds after {took:?}");
     cluster
-        .until("it is ready and knows a server", async || {
+        .wait_until("it is ready and knows a server", async || {
             let status = cluster.instances[place].status().await;
             status.is_some_and(|s| s.ready && s.servers.iter().all(|server| server.takes_work))
         })
         .await;
     let caller = cluster.caller_at("dispatch", place, 1).await;
     let outcome = caller
-        .request(RequestType::Get, "/sheet", b"", PATIENCE)
+        .request(RequestType::Get, "/sheet", b"", WAIT_TIMEOUT)
         .await;
     assert!(matches!(outcome, Outcome::Answered { .. }), "{outcome:?}");
-    let mut feed = caller.observe("/route", PATIENCE).await.expect("a feed");
+    let mut feed = caller
+        .observe("/route", WAIT_TIMEOUT)
+        .await
+        .expect("a feed");
     for _ in 0..5 {
-        let update = feed.next(PATIENCE).await;
+        let update = feed.next(WAIT_TIMEOUT).await;
         let open = matches!(update, standin::caller::Update::Notification { .. });
         assert!(open, "{update:?}");
     }
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -13,9 +13,9 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 use utils::Cluster;
-use utils::PATIENCE;
 use utils::Plan;
-use utils::quick;
+use utils::WAIT_TIMEOUT;
+use utils::fast_detection_settings;
 
 /// Time after a signal from which on no new work may come.
 const NOTICE: Duration = Duration::from_secs(2);
@@ -30,11 +30,11 @@
     let mut answered = 0;
     while !*stop.borrow() {
         let outcome = caller
-            .request(RequestType::Post, "/pickup", "work", PATIENCE)
+            .request(RequestType::Post, "/pickup", "work", WAIT_TIMEOUT)
             .await;
         answered += u64::from(matches!(outcome, Outcome::Answered { .. }));
-        if let Ok(feed) = caller.observe("/route", PATIENCE).await {
-            feed.cancel(PATIENCE).await;
+        if let Ok(feed) = caller.observe("/route", WAIT_TIMEOUT).await {
+            feed.cancel(WAIT_TIMEOUT).await;
         }
         sleep(Duration::from_millis(20)).await;
     }
@@ -82,7 +82,7 @@
 async fn cluster() -> Cluster {
     Cluster::start(Plan {
         services: vec![("dispatch", 5)],
-        settings: quick(),
+        settings: fast_detection_settings(),
         profile: json!({"slow_start_s": 0, "retry_budget_percent": 100}),
         ..Plan::default()
     })
@@ -133,7 +133,7 @@
     assert!(after - before <= 2, "{before} {after}");
     cluster.servers["dispatch-0"].shed(false);
     cluster
-        .until("it takes work again", async || {
+        .wait_until("it takes work again", async || {
             cluster.servers["dispatch-0"].starts("work") > after
         })
         .await;
--- a/tests/feeds.rs
+++ b/tests/feeds.rs
@@ -13,10 +13,10 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 use utils::Cluster;
-use utils::PATIENCE;
+use utils::FeedWatcher;
 use utils::Plan;
-use utils::Watcher;
-use utils::quick;
+use utils::WAIT_TIMEOUT;
+use utils::fast_detection_settings;
 
 const FEEDS: u64 = 24;
 const PROFILE: &str = "profiles/standard";
@@ -35,7 +35,7 @@
     while !*stop.borrow() {
         let payload = format!("{name}-{}", outcomes.len());
         let outcome = caller
-            .request(RequestType::Post, "/pickup", payload.clone(), PATIENCE)
+            .request(RequestType::Post, "/pickup", payload.clone(), WAIT_TIMEOUT)
             .await;
         outcomes.push((payload, outcome));
         sleep(Duration::from_millis(100)).await;
@@ -52,7 +52,7 @@
 async fn feeds_survive_the_replacement_of_all_instances() {
     let mut cluster = Cluster::start(Plan {
         services: vec![("dispatch", 4)],
-        settings: quick(),
+        settings: fast_detection_settings(),
         // A draining server refuses bookings until it is known to leave: each
         // must be allowed a second server.
         profile: json!({"slow_start_s": 0, "retry_budget_percent": 100}),
@@ -62,8 +62,11 @@
     let mut feeds = Vec::new();
     for seed in 0..FEEDS {
         let caller = cluster.caller("dispatch", seed).await;
-        let feed = caller.observe("/route", PATIENCE).await.expect("a feed");
-        feeds.push(Watcher::start(caller, feed));
+        let feed = caller
+            .observe("/route", WAIT_TIMEOUT)
+            .await
+            .expect("a feed");
+        feeds.push(FeedWatcher::start(caller, feed));
     }
     let (stop, stopping) = watch::channel(false);
     let mut bookings = JoinSet::new();
@@ -88,12 +91,12 @@
         }
         // The fabric learns late that the instance is leaving.
         sleep(Duration::from_millis(500)).await;
-        cluster.unlist(old);
-        assert_eq!(cluster.instances[old].exited().await, Some(0));
-        cluster.settled().await;
+        cluster.remove_from_fabrics(old);
+        assert_eq!(cluster.instances[old].wait_for_exit().await, Some(0));
+        cluster.wait_until_settled().await;
     }
     stop.send_replace(true);
-    for instance in cluster.instances.iter().filter(|i| i.runs()) {
+    for instance in cluster.instances.iter().filter(|i| i.is_started()) {
         let status = instance.status().await.expect("status");
         assert_eq!(status.revisions[PROFILE].0, 2);
     }
@@ -102,9 +105,9 @@
     let mut longest = Duration::ZERO;
     for feed in feeds {
         let watched = feed.finish().await;
-        assert_eq!(watched.ended, None);
-        assert!(watched.longest < LONGEST_GAP, "{watched:?}");
-        longest = longest.max(watched.longest);
+        assert_eq!(watched.final_outcome, None);
+        assert!(watched.longest_gap < LONGEST_GAP, "{watched:?}");
+        longest = longest.max(watched.longest_gap);
     }
     println!("longest pause of {FEEDS} feeds: {longest:?}");
     assert_eq!(cluster.servers["dispatch-0"].observers(), 0);
@@ -121,7 +124,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_feed_opened_during_a_stop_goes_on() {
     let mut cluster = Cluster::start(Plan {
-        settings: quick(),
+        settings: fast_detection_settings(),
         profile: json!({"slow_start_s": 0, "attempt_timeout_ms": 8_000}),
         ..Plan::default()
     })
@@ -136,11 +139,11 @@
     let address = caller.address().expect("address");
     let home = cluster.home("dispatch", address);
     let opening = tokio::spawn(async move {
-        let feed = caller.observe("/route", PATIENCE).await;
+        let feed = caller.observe("/route", WAIT_TIMEOUT).await;
         (caller, feed)
     });
     cluster
-        .until("the server has the registration", async || {
+        .wait_until("the server has the registration", async || {
             cluster
                 .servers
                 .values()
@@ -152,11 +155,11 @@
     }
     cluster.instances[home].signal(Signal::SIGTERM);
     let (caller, feed) = opening.await.expect("the caller");
-    let feed = Watcher::start(caller, feed.expect("a feed"));
-    assert_eq!(cluster.instances[home].exited().await, Some(0));
+    let feed = FeedWatcher::start(caller, feed.expect("a feed"));
+    assert_eq!(cluster.instances[home].wait_for_exit().await, Some(0));
     sleep(LONGEST_GAP + Duration::from_secs(1)).await;
     let watched = feed.finish().await;
-    assert_eq!(watched.ended, None);
-    println!("longest pause: {:?}", watched.longest);
-    assert!(watched.longest < LONGEST_GAP, "{watched:?}");
+    assert_eq!(watched.final_outcome, None);
+    println!("longest pause: {:?}", watched.longest_gap);
+    assert!(watched.longest_gap < LONGEST_GAP, "{watched:?}");
 }
--- a/tests/foreign.rs
+++ b/tests/foreign.rs
@@ -14,8 +14,8 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 use utils::Cluster;
-use utils::PATIENCE;
 use utils::Plan;
+use utils::WAIT_TIMEOUT;
 
 /// Wait of the client for one answer before it sends again.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -93,7 +93,7 @@
     let end = client.observe("/route", handler).await.expect("a feed");
     let mut server = String::new();
     for _ in 0..5 {
-        let payload = timeout(PATIENCE, notifications.recv()).await;
+        let payload = timeout(WAIT_TIMEOUT, notifications.recv()).await;
         let payload = payload.expect("in time").expect("a notification");
         let (name, _) = payload.split_once(",n=").expect("server and number");
         server = name.trim_start_matches("server=").to_owned();
@@ -101,15 +101,15 @@
     cluster.servers[&server].drain(true);
     cluster.list_server(&server, "leaving");
     cluster
-        .until("another server feeds", async || {
-            let payload = timeout(PATIENCE, notifications.recv()).await;
+        .wait_until("another server feeds", async || {
+            let payload = timeout(WAIT_TIMEOUT, notifications.recv()).await;
             let payload = payload.expect("in time").expect("a notification");
             !payload.contains(&server)
         })
         .await;
     end.send(ObserveMessage::Terminate).expect("an end");
     cluster
-        .until("no server has the feed", async || {
+        .wait_until("no server has the feed", async || {
             let mut servers = cluster.servers.values();
             servers.all(|server| server.observers() == 0)
         })
--- a/tests/once.rs
+++ b/tests/once.rs
@@ -13,9 +13,9 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 use utils::Cluster;
-use utils::PATIENCE;
 use utils::Plan;
-use utils::quick;
+use utils::WAIT_TIMEOUT;
+use utils::fast_detection_settings;
 
 const SLOW: Duration = Duration::from_millis(2_500);
 const CALLERS: u64 = 10;
@@ -28,7 +28,7 @@
     Cluster::start(Plan {
         zones: vec!["bole", "kality", "merkato", "ayat"],
         services: vec![("dispatch", servers)],
-        settings: quick(),
+        settings: fast_detection_settings(),
         profile: json!({"slow_start_s": 0, "retry_budget_percent": 100}),
         ..Plan::default()
     })
@@ -65,34 +65,40 @@
     let address = caller.address().expect("address");
     let mut exchange = caller.begin(RequestType::Post, "/pickup", "booking").await;
     let datagram = exchange.datagram();
-    cluster.copies("dispatch", &caller, &datagram, home).await;
     cluster
-        .until("the booking starts", async || {
+        .send_copies("dispatch", &caller, &datagram, home)
+        .await;
+    cluster
+        .wait_until("the booking starts", async || {
             cluster.starts("booking") == 1
         })
         .await;
     cluster.instances[home].signal(Signal::SIGSTOP);
-    cluster.copies("dispatch", &caller, &datagram, home).await;
     cluster
-        .until("the backup takes over", async || {
+        .send_copies("dispatch", &caller, &datagram, home)
+        .await;
+    cluster
+        .wait_until("the backup takes over", async || {
             cluster.home("dispatch", address) != home
         })
         .await;
-    cluster.copies("dispatch", &caller, &datagram, home).await;
-    let first = exchange.outcome(PATIENCE).await;
+    cluster
+        .send_copies("dispatch", &caller, &datagram, home)
+        .await;
+    let first = exchange.outcome(WAIT_TIMEOUT).await;
     assert_eq!(first, Outcome::Unknown);
     // New bookings of the same caller run at the new home.
     let next = caller
-        .request(RequestType::Post, "/pickup", "next", PATIENCE)
+        .request(RequestType::Post, "/pickup", "next", WAIT_TIMEOUT)
         .await;
     assert!(matches!(next, Outcome::Answered { .. }), "{next:?}");
     cluster.instances[home].signal(Signal::SIGCONT);
     cluster
-        .copies("dispatch", &caller, &datagram, TRIES as usize)
+        .send_copies("dispatch", &caller, &datagram, TRIES as usize)
         .await;
     sleep(SLOW).await;
     cluster
-        .copies("dispatch", &caller, &datagram, TRIES as usize)
+        .send_copies("dispatch", &caller, &datagram, TRIES as usize)
         .await;
     sleep(SLOW).await;
     assert_eq!(cluster.starts("booking"), 1);
@@ -112,15 +118,19 @@
     let (caller, home) = outsider(&cluster).await;
     let mut exchange = caller.begin(RequestType::Post, "/pickup", "booking").await;
     cluster
-        .until("the booking starts", async || {
+        .wait_until("the booking starts", async || {
             cluster.starts("booking") == 1
         })
         .await;
     cluster.instances[home].kill();
     let datagram = exchange.datagram();
-    cluster.copies("dispatch", &caller, &datagram, home).await;
-    assert_eq!(exchange.outcome(PATIENCE).await, Outcome::Unknown);
-    cluster.copies("dispatch", &caller, &datagram, home).await;
+    cluster
+        .send_copies("dispatch", &caller, &datagram, home)
+        .await;
+    assert_eq!(exchange.outcome(WAIT_TIMEOUT).await, Outcome::Unknown);
+    cluster
+        .send_copies("dispatch", &caller, &datagram, home)
+        .await;
     sleep(SLOW).await;
     assert_eq!(cluster.starts("booking"), 1);
 }
@@ -196,7 +206,7 @@
     cluster.instances[1].kill();
     sleep(Duration::from_secs(2)).await;
     cluster.platform.lose_answers(4);
-    cluster.unlist(1);
+    cluster.remove_from_fabrics(1);
     let mut outcomes = Vec::new();
     while let Some(history) = histories.join_next().await {
         outcomes.extend(history.expect("a history"));
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -120,16 +120,20 @@
     let instance = &cluster.instances[index];
     let has_answered = async || instance.status().await.is_some();
     cluster
-        .until("the instance answers status requests", has_answered)
+        .wait_until("the instance answers status requests", has_answered)
         .await;
 }
 
 async fn stop(cluster: &mut Cluster, name: &str) {
     let index = instance_index(cluster, name);
-    cluster.unlist(index);
+    cluster.remove_from_fabrics(index);
     let instance = &mut cluster.instances[index];
     instance.signal(Signal::SIGTERM);
-    assert_eq!(instance.exited().await, Some(0), "{name} stops gracefully");
+    assert_eq!(
+        instance.wait_for_exit().await,
+        Some(0),
+        "{name} stops gracefully"
+    );
 }
 
 async fn carry_out(cluster: &mut Cluster, operator_dir: &OperatorDir, step: &Step) {
@@ -174,7 +178,7 @@
         "An instance is replaced under the same name",
         |cluster| {
             let index = instance_index(cluster, "kality-1");
-            cluster.unlist(index);
+            cluster.remove_from_fabrics(index);
             cluster.instances[index].kill();
         },
         |_| {},
@@ -199,7 +203,7 @@
     let operator_dir = OperatorDir::new();
     for section in &sections {
         if !cluster.instances.is_empty() {
-            cluster.settled().await;
+            cluster.wait_until_settled().await;
         }
         let fault = FAULTS.iter().find(|(title, ..)| *title == section.title);
         if let Some((_, begin, _)) = fault {
@@ -213,7 +217,7 @@
             end(&mut cluster);
         }
     }
-    cluster.settled().await;
+    cluster.wait_until_settled().await;
     let plot = std::fs::read_to_string(operator_dir.file("burn.svg")).expect("a plot");
     assert!(plot.contains("<svg"), "{plot}");
 }
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -10,9 +10,9 @@
 use standin::caller::Update;
 use tokio::time::Instant;
 use utils::Cluster;
-use utils::PATIENCE;
 use utils::Plan;
-use utils::quick;
+use utils::WAIT_TIMEOUT;
+use utils::fast_detection_settings;
 
 const SILENCE: Duration = Duration::from_secs(2);
 
@@ -27,25 +27,28 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_silent_feed_comes_back_without_the_caller() {
     let cluster = Cluster::start(Plan {
-        settings: quick(),
+        settings: fast_detection_settings(),
         profile: json!({"feed_silence_s": SILENCE.as_secs(), "slow_start_s": 0}),
         ..Plan::default()
     })
     .await;
     let driver = cluster.caller("dispatch", 1).await;
-    let mut feed = driver.observe("/route", PATIENCE).await.expect("a feed");
+    let mut feed = driver
+        .observe("/route", WAIT_TIMEOUT)
+        .await
+        .expect("a feed");
     for round in 0..2 {
         let dropped_at = Instant::now();
         for server in cluster.servers.values() {
             server.forget();
         }
         let outcome = driver
-            .request(RequestType::Get, "/sheet", b"", PATIENCE)
+            .request(RequestType::Get, "/sheet", b"", WAIT_TIMEOUT)
             .await;
         assert!(matches!(outcome, Outcome::Answered { .. }), "{outcome:?}");
         // Notifications sent before the server dropped the registration arrive first.
         while let Update::Notification { .. } = feed.next(Duration::from_millis(600)).await {}
-        let update = feed.next(PATIENCE).await;
+        let update = feed.next(WAIT_TIMEOUT).await;
         let gap = dropped_at.elapsed();
         assert!(matches!(update, Update::Notification { .. }), "{update:?}");
         println!("round {round}: notifications resumed after {gap:?}");
@@ -53,7 +56,7 @@
         let observers: usize = cluster.servers.values().map(|s| s.observers()).sum();
         assert_eq!(observers, 1);
         for _ in 0..5 {
-            let update = feed.next(PATIENCE).await;
+            let update = feed.next(WAIT_TIMEOUT).await;
             assert!(matches!(update, Update::Notification { .. }), "{update:?}");
         }
     }
@@ -65,18 +68,21 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_feed_of_a_frozen_server_moves_to_another() {
     let cluster = Cluster::start(Plan {
-        settings: quick(),
+        settings: fast_detection_settings(),
         profile: json!({"feed_silence_s": SILENCE.as_secs(), "slow_start_s": 0}),
         ..Plan::default()
     })
     .await;
     let driver = cluster.caller("dispatch", 1).await;
-    let mut feed = driver.observe("/route", PATIENCE).await.expect("a feed");
+    let mut feed = driver
+        .observe("/route", WAIT_TIMEOUT)
+        .await
+        .expect("a feed");
     let server = feed.server().expect("a server").to_owned();
     cluster.servers[&server].freeze(true);
     let frozen = Instant::now();
     while feed.server() == Some(&server) {
-        let update = feed.next(PATIENCE).await;
+        let update = feed.next(WAIT_TIMEOUT).await;
         assert!(matches!(update, Update::Notification { .. }), "{update:?}");
     }
     println!("moved after {:?}", frozen.elapsed());
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -11,16 +11,16 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 use utils::Cluster;
-use utils::PATIENCE;
 use utils::Plan;
-use utils::quick;
+use utils::WAIT_TIMEOUT;
+use utils::fast_detection_settings;
 
 const SLOW: Duration = Duration::from_millis(800);
 
 async fn slow_cluster(proxied: bool) -> Cluster {
     let cluster = Cluster::start(Plan {
         services: vec![("dispatch", 6)],
-        settings: quick(),
+        settings: fast_detection_settings(),
         profile: json!({"slow_start_s": 0, "retry_budget_percent": 100}),
         proxied,
         ..Plan::default()
@@ -41,7 +41,7 @@
         requests.spawn(async move {
             let body = payload.clone();
             let outcome = caller
-                .request(RequestType::Post, "/pickup", body, PATIENCE)
+                .request(RequestType::Post, "/pickup", body, WAIT_TIMEOUT)
                 .await;
             (payload, outcome)
         });
@@ -73,10 +73,10 @@
         let later = load(&cluster, 6, &format!("later-{round}")).await;
         all_answered(&cluster, requests).await;
         all_answered(&cluster, later).await;
-        cluster.unlist(round);
-        assert_eq!(cluster.instances[round].exited().await, Some(0));
+        cluster.remove_from_fabrics(round);
+        assert_eq!(cluster.instances[round].wait_for_exit().await, Some(0));
         cluster.add("merkato").await;
-        cluster.settled().await;
+        cluster.wait_until_settled().await;
     }
 }
 
@@ -89,16 +89,16 @@
     let requests = load(&cluster, 9, "before").await;
     // Every claim has been acknowledged once every request has started.
     cluster
-        .until("all have started", async || {
+        .wait_until("all have started", async || {
             (0..9).all(|n| cluster.starts(&format!("before-{n}")) == 1)
         })
         .await;
-    cluster.part(&[0]);
+    cluster.cut_off(&[0]);
     cluster.cut_platform(0, true);
-    cluster.unlist(0);
+    cluster.remove_from_fabrics(0);
     cluster.instances[0].signal(Signal::SIGTERM);
     all_answered(&cluster, requests).await;
-    assert_eq!(cluster.instances[0].exited().await, Some(0));
+    assert_eq!(cluster.instances[0].wait_for_exit().await, Some(0));
 }
 
 /// Callers go on booking at an instance that is told to stop while the platform
@@ -108,7 +108,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stop_under_load_without_the_platform_cuts_nothing() {
     const GRACE_S: u64 = 10;
-    let mut settings = quick();
+    let mut settings = fast_detection_settings();
     settings["stop_grace_s"] = json!(GRACE_S);
     let mut cluster = Cluster::start(Plan {
         services: vec![("dispatch", 6)],
@@ -141,7 +141,7 @@
             }
         });
     }
-    assert_eq!(cluster.instances[0].exited().await, Some(0));
+    assert_eq!(cluster.instances[0].wait_for_exit().await, Some(0));
     for (payload, outcome) in tasks.join_all().await.into_iter().flatten() {
         let starts = cluster.starts(&payload);
         match outcome {
@@ -159,7 +159,7 @@
 async fn a_second_signal_ends_at_once_and_tells_the_count() {
     let mut cluster = slow_cluster(false).await;
     for server in cluster.servers.values() {
-        server.set_service_time(PATIENCE);
+        server.set_service_time(WAIT_TIMEOUT);
     }
     let caller = cluster.caller_at("dispatch", 0, 1).await;
     let address = caller.address().expect("address");
@@ -168,7 +168,7 @@
     cluster.instances[home].signal(Signal::SIGTERM);
     let _exchange = caller.begin(RequestType::Post, "/pickup", "cut").await;
     cluster
-        .until("the request runs", async || cluster.starts("cut") == 1)
+        .wait_until("the request runs", async || cluster.starts("cut") == 1)
         .await;
     let mut at = home;
     let busy = async |place: usize| {
@@ -181,11 +181,11 @@
         cluster.instances[at].signal(Signal::SIGTERM);
     }
     cluster
-        .until("the home has it in progress", async || busy(at).await)
+        .wait_until("the home has it in progress", async || busy(at).await)
         .await;
     sleep(Duration::from_millis(200)).await;
     cluster.instances[at].signal(Signal::SIGTERM);
-    assert_eq!(cluster.instances[at].exited().await, Some(2));
+    assert_eq!(cluster.instances[at].wait_for_exit().await, Some(2));
     let log = cluster.instances[at].log();
     assert!(log.contains("second signal"), "{log}");
     assert!(log.contains("cut: 1"), "{log}");
--- a/tests/utils/mod.rs
+++ b/tests/utils/mod.rs
@@ -34,13 +34,13 @@
 use tokio::time::sleep;
 
 /// Longest wait for an expected event.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(40);
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// Number of slices in every deployment.
 const SLICES: u32 = 64;
 
 /// Returns daemon settings that detect failures fast, which keeps tests short.
-pub(crate) fn quick() -> Value {
+pub(crate) fn fast_detection_settings() -> Value {
     json!({
         "heartbeat_ms": 200,
         "suspect_after_ms": 900,
@@ -88,7 +88,7 @@
     /// Proxy for the UDP peer port, in proxied deployments.
     pub(crate) peer_proxy: Option<proxy::Handle>,
     /// Proxy for the TCP port of the same number, which serves copies of the store.
-    pub(crate) copies_proxy: Option<proxy::Handle>,
+    pub(crate) store_copy_proxy: Option<proxy::Handle>,
     /// Proxy between the instance and the platform, in proxied deployments.
     pub(crate) platform_proxy: Option<proxy::Handle>,
     child: Option<Child>,
@@ -114,11 +114,11 @@
     /// and every slice has a home and a backup.
     pub(crate) async fn start(plan: Plan) -> Self {
         let mut cluster = Self::prepare(plan).await;
-        for place in 0..cluster.plan.zones.len() {
-            let zone = cluster.plan.zones[place];
+        for index in 0..cluster.plan.zones.len() {
+            let zone = cluster.plan.zones[index];
             cluster.add(zone).await;
         }
-        cluster.settled().await;
+        cluster.wait_until_settled().await;
         cluster
     }
 
@@ -186,7 +186,7 @@
             peer,
             listeners,
             peer_proxy: None,
-            copies_proxy: None,
+            store_copy_proxy: None,
             platform_proxy: None,
             child: None,
         };
@@ -195,7 +195,7 @@
             let platform = self.platform.address();
             let (datagrams, copies) = peer_proxies(peer, seed).await;
             instance.peer_proxy = Some(datagrams);
-            instance.copies_proxy = Some(copies);
+            instance.store_copy_proxy = Some(copies);
             let proxy = proxy::tcp(local(), platform, seed).await;
             instance.platform_proxy = Some(proxy.expect("proxy"));
         }
@@ -247,7 +247,7 @@
     ///
     /// A slice that moves ends the block-wise transfers of its callers. That is a
     /// documented limit, and the tests that call this function do not test it.
-    pub(crate) async fn settled(&self) {
+    pub(crate) async fn wait_until_settled(&self) {
         const UNCHANGED_FOR: Duration = Duration::from_millis(600);
         const MAX_ROUNDS: usize = 60;
         for _ in 0..MAX_ROUNDS {
@@ -262,7 +262,7 @@
     }
 
     async fn wait_until_slices_assigned(&self) {
-        self.until("every slice has a home and a backup", async || {
+        self.wait_until("every slice has a home and a backup", async || {
             let mut homes = 0;
             for instance in self.instances.iter().filter(|i| i.child.is_some()) {
                 let Some(status) = instance.status().await else {
@@ -283,9 +283,9 @@
         .await;
     }
 
-    /// Waits until a condition holds, and panics after [`PATIENCE`].
-    pub(crate) async fn until(&self, condition: &str, mut is_true: impl AsyncFnMut() -> bool) {
-        let end = Instant::now() + PATIENCE;
+    /// Waits until a condition holds, and panics after [`WAIT_TIMEOUT`].
+    pub(crate) async fn wait_until(&self, condition: &str, mut is_true: impl AsyncFnMut() -> bool) {
+        let end = Instant::now() + WAIT_TIMEOUT;
         while !is_true().await {
             assert!(Instant::now() < end, "timed out waiting until {condition}");
             sleep(Duration::from_millis(50)).await;
@@ -331,15 +331,15 @@
 
     /// Cuts these instances off from all others in both directions. An empty list
     /// restores all connections.
-    pub(crate) fn part(&self, places: &[usize]) {
-        for (place, instance) in self.instances.iter().enumerate() {
-            let is_inside = places.contains(&place);
+    pub(crate) fn cut_off(&self, indices: &[usize]) {
+        for (index, instance) in self.instances.iter().enumerate() {
+            let is_inside = indices.contains(&index);
             let others = self.instances.iter().enumerate();
-            let outside = others.filter(|(other, _)| places.contains(other) != is_inside);
+            let outside = others.filter(|(other, _)| indices.contains(other) != is_inside);
             let senders: BTreeSet<SocketAddr> = outside.map(|(_, other)| other.peer).collect();
             let proxy = instance.peer_proxy.as_ref().expect("proxied");
             proxy.block(senders);
-            let copies = instance.copies_proxy.as_ref().expect("proxied");
+            let copies = instance.store_copy_proxy.as_ref().expect("proxied");
             copies.cut_both(is_inside);
         }
     }
@@ -350,19 +350,19 @@
         for instance in &self.instances {
             let proxy = instance.peer_proxy.as_ref().expect("proxied");
             proxy.block(senders.clone());
-            let copies = instance.copies_proxy.as_ref().expect("proxied");
+            let copies = instance.store_copy_proxy.as_ref().expect("proxied");
             copies.cut_both(true);
         }
     }
 
     /// Cuts an instance off from the platform, or reconnects it.
-    pub(crate) fn cut_platform(&self, place: usize, cut: bool) {
-        let proxy = self.instances[place].platform_proxy.as_ref();
+    pub(crate) fn cut_platform(&self, index: usize, cut: bool) {
+        let proxy = self.instances[index].platform_proxy.as_ref();
         proxy.expect("proxied").cut_both(cut);
     }
 
     /// The slice table row of a caller's slice, as the platform stores it.
-    pub(crate) fn row(&self, service: &str, caller: SocketAddr) -> Row {
+    pub(crate) fn slice_row(&self, service: &str, caller: SocketAddr) -> Row {
         let flow = Flow {
             service: service.parse().expect("a service"),
             caller: id::Endpoint(caller),
@@ -374,7 +374,7 @@
     }
 
     /// Index of the instance with a holder's name.
-    pub(crate) fn place(&self, holder: Option<&id::Holder>) -> usize {
+    pub(crate) fn instance_index(&self, holder: Option<&id::Holder>) -> usize {
         let name = holder.expect("a holder").instance.as_str();
         let mut instances = self.instances.iter();
         instances.position(|i| i.name == name).expect("known")
@@ -382,17 +382,17 @@
 
     /// Index of the home of a caller's slice.
     pub(crate) fn home(&self, service: &str, caller: SocketAddr) -> usize {
-        self.place(self.row(service, caller).home.as_ref())
+        self.instance_index(self.slice_row(service, caller).home.as_ref())
     }
 
     /// Index of the backup of a caller's slice.
     pub(crate) fn backup(&self, service: &str, caller: SocketAddr) -> usize {
-        self.place(self.row(service, caller).backup.as_ref())
+        self.instance_index(self.slice_row(service, caller).backup.as_ref())
     }
 
     /// Starts a caller that sends directly to an instance's address, past the fabric.
-    pub(crate) async fn caller_at(&self, service: &str, place: usize, seed: u64) -> caller::Caller {
-        let mut settings = caller::Settings::new(self.instances[place].listeners[service]);
+    pub(crate) async fn caller_at(&self, service: &str, index: usize, seed: u64) -> caller::Caller {
+        let mut settings = caller::Settings::new(self.instances[index].listeners[service]);
         settings.seed = seed;
         settings.ack_timeout = Duration::from_millis(700);
         settings.max_retransmit = 5;
@@ -400,15 +400,15 @@
     }
 
     /// Sends a copy of a datagram to every running instance except one.
-    pub(crate) async fn copies(
+    pub(crate) async fn send_copies(
         &self,
         service: &str,
         caller: &caller::Caller,
         datagram: &[u8],
         except: usize,
     ) {
-        for (place, instance) in self.instances.iter().enumerate() {
-            if place != except && instance.child.is_some() {
+        for (index, instance) in self.instances.iter().enumerate() {
+            if index != except && instance.child.is_some() {
                 let to = instance.listeners[service];
                 caller.send_copy(datagram, Some(to)).await;
             }
@@ -416,8 +416,8 @@
     }
 
     /// Removes an instance from the fabrics.
-    pub(crate) fn unlist(&self, place: usize) {
-        for (service, address) in &self.instances[place].listeners {
+    pub(crate) fn remove_from_fabrics(&self, index: usize) {
+        for (service, address) in &self.instances[index].listeners {
             self.fabrics[service].remove(*address);
         }
     }
@@ -434,7 +434,7 @@
 }
 
 /// Sum of all samples with this reason label in an instance's metrics.
-pub(crate) fn counted(metrics: &str, reason: &str) -> u64 {
+pub(crate) fn metric_sum(metrics: &str, reason: &str) -> u64 {
     let label = format!("reason=\"{reason}\"");
     let samples = metrics.lines().filter(|line| line.contains(&label));
     let values = samples.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok());
@@ -503,7 +503,7 @@
     }
 
     /// Whether the process was started and has neither been killed nor waited for.
-    pub(crate) fn runs(&self) -> bool {
+    pub(crate) fn is_started(&self) -> bool {
         self.child.is_some()
     }
 
@@ -538,8 +538,8 @@
     }
 
     /// Waits until the process ends by itself and returns its exit code.
-    pub(crate) async fn exited(&mut self) -> Option<i32> {
-        let end = Instant::now() + PATIENCE;
+    pub(crate) async fn wait_for_exit(&mut self) -> Option<i32> {
+        let end = Instant::now() + WAIT_TIMEOUT;
         let child = self.child.as_mut().expect("running");
         loop {
             if let Some(status) = child.try_wait().expect("wait") {
@@ -575,28 +575,28 @@
 
 /// What a feed's caller received until it was stopped.
 #[derive(Debug)]
-pub(crate) struct Watched {
+pub(crate) struct FeedSummary {
     /// Number of notifications that were newer than all before.
     pub(crate) notifications: u64,
     /// Longest time between two of these notifications, or from the last to the end.
-    pub(crate) longest: Duration,
+    pub(crate) longest_gap: Duration,
     /// Time from the last of these notifications to the end.
-    pub(crate) pause: Duration,
+    pub(crate) current_gap: Duration,
     /// Number of notifications that arrived after a newer one.
     pub(crate) outdated: u64,
     /// How often the feed changed to another server.
     pub(crate) moves: u64,
     /// The outcome with which the feed ended, if it did.
-    pub(crate) ended: Option<caller::Outcome>,
+    pub(crate) final_outcome: Option<caller::Outcome>,
 }
 
 /// Reads a feed in a background task.
-pub(crate) struct Watcher {
+pub(crate) struct FeedWatcher {
     stop: tokio::sync::watch::Sender<bool>,
-    task: tokio::task::JoinHandle<Watched>,
+    task: tokio::task::JoinHandle<FeedSummary>,
 }
 
-impl Watcher {
+impl FeedWatcher {
     pub(crate) fn start(caller: caller::Caller, feed: caller::Feed) -> Self {
         let (stop, stopping) = tokio::sync::watch::channel(false);
         let task = tokio::spawn(async move {
@@ -607,40 +607,43 @@
         Self { stop, task }
     }
 
-    pub(crate) async fn finish(self) -> Watched {
+    pub(crate) async fn finish(self) -> FeedSummary {
         self.stop.send_replace(true);
         self.task.await.expect("the watcher")
     }
 }
 
-async fn watch(mut feed: caller::Feed, stopping: &tokio::sync::watch::Receiver<bool>) -> Watched {
+async fn watch(
+    mut feed: caller::Feed,
+    stopping: &tokio::sync::watch::Receiver<bool>,
+) -> FeedSummary {
     const POLL_INTERVAL: Duration = Duration::from_millis(100);
     let mut last_notification = Instant::now();
-    let mut watched = Watched {
+    let mut summary = FeedSummary {
         notifications: 0,
-        longest: Duration::ZERO,
-        pause: Duration::ZERO,
+        longest_gap: Duration::ZERO,
+        current_gap: Duration::ZERO,
         outdated: 0,
         moves: 0,
-        ended: None,
+        final_outcome: None,
     };
     loop {
         let update = feed.next(POLL_INTERVAL).await;
         let now = Instant::now();
-        watched.pause = now.duration_since(last_notification);
-        watched.longest = watched.longest.max(watched.pause);
+        summary.current_gap = now.duration_since(last_notification);
+        summary.longest_gap = summary.longest_gap.max(summary.current_gap);
         match update {
             caller::Update::Notification { .. } => {
-                watched.notifications += 1;
+                summary.notifications += 1;
                 last_notification = now;
             }
-            caller::Update::Ended(outcome) => watched.ended = Some(outcome),
+            caller::Update::Ended(outcome) => summary.final_outcome = Some(outcome),
             caller::Update::Silent => {}
         }
-        watched.moves = feed.moves();
-        watched.outdated = feed.outdated();
-        if watched.ended.is_some() || *stopping.borrow() {
-            return watched;
+        summary.moves = feed.moves();
+        summary.outdated = feed.outdated();
+        if summary.final_outcome.is_some() || *stopping.borrow() {
+            return summary;
         }
     }
 }
--- a/tests/wrong.rs
+++ b/tests/wrong.rs
@@ -17,17 +17,17 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 use utils::Cluster;
-use utils::PATIENCE;
 use utils::Plan;
-use utils::counted;
-use utils::quick;
+use utils::WAIT_TIMEOUT;
+use utils::fast_detection_settings;
+use utils::metric_sum;
 
 /// Least time that a process needs to start.
 const START_TIME: Duration = Duration::from_millis(50);
 
 /// Starts a server as soon as the one before it has let go of the addresses.
 async fn takeover(settings: server::Settings) -> server::Handle {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     sleep(START_TIME).await;
     loop {
         match server::start(settings.clone()).await {
@@ -48,7 +48,7 @@
 async fn a_server_of_another_service_on_an_old_address_runs_nothing() {
     let mut cluster = Cluster::start(Plan {
         services: vec![("dispatch", 3), ("ledger", 1)],
-        settings: quick(),
+        settings: fast_detection_settings(),
         profile: json!({"slow_start_s": 0}),
         ..Plan::default()
     })
@@ -66,7 +66,7 @@
     while Instant::now() < end {
         let payload = format!("booking-{number}");
         caller
-            .request(RequestType::Post, "/pickup", payload, PATIENCE)
+            .request(RequestType::Post, "/pickup", payload, WAIT_TIMEOUT)
             .await;
         number += 1;
     }
@@ -83,7 +83,7 @@
 async fn count(cluster: &Cluster, reason: &str) -> u64 {
     let mut sum = 0;
     for instance in &cluster.instances {
-        sum += counted(&instance.metrics().await, reason);
+        sum += metric_sum(&instance.metrics().await, reason);
     }
     sum
 }
@@ -109,13 +109,16 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn foreign_and_malformed_datagrams_are_dropped_and_counted() {
     let cluster = Cluster::start(Plan {
-        settings: quick(),
+        settings: fast_detection_settings(),
         ..Plan::default()
     })
     .await;
     let begun = Instant::now();
     let driver = cluster.caller("dispatch", 1).await;
-    let mut feed = driver.observe("/route", PATIENCE).await.expect("a feed");
+    let mut feed = driver
+        .observe("/route", WAIT_TIMEOUT)
+        .await
+        .expect("a feed");
     let seen: Vec<_> = cluster
         .servers
         .values()
@@ -127,7 +130,7 @@
         let before = count(&cluster, "foreign_answer").await;
         send(&forged_answer(token), backend).await;
         cluster
-            .until(&format!("{token:x?} is counted"), async || {
+            .wait_until(&format!("{token:x?} is counted"), async || {
                 count(&cluster, "foreign_answer").await > before
             })
             .await;
@@ -141,7 +144,7 @@
     // An answer where a request belongs.
     send(&forged_answer([1; 8]), listener).await;
     cluster
-        .until("five bad datagrams are counted", async || {
+        .wait_until("five bad datagrams are counted", async || {
             count(&cluster, "bad_datagram").await >= before + 5
         })
         .await;
@@ -150,19 +153,19 @@
         send(&vec![7; length], cluster.instances[1].peer).await;
     }
     cluster
-        .until("forged peer messages are counted", async || {
+        .wait_until("forged peer messages are counted", async || {
             count(&cluster, "bad_peer_message").await >= before + 4
         })
         .await;
     let outcome = driver
-        .request(RequestType::Get, "/sheet", b"", PATIENCE)
+        .request(RequestType::Get, "/sheet", b"", WAIT_TIMEOUT)
         .await;
     let Outcome::Answered { payload, .. } = &outcome else {
         panic!("{outcome:?}");
     };
     assert!(payload.starts_with(b"server="), "{outcome:?}");
     for _ in 0..5 {
-        let Update::Notification { payload, .. } = feed.next(PATIENCE).await else {
+        let Update::Notification { payload, .. } = feed.next(WAIT_TIMEOUT).await else {
             panic!("the feed ended");
         };
         assert!(payload.starts_with(b"server="));
@@ -179,13 +182,13 @@
 async fn an_unknown_service_is_counted() {
     let cluster = Cluster::start(Plan {
         services: vec![("dispatch", 2), ("ledger", 2)],
-        settings: quick(),
+        settings: fast_detection_settings(),
         ..Plan::default()
     })
     .await;
     cluster.platform.delete("godwitreel/services/ledger");
     cluster
-        .until("the service is gone", async || {
+        .wait_until("the service is gone", async || {
             for instance in &cluster.instances {
                 let status = instance.status().await.expect("status");
                 if status.revisions.contains_key("services/ledger") {
@@ -199,7 +202,7 @@
     let office = cluster.caller_at("ledger", 0, 1).await;
     // The workers are told a moment after the status shows it.
     cluster
-        .until("a request gets no answer", async || {
+        .wait_until("a request gets no answer", async || {
             let request = office.request(RequestType::Get, "/sheet", b"", Duration::from_secs(1));
             request.await == Outcome::Silent
         })
@@ -207,7 +210,7 @@
     assert!(count(&cluster, "unknown_service").await > before);
     let driver = cluster.caller("dispatch", 2).await;
     let outcome = driver
-        .request(RequestType::Get, "/route", b"", PATIENCE)
+        .request(RequestType::Get, "/route", b"", WAIT_TIMEOUT)
         .await;
     assert!(matches!(outcome, Outcome::Answered { .. }), "{outcome:?}");
 }
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -15,10 +15,10 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 use utils::Cluster;
-use utils::PATIENCE;
+use utils::FeedWatcher;
 use utils::Plan;
-use utils::Watcher;
-use utils::quick;
+use utils::WAIT_TIMEOUT;
+use utils::fast_detection_settings;
 
 const BOOKINGS: u64 = 30;
 
@@ -29,14 +29,14 @@
 async fn book(caller: Caller, payload: String) -> (String, Outcome, Caller) {
     let body = payload.clone();
     let outcome = caller
-        .request(RequestType::Post, "/pickup", body, PATIENCE)
+        .request(RequestType::Post, "/pickup", body, WAIT_TIMEOUT)
         .await;
     (payload, outcome, caller)
 }
 
 /// [`quick`] with debug logs, which give the reason for each "unknown" outcome.
 fn settings_with_debug_log() -> Value {
-    let mut settings = quick();
+    let mut settings = fast_detection_settings();
     settings["log"] = json!({"level": "debug", "format": "text"});
     settings
 }
@@ -113,25 +113,28 @@
     let mut feeds = Vec::new();
     for seed in 0..12 {
         let caller = cluster.caller("dispatch", 1_000 + seed).await;
-        let feed = caller.observe("/route", PATIENCE).await.expect("a feed");
-        feeds.push(Watcher::start(caller, feed));
+        let feed = caller
+            .observe("/route", WAIT_TIMEOUT)
+            .await
+            .expect("a feed");
+        feeds.push(FeedWatcher::start(caller, feed));
     }
-    cluster.part(&[0, 3]);
+    cluster.cut_off(&[0, 3]);
     cluster.cut_platform(0, true);
     cluster.cut_platform(3, true);
     for place in 0..4 {
         let caller = cluster.caller_at("dispatch", place, 50).await;
         let outcome = caller
-            .request(RequestType::Get, "/sheet", b"", PATIENCE)
+            .request(RequestType::Get, "/sheet", b"", WAIT_TIMEOUT)
             .await;
         assert!(matches!(outcome, Outcome::Answered { .. }), "{outcome:?}");
-        let feed = caller.observe("/route", PATIENCE).await;
-        feed.expect("a feed").cancel(PATIENCE).await;
+        let feed = caller.observe("/route", WAIT_TIMEOUT).await;
+        feed.expect("a feed").cancel(WAIT_TIMEOUT).await;
     }
     // The reachable instances detect the partition and take over the slices of the
     // isolated ones: they promote backups or assign new homes.
     cluster
-        .until("the side with the platform has all slices", async || {
+        .wait_until("the side with the platform has all slices", async || {
             let mut homes = 0;
             for place in [1, 2] {
                 let status = cluster.instances[place].status().await;
@@ -144,10 +147,10 @@
     assert_eq!(counts.get("answered"), Some(&BOOKINGS), "{counts:?}");
     let (counts, isolated) = bookings(&cluster, "cut off", &[0, 3]).await;
     assert_eq!(counts.get("silent"), None, "{counts:?}");
-    cluster.part(&[]);
+    cluster.cut_off(&[]);
     cluster.cut_platform(0, false);
     cluster.cut_platform(3, false);
-    cluster.settled().await;
+    cluster.wait_until_settled().await;
     sleep(Duration::from_secs(2)).await;
     assert_outcomes_match_runs(&cluster, &connected);
     assert_outcomes_match_runs(&cluster, &isolated);
@@ -156,9 +159,9 @@
     assert_outcomes_match_runs(&cluster, &healed);
     for feed in feeds {
         let watched = feed.finish().await;
-        assert_eq!(watched.ended, None);
-        println!("longest pause {:?}", watched.longest);
-        assert!(watched.longest < MAX_NOTIFICATION_GAP, "{watched:?}");
+        assert_eq!(watched.final_outcome, None);
+        println!("longest pause {:?}", watched.longest_gap);
+        assert!(watched.longest_gap < MAX_NOTIFICATION_GAP, "{watched:?}");
     }
 }
 
@@ -192,15 +195,15 @@
     for place in 0..3 {
         let caller = cluster.caller_at("dispatch", place, 50).await;
         let outcome = caller
-            .request(RequestType::Get, "/sheet", b"", PATIENCE)
+            .request(RequestType::Get, "/sheet", b"", WAIT_TIMEOUT)
             .await;
         assert!(matches!(outcome, Outcome::Answered { .. }), "{outcome:?}");
     }
-    cluster.part(&[]);
+    cluster.cut_off(&[]);
     for place in 0..3 {
         cluster.cut_platform(place, false);
     }
-    cluster.settled().await;
+    cluster.wait_until_settled().await;
     sleep(Duration::from_secs(2)).await;
     assert_outcomes_match_runs(&cluster, &outcomes);
     let (counts, healed) = bookings(&cluster, "healed", &[0, 1, 2]).await;
@@ -225,21 +228,24 @@
     let mut feeds = Vec::new();
     for seed in 0..12 {
         let caller = cluster.caller("dispatch", seed).await;
-        let feed = caller.observe("/route", PATIENCE).await.expect("a feed");
-        feeds.push(Watcher::start(caller, feed));
+        let feed = caller
+            .observe("/route", WAIT_TIMEOUT)
+            .await
+            .expect("a feed");
+        feeds.push(FeedWatcher::start(caller, feed));
     }
     cluster.platform.down(true);
     for _ in 0..2 {
         cluster.isolate();
         sleep(Duration::from_secs(3)).await;
-        cluster.part(&[]);
+        cluster.cut_off(&[]);
         sleep(Duration::from_secs(3)).await;
     }
     cluster.platform.down(false);
     sleep(MAX_NOTIFICATION_GAP + Duration::from_secs(1)).await;
     for feed in feeds {
         let watched = feed.finish().await;
-        assert_eq!(watched.ended, None);
-        assert!(watched.longest < MAX_NOTIFICATION_GAP, "{watched:?}");
+        assert_eq!(watched.final_outcome, None);
+        assert!(watched.longest_gap < MAX_NOTIFICATION_GAP, "{watched:?}");
     }
 }
