--- a/tests/history.rs
+++ b/tests/history.rs
@@ -54,9 +54,9 @@
     let workers = 1 + (seed / 7 % 2) as u8;
     let mut fleet = Fleet::new(seed, count, workers);
     fleet.run_until(FAULTS_BEGIN);
-    for subscription in 0..SUBSCRIPTION_COUNT {
-        let service = SERVICES[usize::from(subscription % 2)];
-        fleet.open_subscription(lab::flow(service, 9_000 + subscription));
+    for number in 0..SUBSCRIPTION_COUNT {
+        let service = SERVICES[usize::from(number % 2)];
+        fleet.open_subscription(lab::flow(service, 9_000 + number));
     }
     let mut faults = Faults::new(seed);
     while fleet.now < END {
@@ -148,23 +148,27 @@
 
 fn check_table(fleet: &Fleet, violations: &mut Vec<String>) {
     let rows = fleet.platform_rows();
-    let live = |holder: &godwitreel::id::Holder| {
+    let is_live = |holder: &godwitreel::id::Holder| {
         let mut nodes = fleet.nodes.iter();
         nodes.any(|node| node.is_up && node.holder == *holder)
     };
     for (slice, row) in rows.iter().enumerate() {
-        let is_whole = row.home.as_ref().is_some_and(live)
-            && row.backup.as_ref().is_some_and(live)
+        let is_whole = row.home.as_ref().is_some_and(is_live)
+            && row.backup.as_ref().is_some_and(is_live)
             && row.home != row.backup;
         if !is_whole {
-            violations.push(format!("(e) slice {slice} ended as {row:?}"));
+            violations.push(format!(
+                "(e) slice {slice} lacks a live home or backup at the end: {row:?}"
+            ));
         }
     }
     for index in 0..fleet.nodes.len() {
         let table = fleet.node_table(index);
         for ((slice, row), stored) in table.rows().zip(&rows) {
             if row != stored {
-                violations.push(format!("(e) node {index} has another row for {slice}"));
+                violations.push(format!(
+                    "(e) node {index} and the platform have different rows for {slice}"
+                ));
             }
         }
     }
@@ -300,23 +304,23 @@
     let mut fleet = Fleet::new(seed, 5 + (seed % 4) as usize, 1 + (seed % 2) as u8);
     fleet.loss_rate = 0.0;
     fleet.run_until(FAULTS_BEGIN);
-    for subscription in 0..SUBSCRIPTION_COUNT {
-        let service = SERVICES[usize::from(subscription % 2)];
-        fleet.open_subscription(lab::flow(service, 9_000 + subscription));
+    for number in 0..SUBSCRIPTION_COUNT {
+        let service = SERVICES[usize::from(number % 2)];
+        fleet.open_subscription(lab::flow(service, 9_000 + number));
     }
-    let mut next = secs(12);
-    let mut leaving = 0;
+    let mut next_change = secs(12);
+    let mut change_count = 0;
     while fleet.now < END {
         let now = fleet.now;
-        if now >= next && now < FAULTS_END {
-            next = now + secs(9);
-            let server = leaving % fleet.backends.len();
+        if now >= next_change && now < FAULTS_END {
+            next_change = now + secs(9);
+            let server = change_count % fleet.backends.len();
             for other in 0..fleet.backends.len() {
                 fleet.drain(other, other == server);
             }
-            let node = leaving % fleet.nodes.len();
+            let node = change_count % fleet.nodes.len();
             fleet.nodes[node].leaving_since = Some(now);
-            leaving += 1;
+            change_count += 1;
         }
         if now + secs(14) < END {
             send_random_request(&mut fleet);
--- a/tests/history/backend.rs
+++ b/tests/history/backend.rs
@@ -55,7 +55,7 @@
 const MAX_QUEUED: u32 = 10;
 
 impl Backend {
-    /// Whether the server refuses_request a new request now.
+    /// Whether the server refuses a new request now.
     pub(crate) fn refuses_request(&self) -> bool {
         matches!(
             self.behavior,
@@ -63,12 +63,13 @@
         ) || self.running_requests >= SLOTS + MAX_QUEUED
     }
 
+    /// Time to run a request. It grows with the requests that run or wait.
     pub(crate) fn service_time(&self) -> Duration {
-        let own = match self.behavior {
+        let idle_time = match self.behavior {
             ServerBehavior::Slow => Duration::from_secs(3),
             _ => Duration::from_millis(30),
         };
-        own * (1 + self.running_requests / SLOTS)
+        idle_time * (1 + self.running_requests / SLOTS)
     }
 }
 
--- a/tests/history/caller.rs
+++ b/tests/history/caller.rs
@@ -57,7 +57,7 @@
     pub(crate) newest_sequence: u32,
     pub(crate) last_notification: Duration,
     pub(crate) reopened: u32,
-    /// Message IDs received, with the time: a caller drops message_ids with a known ID as
+    /// Message IDs received, with the time: a caller drops messages with a known ID as
     /// duplicates.
     pub(crate) message_ids: HashMap<u16, Duration>,
     /// Longest time without a new notification.
@@ -82,7 +82,7 @@
     }
 }
 
-/// Whether a notification is newer than the newest_sequence received (RFC 7641, section 3.4).
+/// Whether a notification is newer than the newest received (RFC 7641, section 3.4).
 pub(crate) fn is_newer(old: (u32, Duration), new: (u32, Duration)) -> bool {
     const HALF: u32 = 1 << 23;
     const LONG: Duration = Duration::from_secs(128);
--- a/tests/history/fleet.rs
+++ b/tests/history/fleet.rs
@@ -87,6 +87,7 @@
     pub(crate) document: u32,
     pub(crate) expected: Option<u64>,
     pub(crate) value: Bytes,
+    /// Whether the writer still waits for the result.
     pub(crate) expects_result: bool,
 }
 
@@ -180,6 +181,7 @@
     pub(crate) backends: Vec<Backend>,
     pub(crate) tracked_requests: Vec<TrackedRequest>,
     pub(crate) subscriptions: Vec<Subscription>,
+    /// Sender and receiver of each direction in which peer messages are dropped.
     pub(crate) blocked_links: HashSet<(usize, usize)>,
     pub(crate) loss_rate: f64,
     pub(crate) max_delay_ms: u64,
@@ -188,11 +190,13 @@
     pub(crate) counts: Counts,
     pub(crate) workers: u8,
     pub(crate) started_nodes: u64,
+    /// Times and ids of the scheduled events.
     pub(crate) queue: BinaryHeap<Reverse<(Duration, u64)>>,
     pub(crate) scheduled: HashMap<u64, Scheduled>,
     pub(crate) next_id: u64,
     pub(crate) next_tick: Duration,
     pub(crate) next_notification: Duration,
+    /// The first row seen for each epoch of a slice.
     pub(crate) first_rows: HashMap<(id::Slice, id::Epoch), Row>,
 }
 
@@ -423,6 +427,7 @@
         }
     }
 
+    /// Notes that a fault may keep this request from getting an outcome.
     pub(crate) fn mark_as_affected(&mut self, number: u64) {
         self.tracked_requests[number as usize].is_fault_affected = true;
     }
@@ -504,17 +509,18 @@
         lab::request(&tracked.flow, number, tracked.kind)
     }
 
+    /// Lets the engine that owns the slice handle an event.
     pub(crate) fn handle_at_engine(&mut self, index: usize, slice: id::Slice, event: Event) {
         let now = self.at(self.now);
         let worker = (slice.0 % u32::from(self.workers)) as usize;
-        let subject = match &event {
+        let request_number = match &event {
             Event::Request { request, .. } => Some(request.id.0 as u64),
             _ => None,
         };
         let actions = self.nodes[index].engines[worker].handle(now, event);
         let dropped = lab::has_reason(&actions, Reason::TooManyHops)
             || lab::has_reason(&actions, Reason::ParkFull);
-        if let Some(number) = subject.filter(|_| dropped) {
+        if let Some(number) = request_number.filter(|_| dropped) {
             self.mark_as_affected(number);
         }
         self.carry_out_actions(index, actions);
@@ -650,6 +656,7 @@
         }
     }
 
+    /// Lets all engines of a node handle an event.
     pub(crate) fn broadcast_event(&mut self, index: usize, event: &Event) {
         let now = self.at(self.now);
         for worker in 0..usize::from(self.workers) {
@@ -767,6 +774,7 @@
         self.mark_held_as_affected(index, incarnation);
     }
 
+    /// Marks the requests that a process handled and that have no outcome yet.
     pub(crate) fn mark_held_as_affected(&mut self, index: usize, incarnation: u64) {
         for tracked in &mut self.tracked_requests {
             if tracked.sent_outcomes.is_empty()
