--- a/tests/burnfleet.rs
+++ b/tests/burnfleet.rs
@@ -95,7 +95,7 @@
     assert_eq!(report["gaps"][0]["instance"], "kality-2");
     assert_eq!(report["services"]["dispatch"]["verdict"], "unknown-gap");
     let table = operator_dir.run(&["report", "burn"]).await;
-    assert!(table.out.contains("gap: kality-2"), "{table:?}");
+    assert!(table.stdout.contains("gap: kality-2"), "{table:?}");
 }
 
 // With the platform down, the instances that the settings name are all heard, but
@@ -160,6 +160,6 @@
 
     let table = operator_dir.run(&question).await;
     for word in ["answered", "forwarded", server] {
-        assert!(table.out.contains(word), "{word}: {table:?}");
+        assert!(table.stdout.contains(word), "{word}: {table:?}");
     }
 }
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -37,14 +37,14 @@
 #[derive(Debug)]
 pub(crate) struct Run {
     pub(crate) code: i32,
-    pub(crate) out: String,
-    pub(crate) err: String,
+    pub(crate) stdout: String,
+    pub(crate) stderr: String,
 }
 
 impl Run {
     /// Standard output as JSON.
     pub(crate) fn json(&self) -> Value {
-        serde_json::from_str(&self.out).unwrap_or_else(|e| panic!("{e} in {self:?}"))
+        serde_json::from_str(&self.stdout).unwrap_or_else(|e| panic!("{e} in {self:?}"))
     }
 }
 
@@ -131,9 +131,9 @@
 }
 
 /// Waits until a condition holds.
-pub(crate) async fn wait_until(is_true: impl Fn() -> bool) {
+pub(crate) async fn wait_until(is_met: impl Fn() -> bool) {
     let polling = async {
-        while !is_true() {
+        while !is_met() {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
@@ -142,13 +142,13 @@
 
 /// Runs the program without a settings file in its environment.
 pub(crate) async fn run(arguments: Vec<&str>) -> Run {
-    run_with(None, arguments).await
+    run_with_config(None, arguments).await
 }
 
 /// Runs the program, with `GODWITREEL_CONFIG` naming this settings file if there is one.
 /// It runs on a blocking thread, since the stand-in platform that it calls runs on the
 /// test's runtime.
-pub(crate) async fn run_with(config: Option<&str>, arguments: Vec<&str>) -> Run {
+pub(crate) async fn run_with_config(config: Option<&str>, arguments: Vec<&str>) -> Run {
     let mut command = assert_cmd::cargo::cargo_bin_cmd!("godwitreel");
     command
         .env_remove("GODWITREEL_CONFIG")
@@ -158,9 +158,9 @@
     let running = tokio::task::spawn_blocking(move || command.output().unwrap());
     let output = running.await.unwrap();
     Run {
-        code: output.status.code().expect("the program ends by itself"),
-        out: String::from_utf8(output.stdout).unwrap(),
-        err: String::from_utf8(output.stderr).unwrap(),
+        code: output.status.code().expect("exit code"),
+        stdout: String::from_utf8(output.stdout).unwrap(),
+        stderr: String::from_utf8(output.stderr).unwrap(),
     }
 }
 
--- a/tests/program/mod.rs
+++ b/tests/program/mod.rs
@@ -20,14 +20,14 @@
 #[derive(Debug)]
 pub(crate) struct Run {
     pub(crate) code: i32,
-    pub(crate) out: String,
-    pub(crate) err: String,
+    pub(crate) stdout: String,
+    pub(crate) stderr: String,
 }
 
 impl Run {
     /// Standard output as JSON.
     pub(crate) fn json(&self) -> Value {
-        serde_json::from_str(&self.out).unwrap_or_else(|e| panic!("{e} in {self:?}"))
+        serde_json::from_str(&self.stdout).unwrap_or_else(|e| panic!("{e} in {self:?}"))
     }
 }
 
@@ -80,9 +80,9 @@
             tokio::task::spawn_blocking(move || command.output().expect("program output"));
         let output = running.await.expect("program output");
         Run {
-            code: output.status.code().expect("the program ends by itself"),
-            out: String::from_utf8(output.stdout).expect("text"),
-            err: String::from_utf8(output.stderr).expect("text"),
+            code: output.status.code().expect("exit code"),
+            stdout: String::from_utf8(output.stdout).expect("text"),
+            stderr: String::from_utf8(output.stderr).expect("text"),
         }
     }
 }
--- a/tests/tool.rs
+++ b/tests/tool.rs
@@ -12,12 +12,12 @@
 
 use crate::fleet::ToolTest;
 use crate::fleet::run;
-use crate::fleet::run_with;
+use crate::fleet::run_with_config;
 use crate::fleet::status;
 use crate::fleet::wait_until;
 
 /// Store key of the profile that most tests change.
-const KEY: &str = "godwitreel/profiles/open";
+const PROFILE_KEY: &str = "godwitreel/profiles/open";
 /// Delay of each platform call, so that a test can act between two calls of the tool.
 const CALL_DELAY: Duration = Duration::from_secs(1);
 
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn tables_show_the_same() {
+async fn table_output_shows_the_documents() {
     let test = ToolTest::start().await;
     let file = test.profile(4_321);
     let commands: [(&[&str], &str); 4] = [
@@ -67,7 +67,7 @@
     for (command, expected) in commands {
         let table = test.run(&[command, &["--output", "table"]].concat()).await;
         assert_eq!(table.code, 0, "{table:?}");
-        assert!(table.out.contains(expected), "{table:?}");
+        assert!(table.stdout.contains(expected), "{table:?}");
     }
 }
 
@@ -93,7 +93,7 @@
         let file = file.to_str().unwrap();
         let refused = test.run(&["profile", "apply", "open", file]).await;
         assert_eq!(refused.code, 1, "{refused:?}");
-        assert!(refused.err.contains(expected), "{refused:?}");
+        assert!(refused.stderr.contains(expected), "{refused:?}");
         assert_eq!(refused.json()["outcome"], "failed");
     }
     assert_eq!(test.platform.counters().writes, 0);
@@ -130,7 +130,7 @@
     assert_eq!(lost["first"], won["ours"]);
     assert_eq!(lost["first"]["revision"], 2);
     assert_ne!(lost["ours"]["operator"], lost["first"]["operator"]);
-    assert_eq!(test.stored(KEY), Some(won["ours"].clone()));
+    assert_eq!(test.stored(PROFILE_KEY), Some(won["ours"].clone()));
 }
 
 // Another change is accepted after the tool has read revision 1 and before its own write
@@ -142,7 +142,7 @@
     let test = ToolTest::start().await;
     let (first, second) = (test.profile(1_000), test.profile(2_000));
     test.run(&["profile", "apply", "open", &first]).await;
-    let mut theirs = test.stored(KEY).unwrap();
+    let mut theirs = test.stored(PROFILE_KEY).unwrap();
     theirs["revision"] = 2.into();
     theirs["operator"] = "hana".into();
     let reads = test.platform.counters().reads;
@@ -150,11 +150,11 @@
     let arguments = ["profile", "apply", "open", &second];
     let (refused, _) = tokio::join!(test.run(&arguments), async {
         wait_until(|| test.platform.counters().reads > reads).await;
-        test.platform.put(KEY, theirs.to_string());
+        test.platform.put(PROFILE_KEY, theirs.to_string());
     });
     assert_eq!(refused.code, 2, "{refused:?}");
     assert_eq!(refused.json()["first"], theirs);
-    assert_eq!(test.stored(KEY), Some(theirs));
+    assert_eq!(test.stored(PROFILE_KEY), Some(theirs));
 }
 
 // The operator mistypes the expected revision as the greatest u64. The change is refused
@@ -167,7 +167,7 @@
     let arguments = ["profile", "apply", "open", &file, "--expect", &last];
     let refused = test.run(&arguments).await;
     assert_eq!(refused.code, 2, "{refused:?}");
-    assert_eq!(test.stored(KEY), None);
+    assert_eq!(test.stored(PROFILE_KEY), None);
 }
 
 // An operator's change expects revision 1, but revisions 2 and 3 have been accepted
@@ -190,7 +190,7 @@
     assert_eq!(refused["first"]["revision"], 2);
     assert_eq!(refused["first"]["operator"], "hana");
     let table = [&arguments[..], &["--output", "table"]].concat();
-    let table = test.run(&table).await.out;
+    let table = test.run(&table).await.stdout;
     assert!(table.contains("hana") && table.contains("alem"), "{table}");
 }
 
@@ -207,7 +207,7 @@
     let applied = applied.json();
     assert_eq!(applied["outcome"], "accepted");
     assert_eq!(applied["notes"], json!([]));
-    assert_eq!(test.stored(KEY), Some(applied["ours"].clone()));
+    assert_eq!(test.stored(PROFILE_KEY), Some(applied["ours"].clone()));
     // One write for the change and one for its history entry.
     assert_eq!(test.platform.counters().writes, 2);
 }
@@ -223,7 +223,7 @@
     assert_eq!(failed.code, 5, "{failed:?}");
     assert_eq!(failed.json()["exit"], 5);
     assert_eq!(test.platform.counters().writes, 0);
-    assert_eq!(test.stored(KEY), None);
+    assert_eq!(test.stored(PROFILE_KEY), None);
 }
 
 // The platform accepts the change, its answer is lost, and the platform goes down before
@@ -237,13 +237,13 @@
     test.platform.slow(CALL_DELAY);
     let arguments = ["profile", "apply", "open", &file];
     let (unknown, _) = tokio::join!(test.run(&arguments), async {
-        test.wait_for_key(KEY).await;
+        test.wait_for_key(PROFILE_KEY).await;
         test.platform.down(true);
     });
     assert_eq!(unknown.code, 3, "{unknown:?}");
     let unknown = unknown.json();
     assert_eq!(unknown["outcome"], "unknown");
-    assert_eq!(test.stored(KEY), Some(unknown["ours"].clone()));
+    assert_eq!(test.stored(PROFILE_KEY), Some(unknown["ours"].clone()));
 }
 
 // The change is accepted and answered, then the platform goes down before the history
@@ -255,7 +255,7 @@
     test.platform.slow(CALL_DELAY);
     let arguments = ["profile", "apply", "open", &file];
     let (applied, _) = tokio::join!(test.run(&arguments), async {
-        test.wait_for_key(KEY).await;
+        test.wait_for_key(PROFILE_KEY).await;
         test.platform.down(true);
     });
     assert_eq!(applied.code, 0, "{applied:?}");
@@ -289,7 +289,7 @@
     test.platform.slow(CALL_DELAY);
     let arguments = ["profile", "apply", "open", &file];
     let (run, _) = tokio::join!(test.run(&arguments), async {
-        let ours = test.wait_for_key(KEY).await;
+        let ours = test.wait_for_key(PROFILE_KEY).await;
         let mut theirs = ours.clone();
         theirs["revision"] = revision.into();
         theirs["write_id"] = "theirs".into();
@@ -298,7 +298,7 @@
             let key = "godwitreel/history/profiles/open/1";
             test.platform.put(key, kept.to_string());
         }
-        test.platform.put(KEY, theirs.to_string());
+        test.platform.put(PROFILE_KEY, theirs.to_string());
     });
     let outcome = run.json()["outcome"].as_str().unwrap().to_owned();
     (run.code, outcome)
@@ -308,11 +308,11 @@
 // change is accepted, but the wait times out and must name the instance that does not
 // answer, since it may still use the old profile.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_wait_names_the_instance_that_is_not_heard() {
+async fn a_wait_names_the_instance_that_does_not_answer() {
     let mut test = ToolTest::start().await;
     let platform = test.platform.clone();
     let current_status = move || {
-        let envelope = platform.get(KEY).unwrap_or_default();
+        let envelope = platform.get(PROFILE_KEY).unwrap_or_default();
         let envelope: Value = serde_json::from_slice(&envelope).unwrap_or_default();
         status("bole-1", json!({ "profiles/open": envelope["revision"] }))
     };
@@ -423,7 +423,7 @@
     for arguments in [&["status"][..], &["report", "burn"], &caller] {
         let run = test.run(arguments).await;
         assert_eq!(run.code, 4, "{run:?}");
-        assert!(run.out.contains("none is registered"), "{run:?}");
+        assert!(run.stdout.contains("none is registered"), "{run:?}");
     }
 }
 
@@ -465,12 +465,12 @@
         ["--config", valid, "profile", "list"],
         ["profile", "list", "--config", valid],
     ] {
-        let run = run_with(Some(invalid), arguments.to_vec()).await;
+        let run = run_with_config(Some(invalid), arguments.to_vec()).await;
         assert_eq!(run.code, 0, "{run:?}");
     }
-    let run = run_with(Some(invalid), vec!["profile", "list"]).await;
+    let run = run_with_config(Some(invalid), vec!["profile", "list"]).await;
     assert_eq!(run.code, 1, "{run:?}");
-    let run = run_with(Some(valid), vec!["profile", "list"]).await;
+    let run = run_with_config(Some(valid), vec!["profile", "list"]).await;
     assert_eq!(run.code, 0, "{run:?}");
 }
 
@@ -508,7 +508,7 @@
 
     let missing = test.run(&["service", "choose", "dispatch", "none"]).await;
     assert_eq!(missing.code, 2, "{missing:?}");
-    assert!(missing.err.contains("profiles/none"), "{missing:?}");
+    assert!(missing.stderr.contains("profiles/none"), "{missing:?}");
     let chosen = test.run(&["service", "choose", "dispatch", "calm"]).await;
     assert_eq!(chosen.code, 0, "{chosen:?}");
     let shown = test.run(&["service", "get", "dispatch"]).await.json();
@@ -558,7 +558,7 @@
     let key = "godwitreel/drain/zones/kality";
     let unknown = test.run(&["zone", "evacuate", "kality"]).await;
     assert_eq!(unknown.code, 1, "{unknown:?}");
-    assert!(unknown.err.contains("no zone kality"), "{unknown:?}");
+    assert!(unknown.stderr.contains("no zone kality"), "{unknown:?}");
     assert_eq!(test.stored(key), None);
     let server = json!({ "service": "dispatch", "zone": "kality", "address": "127.0.0.1:1",
         "health": "127.0.0.1:2", "slots": 2, "state": "up" });
@@ -607,17 +607,17 @@
 // answers. The tool must name the last two, since a status without them would look
 // complete.
 #[tokio::test(flavor = "multi_thread")]
-async fn status_and_explain_name_those_not_heard() {
+async fn status_and_explain_name_instances_that_do_not_answer() {
     let mut test = ToolTest::start().await;
     let fake_status = || status("bole-1", json!({ "profiles/open": 1 }));
     let address = test.instance("bole-1", fake_status).await;
     test.unreachable_instance("bole-2").await;
     test.instance("bole-3", fake_status).await;
-    let partly = test.run(&["status"]).await;
-    assert_eq!(partly.code, 4, "{partly:?}");
-    let partly = partly.json();
-    assert_eq!(partly["heard"]["bole-1"]["homes"], 4);
-    let silent = partly["silent"].as_array().unwrap().iter();
+    let partial = test.run(&["status"]).await;
+    assert_eq!(partial.code, 4, "{partial:?}");
+    let partial = partial.json();
+    assert_eq!(partial["heard"]["bole-1"]["homes"], 4);
+    let silent = partial["silent"].as_array().unwrap().iter();
     let silent: Vec<_> = silent.map(|silence| &silence["instance"]).collect();
     assert_eq!(silent, ["bole-2", "bole-3"]);
 
@@ -637,27 +637,27 @@
     test.platform.down(true);
     let text = json!({ "instances": { "bole-1": address } }).to_string();
     let file = test.file("tool.jsonc", &text);
-    let partly = test
+    let partial = test
         .run(&["status", "--config", file.to_str().unwrap()])
         .await;
-    assert_eq!(partly.code, 4, "{partly:?}");
-    assert_eq!(partly.json()["heard"]["bole-1"]["homes"], 4);
+    assert_eq!(partial.code, 4, "{partial:?}");
+    assert_eq!(partial.json()["heard"]["bole-1"]["homes"], 4);
     assert_eq!(test.run(&["status"]).await.code, 5);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn usage_and_settings_are_checked_and_told() {
+async fn wrong_usage_and_settings_are_reported() {
     let test = ToolTest::start().await;
     assert_eq!(run(vec!["profile", "list"]).await.code, 1);
     assert_eq!(run(vec!["profile", "apply", "no/name", "x"]).await.code, 1);
     let file = test.file("tool.jsonc", "{\n // Wrong.\n \"platfrom\": []\n}");
     let wrong = run(vec!["status", "--config", file.to_str().unwrap()]).await;
     assert_eq!(wrong.code, 1, "{wrong:?}");
-    assert!(wrong.err.contains("tool.jsonc:3: platfrom"), "{wrong:?}");
+    assert!(wrong.stderr.contains("tool.jsonc:3: platfrom"), "{wrong:?}");
     for shell in ["bash", "zsh", "fish"] {
         let script = run(vec!["completions", shell]).await;
-        assert!(script.out.contains("--bpaf-complete-rev"), "{script:?}");
+        assert!(script.stdout.contains("--bpaf-complete-rev"), "{script:?}");
     }
     let help = run(vec!["--help"]).await;
-    assert!(help.out.contains("5  Platform unreachable"), "{help:?}");
+    assert!(help.stdout.contains("5  Platform unreachable"), "{help:?}");
 }
