--- a/tests/utils/mod.rs
+++ b/tests/utils/mod.rs
@@ -146,7 +146,7 @@
                 let mut settings = server::Settings::new(&name, service);
                 settings.notify_interval = Duration::from_millis(200);
                 let handle = server::start(settings).await.expect("server");
-                list(&platform, &name, service, zone, &handle, "up");
+                put_server_entry(&platform, &name, service, zone, &handle, "up");
                 servers.insert(name, handle);
             }
         }
@@ -284,9 +284,9 @@
     }
 
     /// Waits until a condition holds, and panics after [`WAIT_TIMEOUT`].
-    pub(crate) async fn wait_until(&self, condition: &str, mut is_true: impl AsyncFnMut() -> bool) {
+    pub(crate) async fn wait_until(&self, condition: &str, mut is_met: impl AsyncFnMut() -> bool) {
         let end = Instant::now() + WAIT_TIMEOUT;
-        while !is_true().await {
+        while !is_met().await {
             assert!(Instant::now() < end, "timed out waiting until {condition}");
             sleep(Duration::from_millis(50)).await;
         }
@@ -314,7 +314,7 @@
         let (service, number) = name.rsplit_once('-').expect("a name");
         let number: usize = number.parse().expect("a number");
         let zone = self.plan.zones[number % self.plan.zones.len()];
-        list(&self.platform, name, service, zone, handle, state);
+        put_server_entry(&self.platform, name, service, zone, handle, state);
     }
 
     /// How often the servers together have started the request with this payload.
@@ -445,7 +445,7 @@
     json!({"revision": revision, "operator": "test", "write_id": "test", "body": body})
 }
 
-fn list(
+fn put_server_entry(
     platform: &platform::Handle,
     name: &str,
     service: &str,
