--- a/tests/burnfleet.rs
+++ b/tests/burnfleet.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use coap_lite::RequestType;
-use program::Desk;
+use program::OperatorDir;
 use serde_json::Value;
 use serde_json::json;
 use standin::caller;
@@ -61,15 +61,15 @@
     (good.expect("good"), bad.expect("bad"))
 }
 
-// Twenty bookings are answered and every server refuses four. Each must be counted
+// Twenty bookings are answered and every server refuses four. Each must be metric_sum
 // once although any instance may receive and relay the callers' packets; counting
 // relayed packets again would distort the rates. Then an instance is killed: its
 // counts are lost, so the report must not appear healthy.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_report_counts_each_request_once_and_names_missing_instances() {
     let mut cluster = Cluster::start(lenient_plan()).await;
-    let desk = Desk::new();
-    desk.configure(&cluster, &["bole-1", "kality-2", "merkato-3"]);
+    let operator_dir = OperatorDir::new();
+    operator_dir.configure(&cluster, &["bole-1", "kality-2", "merkato-3"]);
     let booking_caller = cluster.caller("dispatch", 1).await;
     send_bookings(&booking_caller, "good", 20).await;
     cluster
@@ -79,23 +79,23 @@
     send_bookings(&booking_caller, "bad", 4).await;
 
     let arguments = ["report", "burn", "--output", "json", "--plot", "burn.svg"];
-    let complete = desk.run(&arguments).await;
+    let complete = operator_dir.run(&arguments).await;
     assert_eq!(complete.code, 0, "{complete:?}");
     let report = complete.json();
     assert_eq!(counts(&report), (20, 4));
     assert_eq!(report["services"]["dispatch"]["verdict"], "ok");
     assert_eq!(report["gaps"], json!([]));
-    let plot = std::fs::read_to_string(desk.file("burn.svg")).expect("a plot");
+    let plot = std::fs::read_to_string(operator_dir.file("burn.svg")).expect("a plot");
     assert!(plot.contains("<svg") && plot.contains("dispatch"), "{plot}");
 
     cluster.instances[1].kill();
-    let incomplete = desk.run(&arguments).await;
+    let incomplete = operator_dir.run(&arguments).await;
     assert_eq!(incomplete.code, 4, "{incomplete:?}");
     let report = incomplete.json();
     assert_eq!(report["gaps"][0]["instance"], "kality-2");
     assert_eq!(report["services"]["dispatch"]["verdict"], "unknown-gap");
-    let table = desk.run(&["report", "burn"]).await;
-    assert!(table.out.contains("gap: kality-2"), "{table:?}");
+    let table = operator_dir.run(&["report", "burn"]).await;
+    assert!(table.stdout.contains("gap: kality-2"), "{table:?}");
 }
 
 // While the platform is down, all instances named in the settings answer, but others
@@ -103,10 +103,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn without_the_list_of_instances_no_service_is_healthy() {
     let cluster = Cluster::start(lenient_plan()).await;
-    let desk = Desk::new();
-    desk.configure(&cluster, &["bole-1", "kality-2", "merkato-3"]);
+    let operator_dir = OperatorDir::new();
+    operator_dir.configure(&cluster, &["bole-1", "kality-2", "merkato-3"]);
     cluster.platform.down(true);
-    let incomplete = desk.run(&["report", "burn", "--output", "json"]).await;
+    let incomplete = operator_dir
+        .run(&["report", "burn", "--output", "json"])
+        .await;
     assert_eq!(incomplete.code, 4, "{incomplete:?}");
     let report = incomplete.json();
     assert_eq!(report["gaps"], json!([]));
@@ -120,8 +122,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_booking_is_explained() {
     let cluster = Cluster::start(lenient_plan()).await;
-    let desk = Desk::new();
-    desk.configure(&cluster, &["bole-1", "kality-2", "merkato-3"]);
+    let operator_dir = OperatorDir::new();
+    operator_dir.configure(&cluster, &["bole-1", "kality-2", "merkato-3"]);
     // The caller bypasses the fabric, so that the instances see its own address.
     let listener = cluster.instances[0].listeners["dispatch"];
     let mut settings = caller::Settings::new(listener);
@@ -139,7 +141,7 @@
         "--caller",
         &caller_address,
     ];
-    let output = desk
+    let output = operator_dir
         .run(&[&arguments[..], &["--output", "json"]].concat())
         .await;
     assert_eq!(output.code, 0, "{output:?}");
@@ -162,8 +164,8 @@
     let server = server.expect("a server");
     assert_eq!(cluster.servers[server].starts("booking-1"), 1);
 
-    let table = desk.run(&arguments).await;
+    let table = operator_dir.run(&arguments).await;
     for word in ["answered", "forwarded", server] {
-        assert!(table.out.contains(word), "{word}: {table:?}");
+        assert!(table.stdout.contains(word), "{word}: {table:?}");
     }
 }
--- a/tests/change.rs
+++ b/tests/change.rs
@@ -10,9 +10,9 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 use utils::Cluster;
-use utils::PATIENCE;
 use utils::Plan;
-use utils::quick;
+use utils::WAIT_TIMEOUT;
+use utils::fast_detection_settings;
 
 const PROFILE_NAME: &str = "profiles/standard";
 const DRAIN_KEY: &str = "godwitreel/drain/servers/dispatch-0";
@@ -29,7 +29,7 @@
 async fn time_until_in_force(cluster: &Cluster, instances: &[usize], wanted: u64) -> Duration {
     let begun = Instant::now();
     cluster
-        .until("the change is in force", async || {
+        .wait_until("the change is in force", async || {
             for instance in instances {
                 if revision(cluster, *instance).await != wanted {
                     return false;
@@ -52,7 +52,7 @@
 
 async fn wait_for_drained(cluster: &Cluster, instances: &[usize], wanted: bool) {
     cluster
-        .until("the drain or its removal has been received", async || {
+        .wait_until("the drain or its removal has been received", async || {
             for instance in instances {
                 if is_drained(cluster, *instance).await != Some(wanted) {
                     return false;
@@ -67,7 +67,7 @@
     Plan {
         zones: ["bole", "kality", "merkato"].repeat(3),
         services: vec![("dispatch", 3)],
-        settings: quick(),
+        settings: fast_detection_settings(),
         proxied: true,
         ..Plan::default()
     }
@@ -87,12 +87,12 @@
 
     cluster.cut_platform(0, true);
     cluster.cut_platform(1, true);
-    cluster.part(&[1]);
+    cluster.cut_off(&[1]);
     cluster.change_profile(3, &json!({"retry_after_s": 4}));
     let took = time_until_in_force(&cluster, &[0, 2, 3, 4, 5, 6, 7, 8], 3).await;
     println!("with one instance that has only its peers: {took:?}");
     assert_eq!(revision(&cluster, 1).await, 2);
-    cluster.part(&[]);
+    cluster.cut_off(&[]);
     cluster.cut_platform(0, false);
     cluster.cut_platform(1, false);
     let took = time_until_in_force(&cluster, &ALL, 3).await;
@@ -121,7 +121,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_removed_drain_is_not_restored_by_a_peer() {
     let cluster = Cluster::start(Plan {
-        settings: quick(),
+        settings: fast_detection_settings(),
         proxied: true,
         ..Plan::default()
     })
@@ -150,7 +150,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_instance_started_without_the_platform_serves() {
     let mut cluster = Cluster::start(Plan {
-        settings: quick(),
+        settings: fast_detection_settings(),
         ..Plan::default()
     })
     .await;
@@ -161,7 +161,7 @@
     let took = time_until_in_force(&cluster, &[instance], 2).await;
     println!("configured by the seeds after {took:?}");
     cluster
-        .until(
+        .wait_until(
             "the instance is ready and every server takes work",
             async || {
                 let status = cluster.instances[instance].status().await;
@@ -171,12 +171,15 @@
         .await;
     let caller = cluster.caller_at("dispatch", instance, 1).await;
     let outcome = caller
-        .request(RequestType::Get, "/sheet", b"", PATIENCE)
+        .request(RequestType::Get, "/sheet", b"", WAIT_TIMEOUT)
         .await;
     assert!(matches!(outcome, Outcome::Answered { .. }), "{outcome:?}");
-    let mut feed = caller.observe("/route", PATIENCE).await.expect("a feed");
+    let mut feed = caller
+        .observe("/route", WAIT_TIMEOUT)
+        .await
+        .expect("a feed");
     for _ in 0..5 {
-        let update = feed.next(PATIENCE).await;
+        let update = feed.next(WAIT_TIMEOUT).await;
         let open = matches!(update, standin::caller::Update::Notification { .. });
         assert!(open, "{update:?}");
     }
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -11,9 +11,9 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 use utils::Cluster;
-use utils::PATIENCE;
 use utils::Plan;
-use utils::quick;
+use utils::WAIT_TIMEOUT;
+use utils::fast_detection_settings;
 
 /// Time that a server takes for a request, so that an instance can be stopped before
 /// the answer comes.
@@ -22,7 +22,7 @@
 async fn slow_cluster(proxied: bool) -> Cluster {
     let cluster = Cluster::start(Plan {
         services: vec![("dispatch", 6)],
-        settings: quick(),
+        settings: fast_detection_settings(),
         profile: json!({"slow_start_s": 0, "retry_budget_percent": 100}),
         proxied,
         ..Plan::default()
@@ -47,7 +47,7 @@
         requests.spawn(async move {
             let body = payload.clone();
             let outcome = caller
-                .request(RequestType::Post, "/pickup", body, PATIENCE)
+                .request(RequestType::Post, "/pickup", body, WAIT_TIMEOUT)
                 .await;
             (payload, outcome)
         });
@@ -79,10 +79,10 @@
         let later_requests = start_requests(&cluster, 6, &format!("later-{round}")).await;
         assert_all_answered(&cluster, requests).await;
         assert_all_answered(&cluster, later_requests).await;
-        cluster.unlist(round);
-        assert_eq!(cluster.instances[round].exited().await, Some(0));
+        cluster.remove_from_fabrics(round);
+        assert_eq!(cluster.instances[round].wait_for_exit().await, Some(0));
         cluster.add("merkato").await;
-        cluster.settled().await;
+        cluster.wait_until_settled().await;
     }
 }
 
@@ -96,16 +96,16 @@
     let requests = start_requests(&cluster, 9, "before").await;
     // A request starts only after its claim has been acknowledged.
     cluster
-        .until("all requests have started", async || {
+        .wait_until("all requests have started", async || {
             (0..9).all(|n| cluster.starts(&format!("before-{n}")) == 1)
         })
         .await;
-    cluster.part(&[0]);
+    cluster.cut_off(&[0]);
     cluster.cut_platform(0, true);
-    cluster.unlist(0);
+    cluster.remove_from_fabrics(0);
     cluster.instances[0].signal(Signal::SIGTERM);
     assert_all_answered(&cluster, requests).await;
-    assert_eq!(cluster.instances[0].exited().await, Some(0));
+    assert_eq!(cluster.instances[0].wait_for_exit().await, Some(0));
 }
 
 /// Callers send bookings to a stopping instance while the platform is down, so that no
@@ -115,7 +115,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stop_under_load_without_the_platform_aborts_no_request() {
     const GRACE_S: u64 = 10;
-    let mut settings = quick();
+    let mut settings = fast_detection_settings();
     settings["stop_grace_s"] = json!(GRACE_S);
     let mut cluster = Cluster::start(Plan {
         services: vec![("dispatch", 6)],
@@ -148,7 +148,7 @@
             }
         });
     }
-    assert_eq!(cluster.instances[0].exited().await, Some(0));
+    assert_eq!(cluster.instances[0].wait_for_exit().await, Some(0));
     for (payload, outcome) in tasks.join_all().await.into_iter().flatten() {
         let starts = cluster.starts(&payload);
         match outcome {
@@ -166,7 +166,7 @@
 async fn a_second_signal_ends_at_once_and_logs_the_count() {
     let mut cluster = slow_cluster(false).await;
     for server in cluster.servers.values() {
-        server.set_service_time(PATIENCE);
+        server.set_service_time(WAIT_TIMEOUT);
     }
     let caller = cluster.caller_at("dispatch", 0, 1).await;
     let address = caller.address().expect("address");
@@ -175,7 +175,7 @@
     cluster.instances[home].signal(Signal::SIGTERM);
     let _exchange = caller.begin(RequestType::Post, "/pickup", "cut").await;
     cluster
-        .until("the request has started", async || {
+        .wait_until("the request has started", async || {
             cluster.starts("cut") == 1
         })
         .await;
@@ -190,13 +190,13 @@
         cluster.instances[owner].signal(Signal::SIGTERM);
     }
     cluster
-        .until("the home has the request in progress", async || {
+        .wait_until("the home has the request in progress", async || {
             is_busy(owner).await
         })
         .await;
     sleep(Duration::from_millis(200)).await;
     cluster.instances[owner].signal(Signal::SIGTERM);
-    assert_eq!(cluster.instances[owner].exited().await, Some(2));
+    assert_eq!(cluster.instances[owner].wait_for_exit().await, Some(2));
     let log = cluster.instances[owner].log();
     assert!(log.contains("second signal"), "{log}");
     assert!(log.contains("cut: 1"), "{log}");
--- a/tests/wrong.rs
+++ b/tests/wrong.rs
@@ -17,17 +17,17 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 use utils::Cluster;
-use utils::PATIENCE;
 use utils::Plan;
-use utils::counted;
-use utils::quick;
+use utils::WAIT_TIMEOUT;
+use utils::fast_detection_settings;
+use utils::metric_sum;
 
 /// Minimum time that a process needs to start.
 const START_TIME: Duration = Duration::from_millis(50);
 
 /// Starts a server as soon as the previous one has released its addresses.
 async fn start_on_released_addresses(settings: server::Settings) -> server::Handle {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     sleep(START_TIME).await;
     loop {
         match server::start(settings.clone()).await {
@@ -48,7 +48,7 @@
 async fn a_server_of_another_service_on_an_old_address_runs_nothing() {
     let mut cluster = Cluster::start(Plan {
         services: vec![("dispatch", 3), ("ledger", 1)],
-        settings: quick(),
+        settings: fast_detection_settings(),
         profile: json!({"slow_start_s": 0}),
         ..Plan::default()
     })
@@ -66,7 +66,7 @@
     while Instant::now() < deadline {
         let payload = format!("booking-{number}");
         caller
-            .request(RequestType::Post, "/pickup", payload, PATIENCE)
+            .request(RequestType::Post, "/pickup", payload, WAIT_TIMEOUT)
             .await;
         number += 1;
     }
@@ -87,7 +87,7 @@
 async fn count_events(cluster: &Cluster, reason: &str) -> u64 {
     let mut sum = 0;
     for instance in &cluster.instances {
-        sum += counted(&instance.metrics().await, reason);
+        sum += metric_sum(&instance.metrics().await, reason);
     }
     sum
 }
@@ -108,19 +108,19 @@
 }
 
 /// Every kind of socket receives unexpected datagrams: the sockets toward the servers,
-/// the peer port and the listeners. Each datagram is dropped and counted, and the
+/// the peer port and the listeners. Each datagram is dropped and metric_sum, and the
 /// caller's feed and requests are not disturbed.
 #[tokio::test(flavor = "multi_thread")]
 async fn foreign_and_malformed_datagrams_are_dropped_and_counted() {
     let cluster = Cluster::start(Plan {
-        settings: quick(),
+        settings: fast_detection_settings(),
         ..Plan::default()
     })
     .await;
     let test_start = Instant::now();
     let dispatch_caller = cluster.caller("dispatch", 1).await;
     let mut feed = dispatch_caller
-        .observe("/route", PATIENCE)
+        .observe("/route", WAIT_TIMEOUT)
         .await
         .expect("a feed");
     let received: Vec<_> = cluster
@@ -134,7 +134,7 @@
         let before = count_events(&cluster, "foreign_answer").await;
         send(&forged_answer(token), backend).await;
         cluster
-            .until(&format!("{token:x?} is counted"), async || {
+            .wait_until(&format!("{token:x?} is metric_sum"), async || {
                 count_events(&cluster, "foreign_answer").await > before
             })
             .await;
@@ -148,7 +148,7 @@
     // A response in place of a request.
     send(&forged_answer([1; 8]), listener).await;
     cluster
-        .until("five bad datagrams are counted", async || {
+        .wait_until("five bad datagrams are metric_sum", async || {
             count_events(&cluster, "bad_datagram").await >= before + 5
         })
         .await;
@@ -157,19 +157,19 @@
         send(&vec![7; length], cluster.instances[1].peer).await;
     }
     cluster
-        .until("forged peer messages are counted", async || {
+        .wait_until("forged peer messages are metric_sum", async || {
             count_events(&cluster, "bad_peer_message").await >= before + 4
         })
         .await;
     let outcome = dispatch_caller
-        .request(RequestType::Get, "/sheet", b"", PATIENCE)
+        .request(RequestType::Get, "/sheet", b"", WAIT_TIMEOUT)
         .await;
     let Outcome::Answered { payload, .. } = &outcome else {
         panic!("{outcome:?}");
     };
     assert!(payload.starts_with(b"server="), "{outcome:?}");
     for _ in 0..5 {
-        let Update::Notification { payload, .. } = feed.next(PATIENCE).await else {
+        let Update::Notification { payload, .. } = feed.next(WAIT_TIMEOUT).await else {
             panic!("the feed ended");
         };
         assert!(payload.starts_with(b"server="));
@@ -181,18 +181,18 @@
 }
 
 /// A service is deleted while callers still send requests to it. Their datagrams are
-/// dropped and counted, and the other service is not disturbed.
+/// dropped and metric_sum, and the other service is not disturbed.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_unknown_service_is_counted() {
     let cluster = Cluster::start(Plan {
         services: vec![("dispatch", 2), ("ledger", 2)],
-        settings: quick(),
+        settings: fast_detection_settings(),
         ..Plan::default()
     })
     .await;
     cluster.platform.delete("godwitreel/services/ledger");
     cluster
-        .until("the service is not configured any more", async || {
+        .wait_until("the service is not configured any more", async || {
             for instance in &cluster.instances {
                 let status = instance.status().await.expect("status");
                 if status.revisions.contains_key("services/ledger") {
@@ -206,7 +206,7 @@
     let ledger_caller = cluster.caller_at("ledger", 0, 1).await;
     // The workers receive the change shortly after the status shows it.
     cluster
-        .until("a request gets no answer", async || {
+        .wait_until("a request gets no answer", async || {
             let request =
                 ledger_caller.request(RequestType::Get, "/sheet", b"", Duration::from_secs(1));
             request.await == Outcome::Silent
@@ -215,7 +215,7 @@
     assert!(count_events(&cluster, "unknown_service").await > before);
     let dispatch_caller = cluster.caller("dispatch", 2).await;
     let outcome = dispatch_caller
-        .request(RequestType::Get, "/route", b"", PATIENCE)
+        .request(RequestType::Get, "/route", b"", WAIT_TIMEOUT)
         .await;
     assert!(matches!(outcome, Outcome::Answered { .. }), "{outcome:?}");
 }
