--- a/src/flow/choice.rs
+++ b/src/flow/choice.rs
@@ -219,14 +219,14 @@
 /// their queues overflow before it used another zone's servers.
 fn load(record: &Record, criteria: &Criteria<'_>) -> f64 {
     let own = f64::from(record.outstanding) + f64::from(record.flows) * FLOW_WEIGHT;
-    let all = own * criteria.zone_instances as f64 + 1.0;
+    let total = own * criteria.zone_instances as f64 + 1.0;
     let speed = if criteria.now < record.cold_until {
         COLD_SPEED
     } else {
         1.0
     };
     let slots = f64::from(record.server.slots.max(1));
-    all / (slots * speed) + record.penalty
+    total / (slots * speed) + record.penalty
 }
 
 /// Load that a server's share of failures adds.
--- a/src/flow/contact.rs
+++ b/src/flow/contact.rs
@@ -9,7 +9,7 @@
 const RETURN_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Longest gap between two contacts that are merged. Upstreams poll the store at least
-/// once per second, gather changes for up to 0.4 s and report them within 0.25 s. A longer
+/// once per second, collect changes for up to 0.4 s and report them within 0.25 s. A longer
 /// gap is an outage that has not been detected.
 const MAX_GAP: Duration = Duration::from_millis(1_700);
 
--- a/src/flow/directory.rs
+++ b/src/flow/directory.rs
@@ -80,7 +80,7 @@
     pub tag: Tag,
 }
 
-/// Index of a server's incarnation in the directory. It stays valid until the server is
+/// Handle of a server's incarnation in the directory. It stays valid until the server is
 /// removed, which happens after all of its flows have been forgotten.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ServerHandle {
@@ -129,7 +129,7 @@
     /// Load added for the share of failures, as last computed.
     pub(crate) penalty: f64,
     /// Whether an older server has the same tag, so that the flows of both could not be
-    /// told apart.
+    /// distinguished.
     has_duplicate_tag: bool,
 }
 
@@ -342,7 +342,7 @@
 
     /// Replaces a server's record by one for its next incarnation, which has no open flows.
     ///
-    /// Flows, requests and evidence of the former incarnation keep its index and are no
+    /// Flows, requests and evidence of the former incarnation keep its handle and are no
     /// longer counted. Otherwise the new incarnation would look loaded or unresponsive
     /// because of requests that it never received. Packets of the old flows are forwarded to
     /// the new incarnation, which resets unknown flows, so that the callers know at once.
@@ -407,7 +407,7 @@
         if let Some(record) = self.get_mut(handle)
             && now < record.cold_until
         {
-            record.cold_quota.take(now);
+            record.cold_quota.count_flow(now);
         }
     }
 
@@ -603,8 +603,8 @@
 
     /// Sum of the flows and requests counted at all servers.
     pub fn load(&self) -> u64 {
-        let of = |record: &Record| u64::from(record.flows) + u64::from(record.outstanding);
-        self.records().map(of).sum()
+        let record_load = |record: &Record| u64::from(record.flows) + u64::from(record.outstanding);
+        self.records().map(record_load).sum()
     }
 
     /// Typical answers of the server's service.
@@ -660,12 +660,12 @@
         self.by_service.get(service)
     }
 
-    /// The current record of the server, whatever incarnation the index refers to.
+    /// The current record of the server, whatever incarnation the handle refers to.
     pub(crate) fn get(&self, handle: ServerHandle) -> Option<&Record> {
         self.records.get(handle.index())?.as_ref()
     }
 
-    /// The server's record if it still has the incarnation that the index refers to.
+    /// The server's record if it still has the incarnation that the handle refers to.
     pub(crate) fn get_mut(&mut self, handle: ServerHandle) -> Option<&mut Record> {
         let record = self.records.get_mut(handle.index())?.as_mut();
         record.filter(|record| record.generation == handle.generation)
--- a/src/flow/egress.rs
+++ b/src/flow/egress.rs
@@ -26,7 +26,7 @@
 /// a timer fires before the link has sent them and becomes idle.
 const SEND_AHEAD: Duration = Duration::from_millis(5);
 
-/// FlowQueue of the link for callers' packets. The remainder is for updates from the store,
+/// Share of the link for callers' packets. The remainder is for updates from the store,
 /// which uploads must not delay.
 const CALLER_SHARE: f64 = 0.9;
 
--- a/src/flow/plane.rs
+++ b/src/flow/plane.rs
@@ -230,8 +230,8 @@
         if !peers.contains(&me) {
             peers.push(me);
         }
-        let is_near = |peer: &&Peer| peer.zone == self.options.zone;
-        self.zone_instances = peers.iter().filter(is_near).count();
+        let is_local = |peer: &&Peer| peer.zone == self.options.zone;
+        self.zone_instances = peers.iter().filter(is_local).count();
         self.directory.set_peers(peers);
     }
 
@@ -240,7 +240,8 @@
         self.options.spill = spill;
     }
 
-    /// Whether enough is known to serve callers.
+    /// Whether the list of servers and a configuration are known, so that callers can be
+    /// served.
     pub fn is_ready(&self) -> bool {
         self.has_servers && self.routes.is_some()
     }
--- a/src/flow/plane/established.rs
+++ b/src/flow/plane/established.rs
@@ -174,7 +174,7 @@
         segment: &Segment,
         server_handle: ServerHandle,
     ) -> bool {
-        let Some(missing) = self.directory.gone_since(server_handle, now) else {
+        let Some(gone_since) = self.directory.gone_since(server_handle, now) else {
             return false;
         };
         let Some(record) = self.directory.get(server_handle) else {
@@ -183,7 +183,7 @@
         let event = FlowEvent::Released {
             flow_key: segment.flow_key,
             server: record.server.id.clone(),
-            missing_ms: (now - missing).as_millis() as u64,
+            missing_ms: (now - gone_since).as_millis() as u64,
         };
         self.record_event(event);
         true
--- a/src/flow/plane/requests.rs
+++ b/src/flow/plane/requests.rs
@@ -78,7 +78,7 @@
             let has_received = self.last_packet.is_some_and(|at| at > request.started);
             let has_adopted = self.last_adoption.is_some_and(|at| at >= request.started);
             let flow = self.table.find(&request.flow_key);
-            let flow = flow.and_then(|key| self.table.get(key));
+            let flow = flow.and_then(|handle| self.table.get(handle));
             let flow = flow.filter(|flow| flow.request_started == Some(request.started));
             let Some(server) = flow
                 .filter(|_| has_received && !has_adopted)
--- a/src/flow/segment.rs
+++ b/src/flow/segment.rs
@@ -16,8 +16,8 @@
     pub service: SocketAddrV4,
 }
 
-/// Hashes two words. The derived implementation hashes each address as a slice with its
-/// length, which takes twice as long.
+/// Hashes each endpoint as one 64-bit word. The derived implementation hashes each address
+/// as a slice with its length, which takes twice as long.
 impl Hash for FlowKey {
     fn hash<H: Hasher>(&self, state: &mut H) {
         let word = |end: &SocketAddrV4| u64::from(end.ip().to_bits()) << 16 | u64::from(end.port());
--- a/src/flow/warmup.rs
+++ b/src/flow/warmup.rs
@@ -64,7 +64,7 @@
         in_window.count() < limit
     }
 
-    pub(crate) fn take(&mut self, now: Instant) {
+    pub(crate) fn count_flow(&mut self, now: Instant) {
         if self.limit.is_none() {
             return;
         }
--- a/src/platform/resolution.rs
+++ b/src/platform/resolution.rs
@@ -32,7 +32,7 @@
     /// The response was lost, and the key holds another writer's value or does
     /// not exist: this write never took effect or has been replaced since, and
     /// will not take effect later. A counter in the values, incremented by each
-    /// write, tells these cases apart: if the found value has the same count as
+    /// write, distinguishes these cases: if the found value has the same count as
     /// this write, this write never took effect.
     Superseded(Option<Entry>),
     /// Nothing could be read back in time; the write may have taken effect or
--- a/src/platform/transport.rs
+++ b/src/platform/transport.rs
@@ -37,8 +37,8 @@
 const BODY_TIMEOUT_FACTOR: u32 = 10;
 
 /// Bytes a second at which a response body is read however long it takes: a fifth of the
-/// slowest supported link, 0.5 Mbit/s. A slower response comes from a peer that trickles,
-/// or is better requested again.
+/// slowest supported link, 0.5 Mbit/s. A slower response is aborted: either the peer holds
+/// bytes back, or a new request is likely to be faster.
 const MIN_BODY_RATE: f64 = 12_500.0;
 
 /// Time limit for reading the body of an error response, which is one line.
@@ -406,7 +406,7 @@
             peer: base.to_string(),
         });
     }
-    // Unlike other client errors, this one says nothing about the requested object:
+    // Unlike other client errors, this status does not concern the requested object:
     // a lease whose renewal gets this status is still valid.
     if status == StatusCode::TOO_MANY_REQUESTS {
         return Err(Error::Busy {
