--- a/src/flow/directory.rs
+++ b/src/flow/directory.rs
@@ -500,8 +500,8 @@
 
     /// Records that the store has answered.
     pub fn note_contact(&mut self, contact: StoreContact) {
-        let joined = self.contact.map_or(contact, |before| before.merge(contact));
-        self.contact = Some(joined);
+        let merged = self.contact.map_or(contact, |before| before.merge(contact));
+        self.contact = Some(merged);
     }
 
     /// Records that the store does not answer.
