--- a/src/replica/assembler.rs
+++ b/src/replica/assembler.rs
@@ -16,16 +16,16 @@
 /// Why a part is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PartError {
-    /// It does not begin where the previous part ended.
+    /// The part does not begin where the previous part ended.
     #[error("a part is missing")]
     Gap,
-    /// It declares more bytes than any value may have.
+    /// The part declares more bytes than any value may have.
     #[error("a value of {0} bytes is too large")]
     TooLarge(u64),
-    /// It was compressed against a value that is not known here.
+    /// The value was compressed against a version that is not known here.
     #[error("compressed against revision {0}, which is not known here")]
     UnknownBase(u64),
-    /// It cannot be decompressed.
+    /// The value cannot be decompressed.
     #[error("decompression failed: {0}")]
     DecompressionFailed(String),
     /// The decompressed value is not the one that was sent.
@@ -80,9 +80,9 @@
         // Compressed values are smaller than the values themselves, or only a few bytes
         // larger.
         let max = MAX_VALUE_BYTES as u64;
-        let held = self.packed.len() as u64 + part.bytes.len() as u64;
-        if part.size > max || held > max {
-            return Err(PartError::TooLarge(part.size.max(held)));
+        let packed_len = self.packed.len() as u64 + part.bytes.len() as u64;
+        if part.size > max || packed_len > max {
+            return Err(PartError::TooLarge(part.size.max(packed_len)));
         }
         self.packed.extend_from_slice(&part.bytes);
         if !part.is_last {
@@ -97,9 +97,9 @@
         let base = match part.base_revision {
             0 => None,
             revision => {
-                let known = self.bases.get(&part.key);
-                let known = known.filter(|base| base.mod_revision == revision);
-                Some(known.ok_or(PartError::UnknownBase(revision))?)
+                let base = self.bases.get(&part.key);
+                let base = base.filter(|base| base.mod_revision == revision);
+                Some(base.ok_or(PartError::UnknownBase(revision))?)
             }
         };
         let base = base.map_or(&[][..], |base| &base.value);
--- a/src/replica/copy.rs
+++ b/src/replica/copy.rs
@@ -115,8 +115,9 @@
     last_sequence: SequenceNumber,
     /// Revision up to which all changes are known; `None` before the first listing.
     synced_revision: Option<u64>,
-    /// Deletions up to these have been pruned.
+    /// Deletions up to this number have been pruned.
     pruned_sequence: SequenceNumber,
+    /// Greatest revision of a pruned deletion, or that of the last listing.
     pruned_revision: u64,
 }
 
@@ -345,11 +346,11 @@
 
     /// Records contact with the store, unless a later contact is known.
     ///
-    /// Subscribers are notified at once. Polls of a second stay in step with the
-    /// heartbeat. If notification were left to the heartbeat alone, some instances would
+    /// Subscribers are notified at once. Polls that take a second stay in phase with
+    /// the heartbeat. If notification were left to the heartbeat alone, some instances would
     /// never see a copy younger than a quarter of a second, and each level of the tree
     /// would add as much. Smaller steps are left to the heartbeat: two instances that
-    /// follow each other would take the transfer time between them for later contact.
+    /// follow each other would mistake the transfer time between them for later contact.
     pub(crate) fn record_contact(&self, at: Instant) {
         let mut state = self.lock();
         let previous = state.contact;
@@ -363,11 +364,11 @@
     /// Applies a complete listing; returns `false` when the copy is already newer.
     pub(crate) fn reset(&self, entries: &[Entry], revision: u64) -> bool {
         let changes = self.lock().copy.reset(entries, revision);
-        let is_taken = changes.is_some();
-        if is_taken {
+        let is_applied = changes.is_some();
+        if is_applied {
             self.changed.send_replace(());
         }
-        is_taken
+        is_applied
     }
 
     /// Applies changes and returns those that were new.
@@ -391,7 +392,7 @@
         new_changes
     }
 
-    /// Those of a subscriber's values that are known here.
+    /// The large values of a subscriber that this instance has as well.
     pub(crate) fn known_bases(&self, held: &[HeldValue]) -> Vec<BaseValue> {
         let find = |held: &HeldValue| {
             let newest = self.with_copy(|copy| copy.get(&held.key).map(BaseValue::from));
@@ -401,9 +402,9 @@
         held.iter().filter_map(find).collect()
     }
 
-    /// Calls `ask` with the copy under the lock, so `ask` must be short.
-    pub(crate) fn with_copy<T>(&self, ask: impl FnOnce(&StoreCopy) -> T) -> T {
-        ask(&self.lock().copy)
+    /// Calls `read` with the copy under the lock, so `read` must be short.
+    pub(crate) fn with_copy<T>(&self, read: impl FnOnce(&StoreCopy) -> T) -> T {
+        read(&self.lock().copy)
     }
 
     /// The large values known here. A subscription with them is sent only the
--- a/src/replica/follow.rs
+++ b/src/replica/follow.rs
@@ -51,7 +51,7 @@
 /// store's return at once.
 const PROBE_PAUSE: Duration = Duration::from_secs(4);
 
-/// What following needs: the sources of changes and their settings.
+/// The sources of changes, and the settings for following them.
 pub(crate) struct FollowOptions {
     pub(crate) reader: Reader,
     pub(crate) keys: KeyLayout,
@@ -88,8 +88,8 @@
     Reachable,
     /// The store did not respond; it is not probed again until this time.
     Unreachable(Instant),
-    /// The store responds again; until this time the upstream may still report that
-    /// itself.
+    /// The store responds again; until this time the upstream may still report the
+    /// recovery itself.
     Recovered(Instant),
 }
 
@@ -156,7 +156,7 @@
         if let Some(peer) = self.candidate() {
             return self.subscribe(peer).await;
         }
-        match self.ask_store().await {
+        match self.update_from_store().await {
             Err(FollowEnd::Failed(error)) => {
                 self.record_failure(&error).await?;
                 let pause = self.backoff.next_delay().min(MAX_RETRY_PAUSE);
@@ -175,7 +175,7 @@
     /// Polls the store without waiting for a change.
     async fn catch_up(&mut self) -> Result<(), FollowEnd> {
         self.is_store_silent = true;
-        match self.ask_store().await {
+        match self.update_from_store().await {
             Err(FollowEnd::Failed(error)) => {
                 // The next round polls again, after its usual pauses.
                 self.mark_store_unreachable(&error);
@@ -224,9 +224,9 @@
             let refused = Vec::new();
             self.reset(entries.collect(), refused, revision).await?;
         } else if !update.awaits_copy && self.shared.synced_revision().is_some() {
-            // An instance without a copy takes no changes from another one without a copy,
-            // such as itself: it would treat the empty copy as complete and ask no further
-            // seeds while the store is unreachable.
+            // An instance without a copy applies no changes from another one without a copy,
+            // which may be this instance itself: it would treat the empty copy as complete
+            // and ask no further seeds while the store is unreachable.
             self.apply(update.changes, revision).await?;
         }
         let Some(contact) = contact else {
@@ -242,7 +242,7 @@
         Ok(())
     }
 
-    async fn ask_store(&mut self) -> Result<(), FollowEnd> {
+    async fn update_from_store(&mut self) -> Result<(), FollowEnd> {
         match self.shared.synced_revision() {
             None => self.fetch_first_copy().await,
             Some(_) if self.is_compacted => {
@@ -289,11 +289,11 @@
         // For some keys, newer changes than the listed ones may be known. Going back to the
         // listing, even briefly, would send new flows to servers that have announced that
         // they drain.
-        let known = self
+        let entries = self
             .shared
             .with_copy(|copy| copy.entries().cloned().collect());
         let reset = Update::Reset {
-            entries: known,
+            entries,
             refused,
             revision,
         };
--- a/src/replica/follow/poll.rs
+++ b/src/replica/follow/poll.rs
@@ -135,16 +135,18 @@
         }
     }
 
+    /// Polls all keys in one call.
+    ///
     /// While the store is unreachable the poll does not wait, so that the first response
     /// after an outage arrives at once.
     async fn poll_all(&mut self, synced_revision: u64) -> FollowResult<()> {
         let wait = self.next_wait();
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let all = self.sources.keys.root_prefix;
         let batch = self.sources.reader.poll(all, synced_revision, wait).await?;
         let revision = batch.revision;
         let has_changes = self.apply_batch(batch, revision).await?;
-        self.finish_poll(asked, wait, has_changes).await
+        self.finish_poll(sent_at, wait, has_changes).await
     }
 
     /// Polls servers, orders and members in parallel with the large value, and applies
@@ -157,13 +159,13 @@
     /// 4,250 routes; without further polls, a server that drained meanwhile received new
     /// flows until the end of the transfer.
     async fn poll_separately(&mut self, synced_revision: u64) -> FollowResult<()> {
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let reader = self.sources.reader.clone();
         let keys = self.sources.keys;
-        // While nothing changes, one poll covers both.
-        let both_from =
+        // While nothing changes, one poll covers the large value and the orders.
+        let operator_revision =
             synced_revision.max(self.large.synced_revision.min(self.large.orders_revision));
-        let reads_newest = self.large.is_changing(asked);
+        let reads_newest = self.large.is_changing(sent_at);
         let timing = self.sources.timing;
         let transfer_wait = timing.subscribed_wait / 3;
         let small_wait = self.next_wait();
@@ -182,7 +184,7 @@
             servers_wait: small_wait,
             orders_wait: wait,
             transfer_wait: transfer_wait.min(small_wait),
-            large_ends_at: asked + wait,
+            large_ends_at: sent_at + wait,
             is_large_done,
         };
         let mut polls = FuturesUnordered::new();
@@ -192,22 +194,26 @@
                 .boxed(),
         );
         polls.push(poll_members(&reader, synced_revision, wait).boxed());
-        let orders_after = match reads_newest {
+        let orders_pause = match reads_newest {
             true => Duration::ZERO,
             false => wait + RESPONSE_TIME,
         };
         polls.push(
             small_polls
-                .poll(keys.evacuation_prefix, synced_revision, orders_after)
+                .poll(keys.evacuation_prefix, synced_revision, orders_pause)
                 .boxed(),
         );
         let large = async {
-            let asked = Instant::now();
+            let sent_at = Instant::now();
             let batch = match reads_newest {
                 true => read_newest(&reader, keys.config_key).await,
-                false => reader.poll(keys.operator_prefix, both_from, wait).await,
+                false => {
+                    reader
+                        .poll(keys.operator_prefix, operator_revision, wait)
+                        .await
+                }
             };
-            PollResult::new(keys.config_key, asked, wait, batch)
+            PollResult::new(keys.config_key, sent_at, wait, batch)
         };
         polls.push(large.boxed());
         let mut round = PollRound {
@@ -233,10 +239,10 @@
         if let Some(error) = round.failures.into_values().next() {
             return Err(FollowEnd::Failed(error));
         }
-        let lowest = round.revisions.into_values().min();
-        self.apply(Vec::new(), lowest.unwrap_or(synced_revision))
+        let lowest_revision = round.revisions.into_values().min();
+        self.apply(Vec::new(), lowest_revision.unwrap_or(synced_revision))
             .await?;
-        self.finish_poll(asked, wait, round.has_changes).await
+        self.finish_poll(sent_at, wait, round.has_changes).await
     }
 
     /// Applies the result of one poll; returns the prefix to poll again, from which
@@ -253,11 +259,11 @@
             is_idle,
             batch,
         } = result;
-        let is_small = key == self.sources.keys.server_prefix;
-        let is_repeated = is_small || key == self.sources.keys.evacuation_prefix;
+        let is_servers = key == self.sources.keys.server_prefix;
+        let is_repeated = is_servers || key == self.sources.keys.evacuation_prefix;
         let is_large = key == self.sources.keys.config_key;
         round.is_large_done |= is_large;
-        let gather = self.sources.timing.gather_pause;
+        let gather_pause = self.sources.timing.gather_pause;
         let batch = match batch {
             // The poll of the large value ended before this one was sent.
             None => return Ok(None),
@@ -269,7 +275,7 @@
                 }
                 round.failures.insert(key, error);
                 let after = round.revisions.get(key).copied().unwrap_or(synced_revision);
-                return Ok(is_repeated.then_some((key, after, gather)));
+                return Ok(is_repeated.then_some((key, after, gather_pause)));
             }
         };
         let revision = batch.revision;
@@ -284,14 +290,18 @@
             round.revisions.insert(orders, self.large.orders_revision);
         }
         round.has_changes |= self.apply_batch(batch, synced_revision).await?;
-        if is_small && round.failures.is_empty() {
+        if is_servers && round.failures.is_empty() {
             // While the large value is being transferred, the small values are known as of
             // their last poll, which counts as contact. The large value arrives as fast as
             // the link allows: if subscribers left this instance for being slow with it, they
             // would all read it from the store over their own links.
             self.shared.record_contact(known_until);
         }
-        let pause = if is_idle { Duration::ZERO } else { gather };
+        let pause = if is_idle {
+            Duration::ZERO
+        } else {
+            gather_pause
+        };
         Ok(is_repeated.then_some((key, revision, pause)))
     }
 
@@ -306,19 +316,22 @@
 
     async fn finish_poll(
         &mut self,
-        asked: Instant,
+        sent_at: Instant,
         wait: Duration,
         has_changes: bool,
     ) -> FollowResult<()> {
         self.had_changes = has_changes;
         // A poll that found no changes was answered no earlier than the end of its wait.
         let waited = if has_changes { Duration::ZERO } else { wait };
-        let until = asked + waited.min(asked.elapsed());
+        let until = sent_at + waited.min(sent_at.elapsed());
         // Small values may have been polled again while the large one was transferred.
         let until = self.shared.contact().map_or(until, |at| at.max(until));
-        self.record_answer(StoreContact { from: asked, until })
-            .await?;
-        store::pause_after_poll(&self.sources.timing, asked, wait, has_changes).await;
+        self.record_answer(StoreContact {
+            from: sent_at,
+            until,
+        })
+        .await?;
+        store::pause_after_poll(&self.sources.timing, sent_at, wait, has_changes).await;
         Ok(())
     }
 
@@ -340,14 +353,14 @@
 }
 
 impl PollResult {
-    fn new(key: &'static str, asked: Instant, wait: Duration, batch: Result<Batch>) -> Self {
+    fn new(key: &'static str, sent_at: Instant, wait: Duration, batch: Result<Batch>) -> Self {
         let is_idle = batch.as_ref().is_ok_and(|batch| batch.changes.is_empty());
         let waited = if is_idle { wait } else { Duration::ZERO };
         Self {
             key,
-            known_until: asked + waited.min(asked.elapsed()),
+            known_until: sent_at + waited.min(sent_at.elapsed()),
             // A store that responds at once without a change would be polled in a busy loop.
-            is_idle: is_idle && asked.elapsed() >= wait / 2 && !wait.is_zero(),
+            is_idle: is_idle && sent_at.elapsed() >= wait / 2 && !wait.is_zero(),
             batch: Some(batch),
         }
     }
@@ -376,14 +389,14 @@
         if is_unneeded {
             return PollResult::unsent(prefix);
         }
-        let asked = Instant::now();
-        let wait = self.wait_at(asked, prefix);
+        let sent_at = Instant::now();
+        let wait = self.wait_at(sent_at, prefix);
         let batch = self.reader.poll(prefix, after, wait).await;
-        PollResult::new(prefix, asked, wait, batch)
+        PollResult::new(prefix, sent_at, wait, batch)
     }
 
-    /// Waits no longer than the poll of the large value, so that the next round is not
-    /// delayed.
+    /// How long a poll may wait: no longer than the poll of the large value, so that the next
+    /// round is not delayed.
     fn wait_at(&self, now: Instant, prefix: &str) -> Duration {
         let left = self.large_ends_at.saturating_duration_since(now);
         let longest = match prefix == self.orders_prefix {
@@ -395,9 +408,9 @@
 }
 
 async fn poll_members(reader: &Reader, after: u64, wait: Duration) -> PollResult {
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     let batch = reader.poll(register::PREFIX, after, wait).await;
-    PollResult::new(register::PREFIX, asked, wait, batch)
+    PollResult::new(register::PREFIX, sent_at, wait, batch)
 }
 
 /// Reads the newest version and returns it as the result of a poll.
--- a/src/replica/follow/search.rs
+++ b/src/replica/follow/search.rs
@@ -1,15 +1,15 @@
 //! Search for a copy among other instances while the store does not respond.
 //!
 //! The candidates are the seeds, which may be gone or have restarted without a copy,
-//! and the instances that subscribe here for updates, as those do that followed this
-//! instance before.
+//! and the instances that subscribe here, such as those that followed this instance
+//! before.
 //!
 //! A copy whose owner had contact with the store recently is as good as the store's
 //! response. An older one may lack a configuration, or list a server that drains by
-//! now. It is accepted only after the store has been silent for longer than it ever is
-//! while it works, and then the newest copy received so far is used: no instance that
-//! could be asked has newer content. Nothing known here goes back to an older state
-//! through it, since each key keeps its newest revision.
+//! now. An older copy is accepted only after the store has been silent for longer than a
+//! working store ever is. The newest copy received by then is used, since no instance
+//! that could be asked has newer content. No key goes back to an older state, since each
+//! key keeps its newest revision.
 
 use std::collections::HashSet;
 use std::net::SocketAddrV4;
@@ -63,13 +63,13 @@
     pub(super) async fn run(mut self) -> UpstreamUpdate {
         time::sleep_until(self.started_at + ASK_OTHERS_AFTER).await;
         let old_from = self.started_at + ACCEPT_OLD_AFTER;
-        let mut asked = HashSet::from([self.me.address]);
+        let mut requested = HashSet::from([self.me.address]);
         let mut copies = FuturesUnordered::new();
         let mut newest: Option<UpstreamUpdate> = None;
         loop {
             let copy_holders = self.copy_holders.borrow_and_update().clone();
             for address in self.seeds.iter().copied().chain(copy_holders) {
-                if asked.insert(address) {
+                if requested.insert(address) {
                     copies.push(await_copy(address, &self.me, RETRY_PAUSES, &self.log));
                 }
             }
@@ -92,9 +92,9 @@
     }
 }
 
-fn newer(known: Option<UpstreamUpdate>, update: UpstreamUpdate) -> UpstreamUpdate {
-    match known {
-        Some(known) if known.revision >= update.revision => known,
+fn newer(current: Option<UpstreamUpdate>, update: UpstreamUpdate) -> UpstreamUpdate {
+    match current {
+        Some(current) if current.revision >= update.revision => current,
         _ => update,
     }
 }
@@ -108,7 +108,7 @@
 ) -> UpstreamUpdate {
     let mut pause = retry.first_delay;
     loop {
-        match ask_for_copy(peer, me).await {
+        match request_copy(peer, me).await {
             Ok(update) => return update,
             Err(error) => info!(log, "no copy from another instance"; "error" => %error),
         }
@@ -117,7 +117,7 @@
     }
 }
 
-async fn ask_for_copy(peer: SocketAddrV4, me: &Member) -> crate::Result<UpstreamUpdate> {
+async fn request_copy(peer: SocketAddrV4, me: &Member) -> crate::Result<UpstreamUpdate> {
     let opened = Subscription::open(peer, me, None, Vec::new()).await;
     let (mut subscription, mut update) = opened?;
     while !update.is_full_copy {
--- a/src/replica/follow/start.rs
+++ b/src/replica/follow/start.rs
@@ -68,7 +68,7 @@
         loop {
             let copy_sources = tokio::select! {
                 copy_sources = self.copy_sources() => copy_sources,
-                update = &mut search => return self.take_found(update).await,
+                update = &mut search => return self.apply_found_copy(update).await,
             };
             match copy_sources {
                 Ok(copy_sources) => return self.fetch_copy_from(copy_sources).await,
@@ -77,7 +77,7 @@
             }
             let pause = self.backoff.next_delay().min(MAX_RETRY_PAUSE);
             if let Ok(update) = time::timeout(pause, &mut search).await {
-                return self.take_found(update).await;
+                return self.apply_found_copy(update).await;
             }
         }
     }
@@ -94,7 +94,7 @@
     }
 
     /// Applies the copy that a search has found while the store did not respond.
-    async fn take_found(&mut self, update: UpstreamUpdate) -> Result<(), FollowEnd> {
+    async fn apply_found_copy(&mut self, update: UpstreamUpdate) -> Result<(), FollowEnd> {
         info!(self.sources.log, "copy of another instance taken"; "revision" => update.revision,
             "age_ms" => update.age.map(|age| age.as_millis() as u64));
         // Until the store responds, an upstream with an old copy is as good as any other.
--- a/src/replica/follow/upstream.rs
+++ b/src/replica/follow/upstream.rs
@@ -27,8 +27,8 @@
 /// Pause before an upstream that failed is tried again.
 const COOLDOWN: Duration = Duration::from_secs(2);
 
-/// The same pause while the store is unreachable: an upstream that was restarted has no
-/// copy and gets it from subscribers that return to it.
+/// [`COOLDOWN`] while the store is unreachable: an upstream that was restarted has no copy
+/// and gets one from subscribers that return to it.
 const COOLDOWN_WHILE_UNREACHABLE: Duration = Duration::from_millis(500);
 
 /// Maximum number of times a pause is doubled: an upstream that was cut off for long is
@@ -47,8 +47,8 @@
 /// The nearer one may be gone, and each attempt delays the updates of the present one.
 const MOVE_COOLDOWN: Duration = Duration::from_secs(5);
 
-/// Heads probe the store at this share of the age at which other instances do: 0.3 s of
-/// 2 s earlier, in which even a slow store responds.
+/// Heads probe the store at this share of the age at which other instances do. With an
+/// age of 2 s that is 0.3 s earlier, a time in which even a slow store responds.
 const HEAD_PROBE_SHARE: f64 = 0.85;
 
 /// Time within which an upstream reports the return of the store: its own pause between
@@ -251,8 +251,8 @@
         }
     }
 
-    /// Called after an attempt to follow an instance that was of no use. The store is
-    /// asked next, unless it is known not to respond and other fallback upstreams may
+    /// Handles an attempt to follow an instance that was of no use. The store is polled
+    /// next, unless the store is known not to respond and other fallback upstreams may
     /// remain.
     async fn handle_failed_attempt(&mut self, was_above: bool) -> Result<(), FollowEnd> {
         if was_above || !self.is_store_unreachable() {
@@ -271,30 +271,32 @@
     /// seconds.
     fn probe_store(&self) -> impl Future<Output = crate::Result<Batch>> + Send + use<> {
         let reader = self.sources.reader.clone();
-        let small = self.sources.keys.server_prefix;
+        let servers = self.sources.keys.server_prefix;
         let synced_revision = self.shared.synced_revision().unwrap_or_default();
-        async move { reader.poll(small, synced_revision, Duration::ZERO).await }
+        async move { reader.poll(servers, synced_revision, Duration::ZERO).await }
     }
 
+    /// Whether the store should be probed now.
+    ///
     /// Heads probe a little earlier than other instances, which turn to a head that has
     /// contact with the store when they have none. On a fallback upstream, the store is
     /// probed from time to time even if the copy is young, so that the fallback ends.
     fn is_probe_due(&mut self) -> bool {
         if self
             .next_fallback_probe
-            .is_some_and(|end| Instant::now() >= end)
+            .is_some_and(|due| Instant::now() >= due)
         {
             return true;
         }
         let is_head = self.upstreams().len() < tree::HEAD_COUNT;
         let share = if is_head { HEAD_PROBE_SHARE } else { 1.0 };
-        let due = self.sources.timing.max_age.mul_f64(share);
+        let probe_age = self.sources.timing.max_age.mul_f64(share);
         let age = self.shared.age(Instant::now());
-        age.is_none_or(|age| age > due)
+        age.is_none_or(|age| age > probe_age)
     }
 
     /// Applies the result of a probe; returns whether the upstream should be left because
-    /// the store responds here but not there.
+    /// the store responds to this instance but not to the upstream.
     async fn apply_probe(&mut self, probed: crate::Result<Batch>) -> Result<bool, FollowEnd> {
         let is_upstream_old = self.is_probe_due();
         match probed {
@@ -348,10 +350,10 @@
         subscription: &mut Subscription,
         has_reported: &mut bool,
     ) -> crate::Result<()> {
-        let outcomes = self.shared.outcomes.report_for_upstream(Instant::now());
-        let has_outcomes = !outcomes.outcomes.is_empty();
+        let report = self.shared.outcomes.report_for_upstream(Instant::now());
+        let has_outcomes = !report.outcomes.is_empty();
         if has_outcomes || *has_reported {
-            subscription.send_report(&outcomes).await?;
+            subscription.send_report(&report).await?;
         }
         *has_reported = has_outcomes;
         Ok(())
@@ -388,8 +390,8 @@
 
     /// Whether an upstream that sends this update is worth a subscription. An upstream
     /// that itself follows a fallback is of use only to instances that cannot reach the
-    /// store either: two instances that follow each other would both take the other's age
-    /// for contact with the store.
+    /// store either: two instances that follow each other would both mistake the other's
+    /// age for contact with the store.
     fn is_useful(&self, update: &UpstreamUpdate) -> bool {
         self.is_fresh(update) && (!update.is_on_fallback || self.is_store_unreachable())
     }
@@ -415,7 +417,7 @@
     /// An instance that starts together with many others finds its place taken, or its
     /// upstream not running yet, and subscribes higher up. If it stayed there, the first
     /// instance of the zone would fill up with subscribers of others and refuse its own,
-    /// which would then each ask the store for everything.
+    /// which would then each read everything from the store.
     fn nearer_upstream(&mut self, peer: SocketAddrV4) -> Option<SocketAddrV4> {
         let upstreams = self.upstreams();
         let mut nearer = upstreams.into_iter().take_while(|address| *address != peer);
--- a/src/replica/handover.rs
+++ b/src/replica/handover.rs
@@ -36,7 +36,7 @@
 /// Pause before the store and the other instances are asked again.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// Other instances that must have the copy.
+/// Number of other instances that must have the copy.
 const REQUIRED_HOLDERS: usize = 2;
 
 /// Maximum number of other instances that are asked at once, those of the own zone
@@ -66,10 +66,10 @@
 
     async fn is_store_reachable(&self, synced_revision: u64) -> bool {
         // Few keys change under this prefix, so the response is short.
-        let asked = self
+        let poll = self
             .reader
             .poll(register::PREFIX, synced_revision, Duration::ZERO);
-        match time::timeout(STORE_TIMEOUT, asked).await {
+        match time::timeout(STORE_TIMEOUT, poll).await {
             Ok(Ok(_) | Err(Error::Compacted { .. })) => true,
             Ok(Err(error)) => {
                 info!(self.log, "store does not answer before the stop"; "error" => %error);
@@ -86,10 +86,10 @@
     /// known here.
     async fn has_enough_holders(&self, synced_revision: u64) -> bool {
         let others = self.others();
-        let asked = others
+        let requests = others
             .iter()
             .map(|other| self.request_update(*other, synced_revision));
-        let updates = future::join_all(asked).await;
+        let updates = future::join_all(requests).await;
         let holds_copy = |update: &UpstreamUpdate| {
             update.age.is_some() && update.revision >= synced_revision && !update.is_stopping
         };
--- a/src/replica/liveness.rs
+++ b/src/replica/liveness.rs
@@ -20,7 +20,7 @@
 use crate::replica::subscribe;
 
 /// Time between two rounds of probes. Frozen instances stay frozen for seconds, and
-/// routers notice it after one.
+/// routers notice a frozen instance after one second.
 const PROBE_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Maximum number of instances in a zone whose instances probe each other. The number
@@ -28,8 +28,8 @@
 /// time with probes and 2.86 s without, in runs of 53 s.
 const MAX_PROBED_ZONE_SIZE: usize = 8;
 
-/// Instances of each other zone that are probed to learn whether the zone can take
-/// callers.
+/// Number of instances of each other zone that are probed to learn whether the zone can
+/// accept callers.
 const PROBED_PER_OTHER_ZONE: usize = 4;
 
 /// How many instances of a zone respond.
--- a/src/replica/message.rs
+++ b/src/replica/message.rs
@@ -209,8 +209,8 @@
         let Some(packed) = self.packed.take() else {
             return Ok(());
         };
-        let most = packed.size.min(MAX_MESSAGE_BYTES as u64);
-        let plain = pack::unpack(&packed.bytes, b"", most as usize)?;
+        let max_size = packed.size.min(MAX_MESSAGE_BYTES as u64);
+        let plain = pack::unpack(&packed.bytes, b"", max_size as usize)?;
         let packed = Rows::decode(plain).map_err(io::Error::other)?;
         // Copied, since a slice would keep the whole message in memory.
         let rows = packed.rows.into_iter().map(|row| Row {
--- a/src/replica/outcome.rs
+++ b/src/replica/outcome.rs
@@ -65,7 +65,7 @@
     pub worst_instance_stalls: f32,
 }
 
-/// What a subscriber reports to its upstream.
+/// Report of request outcomes from a subscriber to its upstream.
 #[derive(Clone, PartialEq, Message)]
 pub struct OutcomeReport {
     /// One entry for each server with failures.
@@ -138,10 +138,10 @@
     ///
     /// Where each instance sends a server a request a second or less, there are few
     /// successes to outweigh a failure report. Without this limit, one instance that
-    /// reports wrong counts, or that alone is cut off from the server, took all work from
-    /// it: 7 of 1,050 requests still went to a server that answered every one of them. An
-    /// instance that has seen the server fail acts on its own counts; the others wait for
-    /// a second report.
+    /// reports wrong counts, or that alone is cut off from the server, made the
+    /// others avoid it: only 7 of 1,050 requests still went to a server that answered every
+    /// one of them. An instance that has seen the server fail acts on its own counts; the
+    /// others wait for a second report.
     fn confirmed(self) -> Self {
         let confirmed = |all: f32, worst: f32| {
             let others = (all - worst).max(0.0);
--- a/src/replica/publish.rs
+++ b/src/replica/publish.rs
@@ -45,7 +45,7 @@
 
 /// Maximum number of subscribers. Twice the fan-out of the tree: instances see ranks
 /// differently while members join and leave, and an instance that starts without the
-/// store asks any other.
+/// store may subscribe to any other.
 const MAX_SUBSCRIBERS: usize = 2 * FAN_OUT;
 
 /// Accepts subscribers until the process ends.
@@ -185,8 +185,8 @@
                 _ = changes.changed() => break,
                 () = shared.pacer.wait_for_budget(), if outbox.next_part_size().is_some() => break,
                 () = time::sleep_until(next) => break,
-                outcomes = receive_report(framed, peer) => {
-                    shared.outcomes.receive_from_subscriber(Instant::now(), subscriber, outcomes?);
+                report = receive_report(framed, peer) => {
+                    shared.outcomes.receive_from_subscriber(Instant::now(), subscriber, report?);
                 }
             }
         }
@@ -201,15 +201,15 @@
         .await
         .ok_or_else(|| subscriber_error(STEP, peer, "closed"))?;
     let frame = frame.map_err(|error| subscriber_error(STEP, peer, error))?;
-    let outcomes: OutcomeReport = message::decode(STEP, &peer.to_string(), frame)?;
-    if outcomes.outcomes.len() > MAX_ENTRIES {
+    let report: OutcomeReport = message::decode(STEP, &peer.to_string(), frame)?;
+    if report.outcomes.len() > MAX_ENTRIES {
         return Err(subscriber_error(
             STEP,
             peer,
             "too many servers in one report",
         ));
     }
-    Ok(outcomes)
+    Ok(report)
 }
 
 /// Composes the next message; its parts are charged to the pacer.
--- a/src/replica/register.rs
+++ b/src/replica/register.rs
@@ -39,9 +39,9 @@
     pub instance: id::Instance,
     /// Availability zone of the instance.
     pub zone: id::Zone,
-    /// Address at which it accepts subscribers.
+    /// Address at which the instance accepts subscribers.
     pub address: SocketAddrV4,
-    /// Rate of its link, by which instances are ranked.
+    /// Rate of the instance's link, by which instances are ranked.
     #[serde(default = "default_link")]
     pub link_mbps: Bandwidth,
 }
--- a/src/replica/subscribe.rs
+++ b/src/replica/subscribe.rs
@@ -118,7 +118,7 @@
 }
 
 impl Subscription {
-    /// Connects, sends what is known here, and waits for the first message.
+    /// Connects, sends the synced revision and the bases, and waits for the first message.
     pub(crate) async fn open(
         peer: SocketAddrV4,
         me: &Member,
@@ -154,7 +154,7 @@
     /// Waits for all changes that an update announces.
     ///
     /// An instance that applied only some of them would consider itself outdated, leave,
-    /// and start again with the same ones.
+    /// and start again with the same changes.
     pub(crate) async fn complete(&mut self, mut update: UpstreamUpdate) -> Result<UpstreamUpdate> {
         while update.is_incomplete() {
             update.extend(self.next_update().await?);
@@ -169,8 +169,8 @@
     }
 
     /// Sends request outcomes to the upstream.
-    pub(crate) async fn send_report(&mut self, outcomes: &OutcomeReport) -> Result<()> {
-        let bytes: Bytes = outcomes.encode_to_vec().into();
+    pub(crate) async fn send_report(&mut self, report: &OutcomeReport) -> Result<()> {
+        let bytes: Bytes = report.encode_to_vec().into();
         let sent = time::timeout(SILENCE_TIMEOUT, self.framed.send(bytes)).await;
         let sent = sent.map_err(|_| subscription_error(self.peer, "sending timed out"))?;
         sent.map_err(|error| subscription_error(self.peer, error))
@@ -215,8 +215,8 @@
             bytes: part.offset + part.bytes.len() as u64,
             transfer_time: self.last_received - self.transfer_started,
         });
-        let complete = self.assembler.add(part);
-        match complete.map_err(|error| subscription_error(self.peer, error))? {
+        let assembled = self.assembler.add(part);
+        match assembled.map_err(|error| subscription_error(self.peer, error))? {
             None => {}
             Some(AssembledValue::Entry(entry)) => update.changes.push(Change::Put(entry)),
             Some(AssembledValue::Copy(entries, revision)) => {
--- a/src/replica/tree.rs
+++ b/src/replica/tree.rs
@@ -11,10 +11,10 @@
 use crate::id;
 use crate::replica::Member;
 
-/// Subscribers of one instance.
+/// Number of subscribers of one instance in the tree.
 ///
-/// With 16, the two levels below the first instance hold 272 more, twice the size of a
-/// zone in the largest planned deployment. A heartbeat to each every 250 ms makes 64
+/// With 16, the two levels below the first instance hold 272 instances, twice the size of
+/// a zone in the largest planned deployment. A heartbeat to each every 250 ms makes 64
 /// small messages a second.
 pub(crate) const FAN_OUT: usize = 16;
 
@@ -34,15 +34,15 @@
 }
 
 /// Number of instances at the head of a zone. The heads replace other upstreams, and
-/// read the store at once when they start. Three, so that two of them may be gone.
+/// read the store at once when they start. Three, so that two of them may be unavailable.
 pub(crate) const HEAD_COUNT: usize = 3;
 
 /// The instances to follow, the best first: those above this one, then the heads of the
 /// zone.
 ///
-/// If the first instance is cut off from the store, the instances below it each polled
-/// the store themselves every two seconds. The head after it polls the store anyway and
-/// can feed them. All candidates rank before the instance itself.
+/// Without the heads, if the first instance were cut off from the store, the instances
+/// below it would each poll the store every two seconds. The next head polls the store
+/// anyway and can feed them. All candidates rank before the instance itself.
 pub fn candidates<'a>(
     me: &id::Instance,
     zone: &id::Zone,
