--- a/src/replica.rs
+++ b/src/replica.rs
@@ -5,7 +5,7 @@
 //! zone form a tree by rank: the first one follows the store, and the others subscribe
 //! to the instance above them and receive each change within milliseconds. Each
 //! heartbeat carries the age of the last contact with the store, so that an instance
-//! whose upstream is cut off, frozen or gone notices in time and asks the store itself.
+//! whose upstream is cut off, frozen or gone notices in time and polls the store itself.
 //!
 //! An instance that starts gets its first copy from the heads of its zone. These are
 //! the first three by rank, which also replace an upstream that is cut off. A
