--- a/tests/burnfleet.rs
+++ b/tests/burnfleet.rs
@@ -61,7 +61,7 @@
     (good.expect("good"), bad.expect("bad"))
 }
 
-// Twenty bookings are answered and every server refuses four. Each must be metric_sum
+// Twenty bookings are answered and every server refuses four. Each must be counted
 // once although any instance may receive and relay the callers' packets; counting
 // relayed packets again would distort the rates. Then an instance is killed: its
 // counts are lost, so the report must not appear healthy.
--- a/tests/feed.rs
+++ b/tests/feed.rs
@@ -235,7 +235,7 @@
     assert_eq!(pair.home.feeds(), 0);
 }
 
-/// The caller has_rejection a notification: it does not want the feed any more, and the
+/// The caller rejects a notification: it does not want the feed any more, and the
 /// backup must not keep its copy.
 #[test]
 fn a_rejected_feed_ends_everywhere() {
--- a/tests/wrong.rs
+++ b/tests/wrong.rs
@@ -108,7 +108,7 @@
 }
 
 /// Every kind of socket receives unexpected datagrams: the sockets toward the servers,
-/// the peer port and the listeners. Each datagram is dropped and metric_sum, and the
+/// the peer port and the listeners. Each datagram is dropped and counted, and the
 /// caller's feed and requests are not disturbed.
 #[tokio::test(flavor = "multi_thread")]
 async fn foreign_and_malformed_datagrams_are_dropped_and_counted() {
@@ -134,7 +134,7 @@
         let before = count_events(&cluster, "foreign_answer").await;
         send(&forged_answer(token), backend).await;
         cluster
-            .wait_until(&format!("{token:x?} is metric_sum"), async || {
+            .wait_until(&format!("{token:x?} is counted"), async || {
                 count_events(&cluster, "foreign_answer").await > before
             })
             .await;
@@ -148,7 +148,7 @@
     // A response in place of a request.
     send(&forged_answer([1; 8]), listener).await;
     cluster
-        .wait_until("five bad datagrams are metric_sum", async || {
+        .wait_until("five bad datagrams are counted", async || {
             count_events(&cluster, "bad_datagram").await >= before + 5
         })
         .await;
@@ -157,7 +157,7 @@
         send(&vec![7; length], cluster.instances[1].peer).await;
     }
     cluster
-        .wait_until("forged peer messages are metric_sum", async || {
+        .wait_until("forged peer messages are counted", async || {
             count_events(&cluster, "bad_peer_message").await >= before + 4
         })
         .await;
@@ -181,7 +181,7 @@
 }
 
 /// A service is deleted while callers still send requests to it. Their datagrams are
-/// dropped and metric_sum, and the other service is not disturbed.
+/// dropped and counted, and the other service is not disturbed.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_unknown_service_is_counted() {
     let cluster = Cluster::start(Plan {
