--- a/src/burn.rs
+++ b/src/burn.rs
@@ -7,7 +7,7 @@
 //! Each instance counts in its own [`BurnCounter`], whose counts are lost when the
 //! instance stops. A [`Report`] merges the [`Sample`]s of many instances. Each
 //! incarnation of an instance counts once. An instance that gave no sample is reported
-//! as a gap and never taken for healthy.
+//! as a gap and never counted as healthy.
 //!
 //! A request is counted by the instance that settles it, which is the home of its
 //! slice, and only when it is first settled: duplicates that get the same outcome
@@ -172,8 +172,9 @@
 
 /// Counts the good and bad events of one instance, by service.
 ///
-/// All workers share one counter behind a lock. A [`Report`] would take the samples
-/// of several counters with one holder for copies of each other.
+/// All workers share one counter behind a lock. Two counters must not have the same
+/// holder: a [`Report`] treats the samples of one holder as copies and uses only the
+/// newest.
 #[derive(Debug)]
 pub struct BurnCounter {
     holder: id::Holder,
--- a/src/burn/chart.rs
+++ b/src/burn/chart.rs
@@ -104,12 +104,12 @@
     /// A line for each instance whose counts cover less than the longest window.
     fn short_coverage(&self) -> impl Iterator<Item = String> {
         let longest = Window::ThreeDays;
-        let heard = self.heard.iter();
-        let short =
-            heard.filter(move |heard| u128::from(heard.covered_ms) < longest.length().as_millis());
-        short.map(|heard| {
-            let seconds = heard.covered_ms / 1_000;
-            format!("counts of {} reach back {seconds} s only", heard.holder)
+        let sources = self.heard.iter();
+        let short = sources
+            .filter(move |source| u128::from(source.covered_ms) < longest.length().as_millis());
+        short.map(|source| {
+            let seconds = source.covered_ms / 1_000;
+            format!("counts of {} reach back {seconds} s only", source.holder)
         })
     }
 }
--- a/src/burn/merge.rs
+++ b/src/burn/merge.rs
@@ -97,12 +97,12 @@
     /// Merges any number of samples, in any order, and lists the gaps.
     ///
     /// Of several samples of one holder only the newest counts. A new incarnation of
-    /// an instance counts from zero, so the sample of an earlier one is added to it.
+    /// an instance counts from zero, so the samples of all its incarnations are added.
     pub fn merge(samples: &[Sample], mut gaps: Vec<Gap>) -> Self {
         let samples = newest_samples(samples);
         gaps.sort();
         gaps.dedup();
-        let heard = samples.values().map(|sample| SampleSource {
+        let sources = samples.values().map(|sample| SampleSource {
             holder: sample.holder.clone(),
             covered_ms: sample.covered_ms,
         });
@@ -110,7 +110,7 @@
         let services = tallies_by_service(samples.values().copied());
         let services = services.into_iter();
         Self {
-            heard: heard.collect(),
+            heard: sources.collect(),
             services: services
                 .map(|(service, tallies)| (service, service_burn(&tallies, has_gaps)))
                 .collect(),
@@ -142,13 +142,13 @@
 
     /// The most urgent verdict, at least [`Verdict::UnknownGap`] if the report has gaps.
     pub fn worst(&self) -> Verdict {
-        let least = if self.is_complete() {
+        let lowest = if self.is_complete() {
             Verdict::Ok
         } else {
             Verdict::UnknownGap
         };
         let verdicts = self.services.values().map(|service| service.verdict);
-        verdicts.fold(least, Verdict::max)
+        verdicts.fold(lowest, Verdict::max)
     }
 }
 
--- a/src/burn/report.rs
+++ b/src/burn/report.rs
@@ -74,7 +74,8 @@
 /// Requests the sample of one instance.
 ///
 /// Another instance may have taken over the address since it was listed. Its sample
-/// is rejected: it would count twice and hide that the listed instance is gone.
+/// is rejected: the other instance would be counted twice, and the absence of the
+/// listed one would be hidden.
 async fn fetch_sample(
     client: &reqwest::Client,
     instance: &id::Instance,
--- a/src/codec.rs
+++ b/src/codec.rs
@@ -224,7 +224,7 @@
             .flatten()
             .for_each(|value| value.hash(&mut hasher));
         // Separates the options' values: without it, the last path segment could not
-        // be told from the first query argument.
+        // be distinguished from the first query argument.
         hasher.write_u8(u8::MAX);
     }
     hasher.finish()
@@ -250,8 +250,11 @@
     // request because of this name, even if the configuration here is outdated.
     packet.clear_option(CoapOption::UriHost);
     packet.add_option(CoapOption::UriHost, service.as_str().as_bytes().to_vec());
-    let left = u32::try_from(remaining.as_millis()).unwrap_or(u32::MAX);
-    packet.add_option(CoapOption::Unknown(DEADLINE_OPTION), encode_uint(left));
+    let remaining_ms = u32::try_from(remaining.as_millis()).unwrap_or(u32::MAX);
+    packet.add_option(
+        CoapOption::Unknown(DEADLINE_OPTION),
+        encode_uint(remaining_ms),
+    );
     encode(&packet, datagram)
 }
 
@@ -376,8 +379,8 @@
         None => response(ResponseType::ServiceUnavailable),
     };
     packet.set_token(token_bytes(token));
-    let open = packet.get_option(CoapOption::Observe).is_some();
-    set_sequence(&mut packet, open.then_some(sequence));
+    let is_open = packet.get_option(CoapOption::Observe).is_some();
+    set_sequence(&mut packet, is_open.then_some(sequence));
     packet.header.set_type(if confirmable {
         MessageType::Confirmable
     } else {
