--- a/src/bin/godwitreel/config.rs
+++ b/src/bin/godwitreel/config.rs
@@ -43,7 +43,7 @@
 }
 
 impl Config {
-    /// Reads the file, if one is given, and lets the command line override it.
+    /// Reads the settings file, if one is given; the command line overrides its values.
     pub(crate) fn load(common: &CommonOptions) -> Result<Self> {
         let file = match &common.config {
             Some(path) => read_file(path)?,
--- a/src/command/change.rs
+++ b/src/command/change.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// The document that a change writes.
+/// Keys of the document that a change writes.
 pub(crate) struct DocumentKeys<'a> {
     /// Key of the document.
     pub(crate) key: &'a str,
@@ -128,7 +128,8 @@
     }
 
     /// The outcome [`Outcome::Refused`] with the document that was accepted instead. If
-    /// several changes were accepted since, it is the first, which has our revision.
+    /// several changes were accepted since, this is the first of them, which has our
+    /// revision.
     async fn refused_outcome<T: DeserializeOwned>(
         &self,
         client: &Client,
@@ -148,8 +149,8 @@
         }
     }
 
-    /// Determines the outcome of a change whose answer was lost and which is not the
-    /// stored document now.
+    /// Determines the outcome of a write that got no answer and whose document is not the
+    /// one stored now.
     ///
     /// Each revision is assigned once. If the document found has our revision, our
     /// change never took effect. If it has a later one, our change may have been
--- a/src/command/drain.rs
+++ b/src/command/drain.rs
@@ -1,8 +1,8 @@
 //! Orders to drain an instance or a backend server or to evacuate a zone, and their
 //! cancellation.
 //!
-//! An order is a key that exists or not; it has no revisions. To give an order that
-//! is in force already changes nothing and is no error.
+//! An order is a key that exists or not; it has no revisions. Repeating an order
+//! that is already in force changes nothing and is not an error.
 
 use std::collections::BTreeSet;
 
@@ -113,8 +113,8 @@
     set_order(client, operator, &key, undo).await
 }
 
-/// Fails if no listed server is in the zone: an order for a misspelt zone must not look
-/// like an evacuation.
+/// Fails if no listed server is in the zone: an order for a misspelt zone must not be
+/// reported as an evacuation.
 async fn check_zone(client: &Client, zone: &id::Zone) -> Result<()> {
     let listing = client.list(path::SERVERS).await?;
     let servers = listing.entries.iter();
@@ -143,8 +143,8 @@
 ) -> Result<Drain> {
     let subject_listed = client.get(subject).await?.is_some();
     let mut drain = set_order(client, operator, key, undo).await?;
-    // The lists lag, so a name that is not listed yet is accepted with a note: an order
-    // for a misspelt name must not look like a drain that works.
+    // The lists lag, so a name that is not listed yet is accepted. Without the note, an
+    // order for a misspelt name would be reported like a working drain.
     if !subject_listed && !undo {
         drain.notes.push(format!("{subject} is not listed now"));
     }
--- a/src/command/history.rs
+++ b/src/command/history.rs
@@ -2,8 +2,8 @@
 //!
 //! History is written after the change itself, which it must never endanger: a failed
 //! write to the history is reported in a note and is not an error. Each change also
-//! stores the envelope before it, in case the tool that wrote that one was stopped
-//! before it wrote the history.
+//! stores the envelope before it, in case the tool was stopped between that change
+//! and its write to the history.
 
 use serde::Serialize;
 
@@ -17,8 +17,8 @@
 /// Number of envelopes kept for each profile.
 const MAX_KEPT: usize = 10;
 
-/// Adds envelopes to the history and deletes the oldest. The notes returned name what
-/// failed.
+/// Adds envelopes to the history and deletes the oldest. Returns a note
+/// for each failure.
 pub(crate) async fn add<T: Serialize>(
     client: &Client,
     prefix: &str,
--- a/src/command/profile.rs
+++ b/src/command/profile.rs
@@ -12,7 +12,7 @@
 use crate::platform::Client;
 use crate::query::stored;
 
-/// Writes a profile, as its first revision or the one after the current revision.
+/// Writes a profile as its next revision, or as revision 1 if it does not exist yet.
 ///
 /// With `expect`, the change is refused unless that is the current revision; 0 means
 /// that the profile does not exist yet.
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -23,7 +23,7 @@
 use crate::platform::Client;
 use crate::platform::Entry;
 
-/// Most instances that are queried concurrently.
+/// Maximum number of instances that are queried concurrently.
 const MAX_CONCURRENT_REQUESTS: usize = 32;
 
 /// An instance that gave no usable answer.
@@ -42,7 +42,7 @@
     pub addresses: BTreeMap<id::Instance, id::Endpoint>,
     /// Registrations that cannot be decoded.
     pub unreadable: Vec<UnansweredInstance>,
-    /// Error of reading the platform's list of instances, if any.
+    /// Error while reading the platform's list of instances, if any.
     pub unlisted: Option<String>,
 }
 
@@ -53,7 +53,7 @@
     pub heard: BTreeMap<id::Instance, T>,
     /// Instances without an answer.
     pub silent: Vec<UnansweredInstance>,
-    /// Error of reading the platform's list of instances, if any: in that case,
+    /// Error while reading the platform's list of instances, if any: in that case,
     /// instances may be missing from this result.
     pub unlisted: Option<String>,
 }
@@ -123,7 +123,7 @@
             .buffer_unordered(MAX_CONCURRENT_REQUESTS)
             .collect()
             .await;
-        let mut gathered = FleetAnswers {
+        let mut fleet_answers = FleetAnswers {
             heard: BTreeMap::new(),
             silent: members.unreadable.clone(),
             unlisted: members.unlisted.clone(),
@@ -131,16 +131,18 @@
         for (instance, answer) in answers {
             match answer {
                 Ok(answer) => {
-                    gathered.heard.insert(instance, answer);
+                    fleet_answers.heard.insert(instance, answer);
                 }
-                Err(error) => gathered.silent.push(UnansweredInstance {
+                Err(error) => fleet_answers.silent.push(UnansweredInstance {
                     instance: instance.to_string(),
                     reason: error.to_string(),
                 }),
             }
         }
-        gathered.silent.sort_by(|a, b| a.instance.cmp(&b.instance));
-        gathered
+        fleet_answers
+            .silent
+            .sort_by(|a, b| a.instance.cmp(&b.instance));
+        fleet_answers
     }
 }
 
--- a/src/query/burn.rs
+++ b/src/query/burn.rs
@@ -22,9 +22,9 @@
         .map(|(instance, address)| (instance.clone(), *address))
         .collect();
     let mut report = report::burn(&instances, timeout).await?;
-    let gaps = members.unreadable.into_iter().filter_map(|silence| {
-        let instance = silence.instance.parse().ok()?;
-        let reason = silence.reason;
+    let gaps = members.unreadable.into_iter().filter_map(|unanswered| {
+        let instance = unanswered.instance.parse().ok()?;
+        let reason = unanswered.reason;
         Some(Gap { instance, reason })
     });
     report.add_missing(gaps.collect(), members.unlisted);
--- a/src/query/departure.rs
+++ b/src/query/departure.rs
@@ -70,9 +70,9 @@
     members.addresses.retain(|name, _| name == instance);
     members
         .unreadable
-        .retain(|silence| silence.instance == instance.as_str());
-    let gathered = status::ask(fleet, &members).await;
-    match evaluate(&members, &gathered, instance, goal) {
+        .retain(|unanswered| unanswered.instance == instance.as_str());
+    let answers = status::ask(fleet, &members).await;
+    match evaluate(&members, &answers, instance, goal) {
         Some(result) => result,
         None if goal == Goal::Staying => (false, "not registered".to_owned()),
         None => unregistered(fleet, instance).await,
@@ -107,24 +107,24 @@
     Ok(homes)
 }
 
-/// Evaluates an instance that is listed or may be. `None` if it is known not to be
-/// registered. A missing answer never counts as drained: an instance behind a broken
+/// Evaluates an instance that is or may be registered; `None` if it is known not to
+/// be. A missing answer never counts as drained: an instance behind a broken
 /// link may still be home of its slices.
 fn evaluate(
     members: &Members,
-    gathered: &FleetAnswers<Status>,
+    answers: &FleetAnswers<Status>,
     instance: &id::Instance,
     goal: Goal,
 ) -> Option<(bool, String)> {
-    if let Some(status) = gathered.heard.get(instance) {
+    if let Some(status) = answers.heard.get(instance) {
         let reached = match goal {
             Goal::Drained => status.leaving && status.homes == 0 && status.in_progress == 0,
             Goal::Staying => !status.leaving,
         };
         return Some((reached, describe(status)));
     }
-    if let Some(silence) = gathered.silent.first() {
-        return Some((false, format!("not heard: {}", silence.reason)));
+    if let Some(unanswered) = answers.silent.first() {
+        return Some((false, format!("not heard: {}", unanswered.reason)));
     }
     if let Some(reason) = &members.unlisted {
         return Some((false, format!("not heard: {reason}")));
--- a/src/query/evacuation.rs
+++ b/src/query/evacuation.rs
@@ -32,16 +32,16 @@
 }
 
 impl Evacuation {
-    fn new(zone: &id::Zone, is_evacuated: bool, gathered: FleetAnswers<Status>) -> Self {
+    fn new(zone: &id::Zone, is_evacuated: bool, answers: FleetAnswers<Status>) -> Self {
         let mut evacuation = Self {
             zone: zone.clone(),
             is_evacuated,
             in_force: Vec::new(),
             behind: Vec::new(),
-            silent: gathered.silent,
-            unlisted: gathered.unlisted,
+            silent: answers.silent,
+            unlisted: answers.unlisted,
         };
-        for (instance, status) in gathered.heard {
+        for (instance, status) in answers.heard {
             let group = match status.evacuated.contains(zone) == is_evacuated {
                 true => &mut evacuation.in_force,
                 false => &mut evacuation.behind,
@@ -68,8 +68,8 @@
     let until = Instant::now() + limit;
     loop {
         let members = fleet.members().await;
-        let gathered = status::ask(fleet, &members).await;
-        let evacuation = Evacuation::new(zone, is_evacuated, gathered);
+        let answers = status::ask(fleet, &members).await;
+        let evacuation = Evacuation::new(zone, is_evacuated, answers);
         if evacuation.is_complete() || Instant::now() + POLL_INTERVAL >= until {
             return evacuation;
         }
--- a/src/query/explain.rs
+++ b/src/query/explain.rs
@@ -49,8 +49,8 @@
 ) -> Result<CallerHistory> {
     let members = status::known_members(fleet).await?;
     let path = format!("/explain?service={service}&caller={caller}");
-    let gathered = fleet.ask::<Vec<Trace>>(&members, &path).await;
-    let mut steps: Vec<Step> = gathered
+    let answers = fleet.ask::<Vec<Trace>>(&members, &path).await;
+    let mut steps: Vec<Step> = answers
         .heard
         .into_iter()
         .flat_map(|(instance, traces)| {
@@ -63,7 +63,7 @@
     steps.sort_by_key(|step| step.trace.age_ms);
     Ok(CallerHistory {
         steps,
-        silent: gathered.silent,
-        unlisted: gathered.unlisted,
+        silent: answers.silent,
+        unlisted: answers.unlisted,
     })
 }
--- a/src/query/rollout.rs
+++ b/src/query/rollout.rs
@@ -3,7 +3,7 @@
 //! Instances that do not answer, refuse the document or have an older revision are
 //! named. While the platform's list of instances cannot be read or is empty, the
 //! rollout is never complete: right after an outage the leases of healthy instances
-//! may have expired, and an empty list would pass for success.
+//! may have expired, and an empty list would be mistaken for success.
 
 use std::time::Duration;
 
@@ -57,16 +57,16 @@
         complete && self.unlisted.is_none() && !self.in_force.is_empty()
     }
 
-    fn new(document: &str, revision: id::Revision, gathered: FleetAnswers<Status>) -> Self {
+    fn new(document: &str, revision: id::Revision, answers: FleetAnswers<Status>) -> Self {
         let mut rollout = Self {
             document: document.to_owned(),
             revision,
             in_force: Vec::new(),
             behind: Vec::new(),
-            silent: gathered.silent,
-            unlisted: gathered.unlisted,
+            silent: answers.silent,
+            unlisted: answers.unlisted,
         };
-        for (instance, status) in gathered.heard {
+        for (instance, status) in answers.heard {
             let found = status.revisions.get(document).copied();
             if found.is_some_and(|found| found >= revision) {
                 rollout.in_force.push(instance);
@@ -94,8 +94,8 @@
     let mut members = Members::default();
     loop {
         refresh(&mut members, fleet.members().await);
-        let gathered = status::ask(fleet, &members).await;
-        let rollout = Rollout::new(document, revision, gathered);
+        let answers = status::ask(fleet, &members).await;
+        let rollout = Rollout::new(document, revision, answers);
         if rollout.is_complete() || Instant::now() + POLL_INTERVAL >= until {
             return rollout;
         }
--- a/src/query/status.rs
+++ b/src/query/status.rs
@@ -28,7 +28,7 @@
 pub(crate) async fn known_members(fleet: &Fleet) -> Result<Members> {
     let mut members = fleet.members().await;
     // After an outage of the platform all leases may have expired, and an empty list
-    // would pass for a healthy fleet.
+    // would be mistaken for a healthy fleet.
     if members.unlisted.is_none() && members.addresses.is_empty() {
         members.unlisted = Some("none is registered".to_owned());
         return Ok(members);
@@ -49,11 +49,11 @@
 /// is dropped, and the member is reported as silent.
 pub(crate) async fn ask(fleet: &Fleet, members: &Members) -> FleetAnswers<Status> {
     let mut answers: FleetAnswers<Status> = fleet.ask(members, "/status").await;
-    let (heard, foreign): (BTreeMap<_, _>, BTreeMap<_, _>) = answers
+    let (matching, foreign): (BTreeMap<_, _>, BTreeMap<_, _>) = answers
         .heard
         .into_iter()
         .partition(|(instance, status)| status.holder.instance == *instance);
-    answers.heard = heard;
+    answers.heard = matching;
     let foreign = foreign
         .into_iter()
         .map(|(instance, status)| UnansweredInstance {
--- a/src/query/stored.rs
+++ b/src/query/stored.rs
@@ -26,7 +26,7 @@
     pub name: String,
     /// The document, if it can be decoded.
     pub document: Option<Envelope<T>>,
-    /// Why it cannot be decoded, or `None` if it can.
+    /// Decoding error, or `None` if the document was decoded.
     pub unreadable: Option<String>,
 }
 
--- a/src/render.rs
+++ b/src/render.rs
@@ -103,7 +103,7 @@
     if value { "yes" } else { "no" }
 }
 
-/// Joins the non-empty parts by line ends.
+/// Joins the non-empty parts with newlines.
 fn join_lines(parts: impl IntoIterator<Item = String>) -> String {
     let parts: Vec<_> = parts.into_iter().filter(|part| !part.is_empty()).collect();
     parts.join("\n")
@@ -132,8 +132,8 @@
             .map_or("store".to_owned(), ToString::to_string),
     ]);
     let mut evacuated = new_table(["evacuated zone", "known ms"]);
-    for order in &view.evacuated {
-        evacuated.add_row([order.zone.to_string(), order.known_ms.to_string()]);
+    for evacuation in &view.evacuated {
+        evacuated.add_row([evacuation.zone.to_string(), evacuation.known_ms.to_string()]);
     }
     let evacuated = (!view.evacuated.is_empty()).then(|| evacuated.to_string());
     let mut servers = new_table([
@@ -191,34 +191,34 @@
 }
 
 /// A list of profiles, or the history of one.
-pub fn profiles(lines: &[ListedDocument<document::Profile>]) -> String {
+pub fn profiles(documents: &[ListedDocument<document::Profile>]) -> String {
     let mut table = new_table(["name", "revision", "operator", "policy", "deadline", "note"]);
-    for line in lines {
-        let document = line.document.as_ref();
+    for listed in documents {
+        let document = listed.document.as_ref();
         table.add_row([
-            line.name.clone(),
+            listed.name.clone(),
             optional(document.map(|d| d.revision)),
             optional(document.map(|d| &d.operator)),
             optional(document.and_then(|d| fields(&d.body).get("policy").map(format_value))),
             optional(document.map(|d| format!("{} ms", d.body.deadline_ms))),
-            line.unreadable.clone().unwrap_or_default(),
+            listed.unreadable.clone().unwrap_or_default(),
         ]);
     }
     table.to_string()
 }
 
 /// A list of services.
-pub fn services(lines: &[ListedDocument<document::Service>]) -> String {
+pub fn services(documents: &[ListedDocument<document::Service>]) -> String {
     let mut table = new_table(["name", "revision", "operator", "profile", "address", "note"]);
-    for line in lines {
-        let document = line.document.as_ref();
+    for listed in documents {
+        let document = listed.document.as_ref();
         table.add_row([
-            line.name.clone(),
+            listed.name.clone(),
             optional(document.map(|d| d.revision)),
             optional(document.map(|d| &d.operator)),
             optional(document.map(|d| &d.body.profile)),
             optional(document.map(|d| d.body.address)),
-            line.unreadable.clone().unwrap_or_default(),
+            listed.unreadable.clone().unwrap_or_default(),
         ]);
     }
     table.to_string()
@@ -314,8 +314,8 @@
         let refused = behind.refused.clone().unwrap_or_default();
         table.add_row([behind.instance.as_str(), &found, &refused]);
     }
-    for silence in &rollout.silent {
-        table.add_row([&silence.instance, "not heard", &silence.reason]);
+    for unanswered in &rollout.silent {
+        table.add_row([&unanswered.instance, "not heard", &unanswered.reason]);
     }
     join_lines([
         format!("not in force everywhere yet: {document} revision {revision}"),
@@ -368,8 +368,8 @@
     for instance in &evacuation.behind {
         table.add_row([instance.as_str(), "no", ""]);
     }
-    for silence in &evacuation.silent {
-        table.add_row([&silence.instance, "not heard", &silence.reason]);
+    for unanswered in &evacuation.silent {
+        table.add_row([&unanswered.instance, "not heard", &unanswered.reason]);
     }
     join_lines([
         format!("{zone} is not {order} everywhere yet"),
@@ -379,13 +379,13 @@
 }
 
 /// State of every instance.
-pub fn status(gathered: &FleetAnswers<Status>) -> String {
+pub fn status(answers: &FleetAnswers<Status>) -> String {
     let mut table = new_table([
         "instance", "zone", "ready", "leaving", "homes", "backups", "alone", "requests", "feeds",
         "platform",
     ]);
-    for status in gathered.heard.values() {
-        let silent = status.platform_silent_ms;
+    for status in answers.heard.values() {
+        let silent_ms = status.platform_silent_ms;
         table.add_row([
             status.holder.to_string(),
             status.zone.to_string(),
@@ -396,21 +396,21 @@
             status.alone.to_string(),
             status.in_progress.to_string(),
             status.feeds.to_string(),
-            optional(silent.map(|silent| format!("{silent} ms ago"))),
+            optional(silent_ms.map(|silent_ms| format!("{silent_ms} ms ago"))),
         ]);
     }
     join_lines([
         table.to_string(),
-        servers(gathered),
-        documents(gathered),
-        missing_instances(&gathered.silent, gathered.unlisted.as_deref()),
+        servers(answers),
+        documents(answers),
+        missing_instances(&answers.silent, answers.unlisted.as_deref()),
     ])
 }
 
 /// State of each backend server, summed over the instances.
-fn servers(gathered: &FleetAnswers<Status>) -> String {
+fn servers(answers: &FleetAnswers<Status>) -> String {
     let mut totals: BTreeMap<&id::Server, ServerTotals<'_>> = BTreeMap::new();
-    let seen = gathered.heard.values().flat_map(|status| &status.servers);
+    let seen = answers.heard.values().flat_map(|status| &status.servers);
     for server in seen {
         totals.entry(&server.id).or_default().add(server);
     }
@@ -463,9 +463,9 @@
 }
 
 /// Revisions in force and refused, with a row for each document and instance.
-fn documents(gathered: &FleetAnswers<Status>) -> String {
+fn documents(answers: &FleetAnswers<Status>) -> String {
     let mut table = new_table(["instance", "document", "revision", "refused"]);
-    for (instance, status) in &gathered.heard {
+    for (instance, status) in &answers.heard {
         let refused_only = status.refused.keys();
         let documents: std::collections::BTreeSet<_> =
             status.revisions.keys().chain(refused_only).collect();
@@ -510,7 +510,7 @@
 fn missing_instances(silent: &[UnansweredInstance], reason: Option<&str>) -> String {
     let silent = silent
         .iter()
-        .map(|silence| format!("not heard: {}: {}", silence.instance, silence.reason));
+        .map(|unanswered| format!("not heard: {}: {}", unanswered.instance, unanswered.reason));
     join_lines(silent.chain([incomplete_list_note(reason)]))
 }
 
