--- a/src/entry/beliefs.rs
+++ b/src/entry/beliefs.rs
@@ -2,7 +2,7 @@
 //!
 //! Load pattern: hundreds of servers announce themselves while an instance starts, and a
 //! line for each of them from each instance would exceed all other lines of a day. A
-//! single change gets its own line. When many come at once, those beyond the rate are
+//! single change gets its own line. When many updates come at once, those beyond the rate are
 //! counted by kind, and one line per kind gives the count.
 
 use std::collections::BTreeMap;
@@ -30,7 +30,7 @@
     bucket: TokenBucket,
     /// Number of updates without a line of their own, by kind.
     counts: BTreeMap<&'static str, u64>,
-    /// When the first of them was counted.
+    /// When the first update in `counts` was counted.
     counting_since: Option<Instant>,
 }
 
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -194,12 +194,12 @@
     /// Handles the waiting packets, then the expired timers. Packets come first, since
     /// they may contain the answers that a timer waits for.
     fn process(&mut self) {
-        let mut is_drained = false;
+        let mut is_socket_empty = false;
         for _ in 0..BATCH {
             match self.socket.receive() {
                 Ok(Some(length)) => self.receive(length),
                 Ok(None) => {
-                    is_drained = true;
+                    is_socket_empty = true;
                     break;
                 }
                 Err(error) => {
@@ -210,7 +210,7 @@
             }
         }
         self.send_queued();
-        if is_drained {
+        if is_socket_empty {
             self.expire_timers();
             self.exchange_outcomes();
         }
@@ -334,13 +334,14 @@
             return;
         }
         self.outcomes_reported_at = now;
-        let own = self.plane.server_outcomes(now);
+        let own_outcomes = self.plane.server_outcomes(now);
         self.replica
             .outcomes
-            .set_local(own.iter().map(outcomes_to_message).collect());
-        let zone = self.replica.outcomes.confirmed_outcomes(now);
-        let zone = zone.iter().map(outcomes_from_message).collect();
-        self.plane.apply(now, StateUpdate::ZoneOutcomes(zone));
+            .set_local(own_outcomes.iter().map(outcomes_to_message).collect());
+        let zone_outcomes = self.replica.outcomes.confirmed_outcomes(now);
+        let zone_outcomes = zone_outcomes.iter().map(outcomes_from_message).collect();
+        self.plane
+            .apply(now, StateUpdate::ZoneOutcomes(zone_outcomes));
     }
 
     fn report(&mut self) {
@@ -387,7 +388,7 @@
         self.handle_backlog();
     }
 
-    /// Logs when the store is lost or read, and when the source of changes moves.
+    /// Logs that the store is unreachable, that it was read, or that the upstream changed.
     fn log_contact(&mut self, now: Instant, update: &Update) {
         match update {
             Update::StoreUnreachable { reason } => {
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -37,9 +37,10 @@
     #[serde(default = "default_gather_ms")]
     pub gather_ms: u64,
     /// Longest time that a starting instance waits for a copy from another instance
-    /// before it reads the store as well, in milliseconds. This applies to the first
-    /// instance after the three heads of a zone; each further instance waits half this
-    /// time longer than the one before, 1.5 s at most.
+    /// before it reads the store as well, in milliseconds. The three head instances of a
+    /// zone read the store at once. This time applies to the first instance after them;
+    /// each further instance waits half this time longer than the previous one, 1.5 s at
+    /// most.
     #[serde(default = "default_copy_wait_ms")]
     pub copy_wait_ms: u64,
 }
--- a/src/entry/socket.rs
+++ b/src/entry/socket.rs
@@ -132,7 +132,7 @@
 
 /// Writes the server header and the routing tag into a datagram.
 fn write_target(codec: &Codec, datagram: &mut [u8], target: &Target) {
-    let (envelope, packet) = datagram.split_at_mut(SERVER_HEADER_LEN);
-    envelope.copy_from_slice(&(codec.server_header)(target.serial));
+    let (header, packet) = datagram.split_at_mut(SERVER_HEADER_LEN);
+    header.copy_from_slice(&(codec.server_header)(target.serial));
     (codec.set_tag)(packet, target.tag);
 }
--- a/src/entry/start.rs
+++ b/src/entry/start.rs
@@ -31,7 +31,7 @@
 /// Capacity of the queue of updates from the copy; its source blocks while it is full.
 const UPDATE_QUEUE_LEN: usize = 256;
 
-/// Idle time after which a flow is removed, until a configuration sets another.
+/// Idle time after which a flow is removed, until a configuration sets a different time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Timeout of a store call, in addition to its long-poll wait. The store responds in 4 ms,
@@ -47,7 +47,8 @@
 /// unresponsive upstream takes 0.8 s, and a call takes 0.25 s while the store is slow.
 const MIN_BOUND: Duration = Duration::from_millis(1_200);
 
-/// Age of an upstream's last contact with the store at which this instance leaves it.
+/// Age of an upstream's last contact with the store at which this instance leaves the
+/// upstream.
 /// Changes must take effect within the bound even if only the upstream is cut off from
 /// the store. Reading the store directly then takes a few milliseconds, and half a second
 /// while the store is slow.
--- a/src/entry/withdrawal.rs
+++ b/src/entry/withdrawal.rs
@@ -8,7 +8,8 @@
 //! - less than half of their zone answers liveness probes, themselves included,
 //! - another zone can take the callers: at least half of it answers and none of its
 //!   instances has withdrawn, so that never all zones withdraw,
-//! - two probe rounds in a row have shown both, since a single late answer proves nothing.
+//! - two probe rounds in a row have confirmed both conditions, since a single late answer
+//!   proves nothing.
 //!
 //! A withdrawn instance keeps forwarding the packets it gets. A wrong decision costs the
 //! callers of the zone only the longer path to the next zone.
@@ -28,7 +29,7 @@
 }
 
 impl Withdrawal {
-    /// Takes in the result of a probe round.
+    /// Records the result of a probe round and updates the state.
     pub fn note(&mut self, liveness: &FleetLiveness) {
         let has_better_zone = liveness.other_zones.iter().any(can_take_callers);
         let should_withdraw = liveness.local_zone.is_mostly_unresponsive() && has_better_zone;
