--- a/src/config.rs
+++ b/src/config.rs
@@ -2,7 +2,7 @@
 //!
 //! Documents arrive from the platform or from a peer, in any order and more than
 //! once. Only a greater revision is applied. A document that cannot be decoded or
-//! has invalid values is refused, and the document before it stays in force.
+//! has invalid values is refused, and the previous document stays in force.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -102,11 +102,11 @@
     /// Greatest revision for which a key's absence from `entries` proves that the key
     /// does not exist in the platform.
     fn absence_revision(&self, key: &str) -> u64 {
-        let of_key = |(prefix, _): &(&String, &u64)| key.starts_with(prefix.as_str());
+        let covers_key = |(prefix, _): &(&String, &u64)| key.starts_with(prefix.as_str());
         let synced = self
             .synced_revisions
             .iter()
-            .filter(of_key)
+            .filter(covers_key)
             .map(|(_, revision)| *revision);
         let deleted = self.deleted.get(key).copied();
         synced.chain(deleted).max().unwrap_or(0)
@@ -116,7 +116,8 @@
     /// known version or deletion.
     pub fn put_copy(&mut self, entry: &Entry) -> bool {
         // A peer that is disconnected from the platform still has entries that were
-        // deleted meanwhile. Taking them would restore what an operator has removed.
+        // deleted meanwhile. Accepting them would restore entries that an operator has
+        // removed.
         entry.mod_revision > self.absence_revision(&entry.key) && self.put(entry)
     }
 
@@ -132,10 +133,10 @@
         is_outdated
     }
 
-    /// Revision at which a key is known not to exist, if it is at least `than`.
-    pub fn deleted_since(&self, key: &str, than: u64) -> Option<u64> {
+    /// Revision at which a key is known not to exist, if it is at least `min_revision`.
+    pub fn deleted_since(&self, key: &str, min_revision: u64) -> Option<u64> {
         let absent_at = self.absence_revision(key);
-        (absent_at >= than && !self.entries.contains_key(key)).then_some(absent_at)
+        (absent_at >= min_revision && !self.entries.contains_key(key)).then_some(absent_at)
     }
 
     /// Applies the deletion of a key.
@@ -232,8 +233,8 @@
         });
         match unchanged {
             Some(server) => server.state().listed = listed.state,
-            // Another process runs under this name now: counts and health of the one
-            // before do not apply to it.
+            // Another process runs under this name now. The counts and health of the
+            // previous process do not apply to it.
             None => {
                 let server = Arc::new(Server::new(id.clone(), &listed));
                 self.servers.insert(id.clone(), server);
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -66,7 +66,7 @@
     registration: JoinHandle<()>,
 }
 
-/// How a stop ended.
+/// Result of a stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stopped {
     /// Requests that were still in progress and got no answer.
@@ -185,8 +185,8 @@
                 && is_near_end
                 && now - started >= self.shared.settings.stop_grace() / 2
             {
-                // Slices that no other instance could take over still get requests.
-                // Those that arrive last would get no answer before the process ends.
+                // Slices that no other instance could take over still get requests. The
+                // last requests would get no answer before the process ends.
                 refuses_work = true;
                 info!(self.shared.log, "refusing new work");
                 self.shared.pool.broadcast(&Event::Stopping);
--- a/src/document.rs
+++ b/src/document.rs
@@ -70,7 +70,7 @@
     /// Time limit of one attempt of an idempotent request at a backend server, in
     /// milliseconds.
     pub attempt_timeout_ms: u64,
-    /// Most servers that an idempotent request is sent to, including the first.
+    /// Maximum number of servers that an idempotent request is sent to, including the first.
     pub max_attempts: u32,
     /// Retry budget, in percent of first attempts.
     pub retry_budget_percent: u32,
@@ -91,7 +91,7 @@
     pub max_per_caller: u32,
     /// Limit of open feeds for the service at one entry instance.
     pub max_feeds: u32,
-    /// Delay before a retry that is sent to a refused caller, in seconds.
+    /// Delay before a retry, as reported to a refused caller, in seconds.
     pub retry_after_s: u32,
     /// Time over which a new server's share of the load grows to its full share, in
     /// seconds.
--- a/src/edge.rs
+++ b/src/edge.rs
@@ -29,23 +29,23 @@
 
 /// Binds a non-blocking UDP socket, usable by threads and by tasks.
 pub(crate) fn bind(address: SocketAddr) -> Result<UdpSocket> {
-    let io = |source| Error::Io {
+    let to_error = |source| Error::Io {
         step: "bind",
         peer: address.to_string(),
         source,
     };
-    let socket = UdpSocket::bind(address).map_err(io)?;
-    socket.set_nonblocking(true).map_err(io)?;
+    let socket = UdpSocket::bind(address).map_err(to_error)?;
+    socket.set_nonblocking(true).map_err(to_error)?;
     Ok(socket)
 }
 
 fn async_socket(socket: &UdpSocket) -> Result<tokio::net::UdpSocket> {
-    let io = |source| Error::Io {
+    let to_error = |source| Error::Io {
         step: "receive",
         peer: "socket".to_owned(),
         source,
     };
-    tokio::net::UdpSocket::from_std(socket.try_clone().map_err(io)?).map_err(io)
+    tokio::net::UdpSocket::from_std(socket.try_clone().map_err(to_error)?).map_err(to_error)
 }
 
 /// Starts receiving from callers of one service.
@@ -55,8 +55,8 @@
     socket: &UdpSocket,
 ) -> Result<()> {
     let socket = async_socket(socket)?;
-    let task = Arc::clone(&shared);
-    task.spawn(async move {
+    let spawner = Arc::clone(&shared);
+    spawner.spawn(async move {
         let mut buffer = vec![0; MAX_UDP_DATAGRAM];
         loop {
             let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
@@ -110,8 +110,8 @@
 /// Starts receiving from backend servers on the socket with this index.
 pub(crate) fn receive_answers(shared: Arc<Shared>, server_socket: usize) -> Result<()> {
     let socket = async_socket(&shared.outputs.server_sockets[server_socket])?;
-    let task = Arc::clone(&shared);
-    task.spawn(async move {
+    let spawner = Arc::clone(&shared);
+    spawner.spawn(async move {
         let mut buffer = vec![0; MAX_UDP_DATAGRAM];
         loop {
             // An error here is an ICMP error caused by an earlier datagram.
@@ -164,8 +164,8 @@
     control_events: UnboundedSender<ControlEvent>,
 ) -> Result<()> {
     let socket = async_socket(socket)?;
-    let task = Arc::clone(&shared);
-    task.spawn(async move {
+    let spawner = Arc::clone(&shared);
+    spawner.spawn(async move {
         let mut buffer = vec![0; MAX_UDP_DATAGRAM];
         loop {
             let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
@@ -252,15 +252,15 @@
 
 /// Starts serving the configuration to peers that request it over TCP.
 pub(crate) fn serve_config(shared: Arc<Shared>, listener: TcpListener) {
-    let task = Arc::clone(&shared);
-    task.spawn(async move {
+    let spawner = Arc::clone(&shared);
+    spawner.spawn(async move {
         loop {
             let Ok((stream, from)) = listener.accept().await else {
                 continue;
             };
-            let task = Arc::clone(&shared);
+            let spawner = Arc::clone(&shared);
             let shared = Arc::clone(&shared);
-            task.spawn(async move {
+            spawner.spawn(async move {
                 let link = Arc::clone(&shared.link);
                 let served = link
                     .serve(stream, from, |request| config_changes(&shared, &request))
--- a/src/settings/checks.rs
+++ b/src/settings/checks.rs
@@ -43,24 +43,24 @@
 
 /// The first refused field of a daemon's settings.
 pub(crate) fn daemon(daemon: &Daemon) -> Check {
-    numbers(daemon)
-        .or_else(|| times(daemon))
-        .or_else(|| lists(daemon))
-        .or_else(|| addresses(daemon))
-        .or_else(|| log_modules(daemon))
+    check_numbers(daemon)
+        .or_else(|| check_times(daemon))
+        .or_else(|| check_lists(daemon))
+        .or_else(|| check_addresses(daemon))
+        .or_else(|| check_log_modules(daemon))
 }
 
 /// The first refused field of a service document.
 pub(crate) fn service(service: &document::Service) -> Check {
-    reachable("address", service.address)
+    check_reachable("address", service.address)
 }
 
-fn numbers(daemon: &Daemon) -> Check {
+fn check_numbers(daemon: &Daemon) -> Check {
     let limits = &daemon.limits;
     let flows = u64::from(limits.max_flows);
     let bytes = u64::from(daemon.peer_bytes_per_second.0);
     range("workers", daemon.workers.into(), 1, 64)
-        .or_else(|| slices(daemon.slices))
+        .or_else(|| check_slices(daemon.slices))
         .or_else(|| range("limits.max_flows", flows, 1, 10_000_000))
         .or_else(|| range("limits.max_parked", limits.max_parked.into(), 1, 1_000_000))
         .or_else(|| {
@@ -82,7 +82,7 @@
         })
 }
 
-fn slices(slices: u32) -> Check {
+fn check_slices(slices: u32) -> Check {
     let value = u64::from(slices);
     if value.is_power_of_two() && (MIN_SLICES..=MAX_SLICES).contains(&value) {
         return None;
@@ -91,25 +91,30 @@
     refuse("slices", slices, allowed)
 }
 
-fn times(daemon: &Daemon) -> Check {
+fn check_times(daemon: &Daemon) -> Check {
     let probe = &daemon.probe;
     range("heartbeat_ms", daemon.heartbeat_ms, 10, 60_000)
         .or_else(|| range("suspect_after_ms", daemon.suspect_after_ms, 21, 600_000))
-        .or_else(|| suspect_after(daemon))
+        .or_else(|| check_suspect_after(daemon))
         .or_else(|| range("isolation_limit_s", daemon.isolation_limit_s, 1, DAY_S))
         .or_else(|| range("outsider_wait_s", daemon.outsider_wait_s, 2, 2 * DAY_S))
-        .or_else(|| takeover_wait(daemon))
+        .or_else(|| check_takeover_wait(daemon))
         .or_else(|| range("stop_grace_s", daemon.stop_grace_s, 1, 3_600))
         .or_else(|| range("probe.interval_ms", probe.interval_ms, 10, 60_000))
         .or_else(|| range("probe.timeout_ms", probe.timeout_ms, 1, probe.interval_ms))
         .or_else(|| {
-            let least = probe.interval_ms + probe.timeout_ms;
-            range("probe.confirm_for_ms", probe.confirm_for_ms, least, 600_000)
+            let min_confirm_ms = probe.interval_ms + probe.timeout_ms;
+            range(
+                "probe.confirm_for_ms",
+                probe.confirm_for_ms,
+                min_confirm_ms,
+                600_000,
+            )
         })
 }
 
 /// Requires that a single lost heartbeat does not make a peer suspected.
-fn suspect_after(daemon: &Daemon) -> Check {
+fn check_suspect_after(daemon: &Daemon) -> Check {
     if daemon.suspect_after_ms > 2 * daemon.heartbeat_ms {
         return None;
     }
@@ -120,8 +125,8 @@
 
 /// Requires that an instance takes over a slice without its records only after the old
 /// home and backup have stopped non-idempotent work for certain. If it took over
-/// sooner, a booking could run at both and send two trucks.
-fn takeover_wait(daemon: &Daemon) -> Check {
+/// sooner, a booking could run at both instances and send two trucks.
+fn check_takeover_wait(daemon: &Daemon) -> Check {
     if daemon.outsider_wait_s > daemon.isolation_limit_s {
         return None;
     }
@@ -130,7 +135,7 @@
     refuse("outsider_wait_s", daemon.outsider_wait_s, allowed)
 }
 
-fn lists(daemon: &Daemon) -> Check {
+fn check_lists(daemon: &Daemon) -> Check {
     if daemon.platform.is_empty() {
         return refuse("platform", "[]", "at least one address");
     }
@@ -152,7 +157,7 @@
     address: Endpoint,
 }
 
-fn addresses(daemon: &Daemon) -> Check {
+fn check_addresses(daemon: &Daemon) -> Check {
     let bound = bound_addresses(daemon);
     for (index, current) in bound.iter().enumerate() {
         if current.address.0.port() == 0 {
@@ -166,7 +171,7 @@
             return refuse(&current.field, current.address, allowed);
         }
     }
-    advertised_address(daemon, &bound)
+    check_advertised_address(daemon, &bound)
 }
 
 fn bound_addresses(daemon: &Daemon) -> Vec<BoundAddress> {
@@ -192,9 +197,9 @@
     a.port() == b.port() && (has_wildcard || a.ip() == b.ip())
 }
 
-fn advertised_address(daemon: &Daemon, bound: &[BoundAddress]) -> Check {
+fn check_advertised_address(daemon: &Daemon, bound: &[BoundAddress]) -> Check {
     let Some(address) = daemon.peer_advertise else {
-        return reachable("peer", daemon.peer).map(|refusal| Refusal {
+        return check_reachable("peer", daemon.peer).map(|refusal| Refusal {
             allowed: format!("{}, or peer_advertise beside it", refusal.allowed),
             ..refusal
         });
@@ -207,12 +212,12 @@
             let allowed = format_args!("an address other than that of {}", other.field).to_string();
             refuse("peer_advertise", address, allowed)
         }
-        None => reachable("peer_advertise", address),
+        None => check_reachable("peer_advertise", address),
     }
 }
 
 /// Requires an address that other hosts can send to.
-fn reachable(field: &str, address: Endpoint) -> Check {
+fn check_reachable(field: &str, address: Endpoint) -> Check {
     if address.0.port() != 0 && !address.0.ip().is_unspecified() {
         return None;
     }
@@ -223,7 +228,7 @@
     )
 }
 
-fn log_modules(daemon: &Daemon) -> Check {
+fn check_log_modules(daemon: &Daemon) -> Check {
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '_' | ':');
     let bad = daemon
         .log
--- a/src/settings/jsonc.rs
+++ b/src/settings/jsonc.rs
@@ -141,9 +141,11 @@
         if is_secret(field) {
             return "(hidden)".to_owned();
         }
-        let pointer: String = field.split(['.', '[']).fold(String::new(), |all, part| {
-            all + "/" + part.trim_end_matches(']')
-        });
+        let pointer: String = field
+            .split(['.', '['])
+            .fold(String::new(), |pointer, part| {
+                pointer + "/" + part.trim_end_matches(']')
+            });
         let root: Value = serde_json::from_str(&self.text).unwrap_or_default();
         let value = root.pointer(&pointer).map(Value::to_string);
         let value = value.unwrap_or_else(|| "refused".to_owned());
@@ -178,8 +180,8 @@
 }
 
 fn quoted_after<'a>(message: &'a str, start: &str) -> Option<&'a str> {
-    let rest = message.strip_prefix(start)?.trim_start();
-    rest.strip_prefix('`')?.split('`').next()
+    let remainder = message.strip_prefix(start)?.trim_start();
+    remainder.strip_prefix('`')?.split('`').next()
 }
 
 fn allowed(message: &str) -> String {
