--- a/src/action.rs
+++ b/src/action.rs
@@ -43,7 +43,7 @@
         /// The caller's datagram.
         datagram: Bytes,
     },
-    /// Tell a backend server that an answer is no longer wanted.
+    /// Notify a backend server that an answer is no longer wanted.
     Reject {
         /// Address of the server.
         to: id::Endpoint,
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -90,7 +90,7 @@
     overloaded.collect()
 }
 
-/// What the work occupies at the server.
+/// Kind of work, by the resource that it occupies at the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkKind {
     /// A slot for a short time.
--- a/src/control.rs
+++ b/src/control.rs
@@ -371,12 +371,12 @@
     }
 
     /// Records the result of a write.
-    pub fn write_finished(&mut self, now: Instant, document: u32, written: WriteResult) {
+    pub fn write_finished(&mut self, now: Instant, document: u32, result: WriteResult) {
         let Some(state) = self.documents.get_mut(document as usize) else {
             return;
         };
         let rows = state.pending_write.take().unwrap_or_default();
-        match written {
+        match result {
             WriteResult::Done(version) => {
                 state.unresolved_write = None;
                 if state.version.is_none_or(|known| known < version) {
--- a/src/control/plan.rs
+++ b/src/control/plan.rs
@@ -403,8 +403,8 @@
         takes_slice.then(|| self.successor(row))
     }
 
-    /// If this instance is neither: takes over a slice without its records once no other
-    /// instance can act for it.
+    /// If this instance is neither home nor backup: takes over a slice without its records
+    /// once no other instance can act for it.
     fn take_without_records(
         &self,
         now: Instant,
@@ -559,8 +559,8 @@
         // An instance in this zone may have too few slices while those of the other zones
         // have their share. It gets slices through instances of other zones, which may
         // exceed their share for a while.
-        let is_short = |count: &SliceCount| count.homes + slack <= mean;
-        let is_needed = counts.values().any(is_short);
+        let has_too_few = |count: &SliceCount| count.homes + slack <= mean;
+        let is_needed = counts.values().any(has_too_few);
         if own_homes <= mean + slack || !is_needed || count.homes > mean + slack {
             return;
         }
--- a/src/engine/clock.rs
+++ b/src/engine/clock.rs
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Acknowledges the request to the caller, so that it stops repeating it.
+    /// Acknowledges the request, so that the caller stops repeating it.
     fn acknowledge_receipt(&mut self, now: Instant, slice: id::Slice, key: &Key) {
         self.next_message = self.next_message.wrapping_add(1);
         let message = self.next_message;
@@ -133,8 +133,8 @@
         self.settle(now, slice, key, Outcome::Unknown, Reason::UnknownDeadline);
     }
 
-    /// Handles the deadline of a request that another home claimed: if a duplicate
-    /// of it came here, its sender gets an answer.
+    /// Handles the deadline of a request that another home claimed: the sender of a
+    /// duplicate that was received here gets an answer.
     fn expire_claimed(&mut self, now: Instant, slice: id::Slice, key: &Key) {
         let is_home = self.table.row(slice).is_home(&self.settings.me);
         let deadline = self.deadline(&key.flow.service);
--- a/src/engine/feed.rs
+++ b/src/engine/feed.rs
@@ -59,7 +59,8 @@
 /// Delay before the next attempt to place a feed that no server accepts.
 const PLACEMENT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Silence limits after which a feed that no server accepts is ended.
+/// Number of silence limits without a notification after which a feed that no
+/// server accepts is ended.
 const MAX_SILENCE_PERIODS: u32 = 3;
 
 /// Added to the message numbers at each leap of the sequence. Without it the next
@@ -78,15 +79,15 @@
 
 /// Whether a message number belongs to one of a feed's last notifications.
 fn is_recent(token: Token, newest: u32, message: u16) -> bool {
-    let back = message_number(token, newest).wrapping_sub(message);
-    if back <= newest as u16 && back < RECEIPT_WINDOW {
+    let distance = message_number(token, newest).wrapping_sub(message);
+    if distance <= newest as u16 && distance < RECEIPT_WINDOW {
         return true;
     }
     // Just after a leap, the last notifications include those from before it.
     let last_before_leap = (newest & !(SEQUENCE_LEAP - 1)).wrapping_sub(1) & SEQUENCE_MASK;
     let since_leap = (newest as u16).wrapping_add(1);
-    let back = message_number(token, last_before_leap).wrapping_sub(message);
-    since_leap < RECEIPT_WINDOW && back < RECEIPT_WINDOW - since_leap
+    let distance = message_number(token, last_before_leap).wrapping_sub(message);
+    since_leap < RECEIPT_WINDOW && distance < RECEIPT_WINDOW - since_leap
 }
 
 /// Whether a sequence number is newer than another (RFC 7641, section 3.4).
@@ -302,14 +303,14 @@
             flow: flow.clone(),
             token: Token(0),
         };
-        let owner = state
+        let matching_feed = state
             .feeds
             .range_mut(first..)
             .take_while(|(key, _)| key.flow == *flow)
             .find(|(key, feed)| {
                 feed.attempt.is_some() && is_recent(key.token, feed.sequence, message)
             });
-        let Some((key, feed)) = owner else {
+        let Some((key, feed)) = matching_feed else {
             return false;
         };
         feed.confirmed = now;
@@ -382,7 +383,7 @@
     }
 
     /// Handles the end of a registration by its server. If the server only refused
-    /// to continue, another server takes the feed and the caller need not know.
+    /// to continue, another server takes the feed and the caller is not notified.
     fn handle_registration_end(
         &mut self,
         now: Instant,
@@ -478,10 +479,10 @@
         current: &id::Server,
         failed: &[id::Server],
     ) -> Option<Arc<Server>> {
-        let kept = service
+        let usable_current = service
             .server(current)
             .filter(|server| !failed.contains(current) && server.state().takes_work(now));
-        if let Some(server) = kept {
+        if let Some(server) = usable_current {
             return Some(Arc::clone(server));
         }
         let zone = &self.settings.zone;
--- a/src/engine/handover.rs
+++ b/src/engine/handover.rs
@@ -106,8 +106,8 @@
     /// Hands feeds that were taken over for an unreachable home back to that home,
     /// repeatedly until they are released here: a lost message would end them.
     pub(super) fn hand_back_feeds(&mut self, now: Instant, slice: id::Slice) {
-        // A registration in progress is included: if it were answered later, it
-        // would stay here beside the home's own.
+        // A registration in progress is included: if it were answered later,
+        // the feed would be registered here and at the home.
         let is_registered = |feed: &Feed| feed.attempt.is_some() || feed.renewal.is_some();
         let state = self.slices.get(&slice);
         if !state.is_some_and(|state| state.feeds.values().any(is_registered)) {
--- a/src/engine/inbound.rs
+++ b/src/engine/inbound.rs
@@ -63,7 +63,7 @@
         self.route_request(now, incoming);
     }
 
-    /// Passes a request to the instance that decides for it now.
+    /// Handles a request here, relays it, or parks it until its slice has a home.
     pub(super) fn route_request(&mut self, now: Instant, mut incoming: IncomingRequest) {
         if self.table.is_empty() {
             // This instance has just started; the caller repeats the request.
@@ -71,8 +71,8 @@
             return;
         }
         let flow = &mut incoming.request.flow;
-        let listed = self.snapshot.services.get(&flow.service);
-        let Some(service) = listed.map(Arc::clone) else {
+        let configured = self.snapshot.services.get(&flow.service);
+        let Some(service) = configured.map(Arc::clone) else {
             self.emit(Reason::UnknownService);
             return;
         };
@@ -200,8 +200,8 @@
 
     /// Routes the parked requests again after the table or the view has changed.
     pub(super) fn retry_parked(&mut self, now: Instant) {
-        // After a pause of this process their time may be over already: a booking
-        // would run long after its caller has given up.
+        // After a pause of this process the parked requests may have expired: they
+        // would run long after their callers have given up.
         self.expire_parked(now);
         for parked in std::mem::take(&mut self.parked_requests) {
             let slice = self.slice_of(&parked.request.flow);
@@ -373,7 +373,7 @@
         }
         // The records of the previous home are lost. A request that arrives within
         // one copy lifetime of the takeover may be a duplicate of one that the
-        // previous home let run.
+        // previous home forwarded.
         if records_lost_since.is_some_and(|since| now < since + service.profile.copy_lifetime()) {
             self.answer_unrecorded(&request, Outcome::Unknown, Reason::UnknownBlank);
             return;
--- a/src/engine/outbound.rs
+++ b/src/engine/outbound.rs
@@ -60,7 +60,7 @@
             return;
         };
         // After a pause of this process the acknowledgement can be read before the
-        // timer fires: a booking would run after its caller has given up.
+        // timer fires: the request would run after its caller has given up.
         if now >= record.received_at + deadline {
             self.settle(now, slice, key, Outcome::Unknown, Reason::UnknownDeadline);
             return;
@@ -96,10 +96,10 @@
         if !record.is_open() {
             return;
         }
-        let (part, kind) = (record.block, record.kind);
+        let (block, kind) = (record.block, record.kind);
         let tried_servers = record.tried_servers.clone();
         let has_open_attempts = !record.attempts.is_empty();
-        let pinned = if part.is_continuation {
+        let pinned = if block.is_continuation {
             self.pinned_server(now, slice, &service, key)
         } else {
             None
@@ -121,7 +121,7 @@
             )
         });
         match choice {
-            Some(server) if part.is_continuation => {
+            Some(server) if block.is_continuation => {
                 server.state().outstanding += 1;
                 self.forward(now, slice, key, &service, server);
             }
@@ -159,7 +159,7 @@
     ) -> Option<Arc<Server>> {
         let pin = self.pin(slice, key)?;
         let server = service.server(&pin.server)?;
-        let is_recent = now < pin.used + PIN_LIFETIME;
+        let is_recent = now < pin.last_sent + PIN_LIFETIME;
         let is_usable = is_recent && balance::accepts_pinned_work(service, server, now);
         is_usable.then(|| Arc::clone(server))
     }
@@ -187,7 +187,7 @@
         let pin = Pin {
             server: server.id.clone(),
             attempt,
-            used: now,
+            last_sent: now,
         };
         state
             .pins
@@ -197,7 +197,9 @@
     /// Forgets the servers of transfers that were abandoned.
     pub(super) fn expire_pins(&mut self, now: Instant) {
         for state in self.slices.values_mut() {
-            state.pins.retain(|_, pin| now < pin.used + PIN_LIFETIME);
+            state
+                .pins
+                .retain(|_, pin| now < pin.last_sent + PIN_LIFETIME);
         }
     }
 
@@ -256,8 +258,8 @@
             .is_some_and(|record| record.block.is_continuation);
         let pin = self.pin(slice, key);
         let pin = pin.filter(|pin| is_continuation && pin.server == server.id);
-        if let Some(path) = pin.map(|pin| pin.attempt.0 % SERVER_SOCKETS) {
-            while attempt.0 % SERVER_SOCKETS != path {
+        if let Some(socket) = pin.map(|pin| pin.attempt.0 % SERVER_SOCKETS) {
+            while attempt.0 % SERVER_SOCKETS != socket {
                 attempt = self.new_attempt();
             }
         }
@@ -354,8 +356,8 @@
         }
     }
 
-    /// The server states that it did not start the request, so that another server
-    /// may run it.
+    /// Handles a refusal: the server did not start the request, so that another
+    /// server may run it.
     fn handle_refusal(
         &mut self,
         now: Instant,
@@ -378,8 +380,8 @@
         let Some(service) = self.service(&key.flow.service) else {
             return;
         };
-        // Another server has none of the earlier blocks: the caller, told to retry
-        // later, can continue with this server.
+        // Another server has none of the earlier blocks. A caller that retries later
+        // can continue with this server.
         let may_retry = tries < service.profile.max_attempts && !is_continuation;
         if may_retry && self.usage(&service.id).budget.withdraw() {
             self.emit_request(Reason::Retried, slice, key);
@@ -392,8 +394,8 @@
     }
 
     fn pause_server(&mut self, now: Instant, server: &Server, retry_after: Option<u32>) {
-        let asked = Duration::from_secs(retry_after.unwrap_or(0).into());
-        server.record_refusal(now, asked);
+        let requested = Duration::from_secs(retry_after.unwrap_or(0).into());
+        server.record_refusal(now, requested);
         self.emit(Reason::ServerPaused);
     }
 
@@ -460,9 +462,9 @@
         // to all: sending everything to the few that are left would overload them
         // too.
         let in_cooldown = |server: &&Arc<Server>| server.state().is_in_cooldown(now);
-        let cooling = service.servers.iter().filter(in_cooldown).count();
+        let cooldown_count = service.servers.iter().filter(in_cooldown).count();
         let floor = service.servers.len() * service.profile.eject_floor_percent as usize;
-        let remaining = (service.servers.len() - cooling).saturating_sub(1) * 100;
+        let remaining = (service.servers.len() - cooldown_count).saturating_sub(1) * 100;
         if remaining < floor {
             self.emit(Reason::EjectionDenied);
             return;
--- a/src/engine/ownership.rs
+++ b/src/engine/ownership.rs
@@ -73,9 +73,9 @@
         let state = self.slices.entry(slice).or_default();
         let before = std::mem::take(&mut state.role);
         state.epoch = row.epoch;
-        // Every instance counts the window from when it first sees the takeover, so
-        // that a planned move does not restart it: each restart would cost the
-        // callers another copy lifetime of unknown outcomes.
+        // Every instance counts the lost-records window from when it first sees the
+        // takeover, so that a planned move does not restart the window: each restart
+        // would cost the callers another copy lifetime of unknown outcomes.
         let since = state
             .records_lost_since
             .filter(|_| is_continuation)
@@ -106,8 +106,8 @@
         self.emit(Reason::HomeGained);
     }
 
-    /// Another instance is home now: requests that were not forwarded yet are
-    /// handed over to it, those at a server are finished here.
+    /// Gives up the home role: requests that were not forwarded yet are handed over
+    /// to the new home, those at a server are finished here.
     fn step_down(&mut self, now: Instant, slice: id::Slice) {
         self.emit(Reason::HomeLost);
         self.transfer_unreplicated_feeds(slice);
--- a/src/engine/rebalance.rs
+++ b/src/engine/rebalance.rs
@@ -61,8 +61,8 @@
             .filter(|(slice, _)| self.serves_feeds(**slice));
         let feeds = served.flat_map(|(slice, state)| {
             let feeds = state.feeds.iter().filter(|(key, feed)| {
-                let is_settled = feed.attempt.is_some() && feed.renewal.is_none();
-                is_settled && feed.server == *server && key.flow.service == service.id
+                let is_movable = feed.attempt.is_some() && feed.renewal.is_none();
+                is_movable && feed.server == *server && key.flow.service == service.id
             });
             feeds.map(|(key, _)| (*slice, key.clone()))
         });
--- a/src/engine/replica.rs
+++ b/src/engine/replica.rs
@@ -5,8 +5,8 @@
 //!
 //! 1. A home forwards a request only after its backup has acknowledged the claim.
 //! 2. A backup stores every claim before it acknowledges it, and acknowledges
-//!    none once it knows that it is home. One worker does both, so no claim is
-//!    missed between the two.
+//!    none once it knows that it is home. The same worker stores the claims and
+//!    applies the change of role, so no claim is missed in between.
 //! 3. A new home never runs a request that was claimed before.
 //!
 //! A home that resumes after its backup took over can still forward the requests
@@ -37,9 +37,9 @@
 use crate::request::Outcome;
 use crate::request::Token;
 
-/// Limit of the unacknowledged steps of a first copy: more would overflow the
-/// receiver's socket buffer and have to be sent again.
-const WINDOW: usize = 64;
+/// Maximum number of unacknowledged steps that a copy sends at once: more would
+/// overflow the receiver's socket buffer and have to be sent again.
+const SEND_WINDOW: usize = 64;
 
 /// Delay before a step is sent again.
 const RESEND_AFTER: Duration = Duration::from_millis(100);
@@ -141,7 +141,7 @@
             RESEND_SUSPECTED_AFTER
         };
         let mut due = Vec::new();
-        for (number, pending) in replica.pending.iter_mut().take(WINDOW) {
+        for (number, pending) in replica.pending.iter_mut().take(SEND_WINDOW) {
             if pending.sent.is_none_or(|sent| now >= sent + resend_delay) {
                 pending.sent = Some(now);
                 due.push((*number, pending.item.clone()));
@@ -357,7 +357,7 @@
         }
     }
 
-    /// Whether a claim of this sender may still be acknowledged.
+    /// Whether a replication step of this sender may still be acknowledged.
     fn accepts_steps_from(&self, slice: id::Slice, from: &id::Holder, epoch: id::Epoch) -> bool {
         let row = self.table.row(slice);
         if row.is_home(&self.settings.me) || epoch < row.epoch {
@@ -386,7 +386,8 @@
         self.schedule_record_expiry(now, slice, &key);
     }
 
-    /// Drops feeds from before the new copy, which are outdated; claims never are.
+    /// Drops copies of feeds that are older than the new copy of the slice. Claims
+    /// never become outdated.
     fn drop_outdated_feeds(&mut self, slice: id::Slice, number: u64) {
         let Some(state) = self.slices.get(&slice) else {
             return;
--- a/src/engine/settlement.rs
+++ b/src/engine/settlement.rs
@@ -1,4 +1,5 @@
-//! Final outcomes: sent once, kept for duplicates, and resent until received.
+//! Final outcomes: sent to the caller, kept for duplicates, and resent until
+//! acknowledged.
 
 use std::time::Duration;
 
@@ -32,8 +33,8 @@
 const RECORD_MARGIN: Duration = Duration::from_secs(20);
 
 impl Engine {
-    /// Sends the final outcome at once and keeps it for duplicates where they
-    /// matter.
+    /// Sends the final outcome at once and keeps it if duplicates of the request
+    /// must get the same answer.
     pub(super) fn settle(
         &mut self,
         now: Instant,
@@ -163,7 +164,7 @@
         }
     }
 
-    /// The caller has received a separate answer.
+    /// Records that the caller has received a separate answer.
     pub(super) fn confirm_answer(&mut self, slice: id::Slice, key: &Key) {
         let Some(record) = self.record(slice, key) else {
             return;
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -47,7 +47,8 @@
     pub released: bool,
 }
 
-/// Claim of a request: from now on it may be forwarded, or it may never be.
+/// Claim of a request: once it is acknowledged, its home may forward the request, and
+/// no later home runs it.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Claim {
     /// Flow of the request.
--- a/src/record.rs
+++ b/src/record.rs
@@ -21,7 +21,7 @@
 use crate::request::Token;
 use crate::server::Server;
 
-/// What follows once the backup has acknowledged a claim.
+/// Next step after the backup has acknowledged a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClaimFollowUp {
     Forward,
@@ -48,8 +48,8 @@
     /// At the backup, and at the home that succeeds it: the holder that claimed the
     /// request.
     pub(crate) claimed_by: Option<id::Holder>,
-    /// Whether a duplicate of a request that another home claimed was received here. Its
-    /// sender gets an outcome when the time of that home has run out.
+    /// Whether a duplicate of a request that another home claimed was received here. The
+    /// duplicate's sender gets an outcome when the request's deadline has passed.
     pub(crate) has_waiting_sender: bool,
     pub(crate) kind: Kind,
     pub(crate) token: Token,
@@ -59,7 +59,8 @@
     /// Message number of the separate answer, once receipt of the request has been
     /// acknowledged.
     pub(crate) separate: Option<u16>,
-    /// How often the separate answer was sent without being acknowledged.
+    /// How often the separate answer was sent again; set to the maximum once the caller
+    /// has acknowledged it.
     pub(crate) resends: u32,
     pub(crate) sequence: Option<u32>,
     pub(crate) attempts: Vec<id::Attempt>,
@@ -186,7 +187,7 @@
     /// The attempt for an earlier block, whose server socket the later blocks also use.
     pub(crate) attempt: id::Attempt,
     /// When a block was last sent.
-    pub(crate) used: Instant,
+    pub(crate) last_sent: Instant,
 }
 
 /// State of a slice.
@@ -207,7 +208,7 @@
     pub(crate) open_requests: HashMap<Flow, u32>,
 }
 
-/// What an attempt was sent for.
+/// The request or feed that an attempt was sent for.
 #[derive(Clone, Debug)]
 pub(crate) enum Purpose {
     Request(Key),
--- a/src/server.rs
+++ b/src/server.rs
@@ -24,6 +24,7 @@
 /// Number of consecutive "not found" answers, received while the health endpoint does
 /// not respond, after which an address no longer counts as running the service.
 const MAX_NOT_FOUND: u32 = 3;
+
 /// Shortest first pause after a server refused work.
 const MIN_PAUSE: Duration = Duration::from_millis(200);
 
--- a/src/steer.rs
+++ b/src/steer.rs
@@ -235,9 +235,9 @@
     }
 
     fn update_readiness(&self, leaving: bool) {
-        let listening = self.shared.outputs.listeners.read();
-        let listening = listening.is_ok_and(|known| !known.is_empty());
-        let ready = listening && !leaving;
+        let listeners = self.shared.outputs.listeners.read();
+        let is_listening = listeners.is_ok_and(|listeners| !listeners.is_empty());
+        let ready = is_listening && !leaving;
         self.shared.ready.store(ready, Ordering::Relaxed);
     }
 
@@ -263,18 +263,18 @@
             .iter()
             .map(|(id, service)| (id.clone(), service.profile.objective))
             .collect();
-        let mut ledger = self
+        let mut burn_counter = self
             .shared
             .burn_counter
             .lock()
             .unwrap_or_else(|lock| lock.into_inner());
-        ledger.configure(&objectives);
+        burn_counter.configure(&objectives);
     }
 
     fn listen(&mut self, service: id::Service, public: id::Endpoint) {
         let outputs = &self.shared.outputs;
-        let known = outputs.listeners.read();
-        if known.is_ok_and(|known| known.contains_key(&service)) {
+        let listeners = outputs.listeners.read();
+        if listeners.is_ok_and(|listeners| listeners.contains_key(&service)) {
             return;
         }
         let local = self.shared.settings.listeners.get(&service);
@@ -285,8 +285,8 @@
         });
         match listener {
             Ok(socket) => {
-                if let Ok(mut known) = outputs.listeners.write() {
-                    known.insert(service.clone(), Arc::new(socket));
+                if let Ok(mut listeners) = outputs.listeners.write() {
+                    listeners.insert(service.clone(), Arc::new(socket));
                 }
                 info!(self.shared.log, "listening"; "service" => %service, "address" => %address);
             }
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -73,7 +73,7 @@
 
 /// Destinations of the workers' actions; shared by all workers.
 ///
-/// Lock order: `listeners` is a leaf, held for one lookup.
+/// Lock order: no other lock is acquired while `listeners` is held for a lookup.
 pub(crate) struct Outputs {
     pub(crate) listeners: RwLock<HashMap<id::Service, Arc<UdpSocket>>>,
     pub(crate) server_sockets: Vec<UdpSocket>,
@@ -95,7 +95,7 @@
 
 /// The input queues of the workers, and their threads.
 ///
-/// Lock order: `threads` is a leaf, held only to take the handles out.
+/// Lock order: no other lock is acquired while `threads` is held to take the handles out.
 #[derive(Debug)]
 pub(crate) struct WorkerPool {
     senders: Vec<Sender<Input>>,
@@ -260,14 +260,14 @@
         Input::Answer {
             event,
             from,
-            server_socket: path,
+            server_socket,
             acknowledge,
         } => {
             let actions = engine.handle(now, event);
             let rejected = actions.iter().any(|a| matches!(a, Action::Reject { .. }));
             if let Some(message) = acknowledge.filter(|_| !rejected) {
                 let receipt = codec::write_server_acknowledgement(message);
-                let _ = outputs.server_sockets[path].send_to(&receipt, from.0);
+                let _ = outputs.server_sockets[server_socket].send_to(&receipt, from.0);
             }
             carry_out_all(now, actions, outputs);
         }
@@ -314,7 +314,7 @@
             sequence,
             outcome,
         } => {
-            let address = codec::AnswerHeader {
+            let header = codec::AnswerHeader {
                 id,
                 token,
                 confirmable,
@@ -325,7 +325,7 @@
                 message: next_message_number(outputs),
                 sequence,
             };
-            let bytes = codec::write_answer(&address, &outcome)?;
+            let bytes = codec::write_answer(&header, &outcome)?;
             outputs.send_to_caller(&flow, &bytes);
         }
         Action::Acknowledge { flow, id } => {
@@ -347,7 +347,7 @@
         Action::BackupSynced { slice, backup } => {
             let _ = outputs.synced_backups.send(SyncedBackup { slice, backup });
         }
-        Action::TraceEvent(note) => (outputs.observe)(now, &note),
+        Action::TraceEvent(event) => (outputs.observe)(now, &event),
     }
     Ok(())
 }
@@ -355,7 +355,7 @@
 impl Outputs {
     fn send_to_caller(&self, flow: &crate::request::Flow, bytes: &[u8]) {
         let listener = self.listeners.read().ok();
-        let listener = listener.and_then(|known| known.get(&flow.service).map(Arc::clone));
+        let listener = listener.and_then(|listeners| listeners.get(&flow.service).map(Arc::clone));
         if let Some(listener) = listener {
             let _ = listener.send_to(bytes, flow.caller.0);
         }
