--- a/src/engine/clock.rs
+++ b/src/engine/clock.rs
@@ -93,10 +93,10 @@
             return;
         };
         let is_early = now < record.received_at + ACKNOWLEDGE_AFTER;
-        if is_early || !record.is_open() || record.separate.is_some() {
+        if is_early || !record.is_open() || record.separate_message.is_some() {
             return;
         }
-        record.separate = Some(message);
+        record.separate_message = Some(message);
         self.actions.push(Action::Acknowledge {
             flow: key.flow.clone(),
             id: key.id,
--- a/src/engine/feed.rs
+++ b/src/engine/feed.rs
@@ -141,10 +141,10 @@
             server: server.id.clone(),
             attempt: Some(attempt),
             renewal: None,
-            failed: Vec::new(),
+            failed_servers: Vec::new(),
             sequence,
             last_notification: now,
-            confirmed: now,
+            last_confirmed: now,
             unconfirmed: 0,
             next_check: now,
             replication_step: 0,
@@ -178,7 +178,7 @@
                 slice,
                 purpose: Purpose::Feed(key.clone()),
                 server: Arc::clone(server),
-                since: now,
+                sent_at: now,
             },
         );
     }
@@ -264,8 +264,8 @@
         };
         feed.sequence = (feed.sequence + 1) & SEQUENCE_MASK;
         feed.last_notification = now;
-        feed.failed.clear();
-        let confirmable = now >= feed.confirmed + CONFIRM_AFTER;
+        feed.failed_servers.clear();
+        let confirmable = now >= feed.last_confirmed + CONFIRM_AFTER;
         if confirmable {
             feed.unconfirmed += 1;
         }
@@ -313,7 +313,7 @@
         let Some((key, feed)) = matching_feed else {
             return false;
         };
-        feed.confirmed = now;
+        feed.last_confirmed = now;
         feed.unconfirmed = 0;
         let key = key.clone();
         if receipt == Receipt::Rejected {
@@ -377,7 +377,7 @@
         let Some(renewal) = feed.renewal.take() else {
             return;
         };
-        feed.failed.push(renewal.server);
+        feed.failed_servers.push(renewal.server);
         self.remove_attempt(renewal.attempt);
         self.start_renewal(now, slice, key);
     }
@@ -397,7 +397,7 @@
         if answer.verdict == Verdict::Refused {
             let attempt = feed.attempt.take();
             let server = feed.server.clone();
-            feed.failed.push(server);
+            feed.failed_servers.push(server);
             let is_renewing = feed.renewal.is_some();
             if let Some(attempt) = attempt {
                 self.remove_attempt(attempt);
@@ -444,7 +444,7 @@
             return;
         };
         let datagram = Bytes::copy_from_slice(&feed.datagram);
-        let failed = feed.failed.clone();
+        let failed = feed.failed_servers.clone();
         let current = feed.server.clone();
         let Some(server) = self.choose_feed_server(now, &service, &key.flow, &current, &failed)
         else {
@@ -457,7 +457,7 @@
             feed.renewal = Some(Box::new(Renewal {
                 attempt,
                 server: server.id.clone(),
-                since: now,
+                started_at: now,
             }));
         }
         let timeout = service.profile.attempt_timeout();
@@ -509,7 +509,7 @@
         let Some(feed) = self.feed(slice, key) else {
             return;
         };
-        feed.failed.clear();
+        feed.failed_servers.clear();
         let max_silence = service.profile.feed_silence() * MAX_SILENCE_PERIODS;
         if now >= feed.last_notification + max_silence {
             self.end_feed_with_notice(now, slice, key, None, Reason::FeedLost);
@@ -544,8 +544,8 @@
         }
         let timeout = service.profile.attempt_timeout();
         if let Some(renewal) = &feed.renewal {
-            if now < renewal.since + timeout {
-                let at = renewal.since + timeout;
+            if now < renewal.started_at + timeout {
+                let at = renewal.started_at + timeout;
                 self.schedule_feed_check(at, slice, key);
                 return;
             }
--- a/src/engine/handover.rs
+++ b/src/engine/handover.rs
@@ -64,7 +64,7 @@
                 // The silence limit is counted from now: the times in the copy are
                 // from another instance.
                 feed.last_notification = now;
-                feed.confirmed = now;
+                feed.last_confirmed = now;
             }
             self.start_renewal(now, slice, &key);
         }
@@ -207,7 +207,7 @@
         let feed = Feed {
             sequence,
             last_notification: now,
-            confirmed: now,
+            last_confirmed: now,
             ..feed
         };
         self.insert_feed(slice, key.clone(), feed);
--- a/src/engine/inbound.rs
+++ b/src/engine/inbound.rs
@@ -58,7 +58,7 @@
         let incoming = IncomingRequest {
             request,
             hops,
-            since: now,
+            received_at: now,
         };
         self.route_request(now, incoming);
     }
@@ -175,7 +175,7 @@
             self.park_request(IncomingRequest {
                 request,
                 hops,
-                since: now,
+                received_at: now,
             });
         } else {
             self.handle_request(now, request, hops);
@@ -217,7 +217,7 @@
 
     /// Answers requests that have waited for a home for too long.
     pub(super) fn expire_parked(&mut self, now: Instant) {
-        let has_expired = |parked: &IncomingRequest| now >= parked.since + PARK_TIMEOUT;
+        let has_expired = |parked: &IncomingRequest| now >= parked.received_at + PARK_TIMEOUT;
         if !self.parked_requests.iter().any(has_expired) {
             return;
         }
@@ -284,7 +284,7 @@
         let Some(record) = self.slices.get(&slice).and_then(|s| s.records.get(key)) else {
             return;
         };
-        let separate = record.separate;
+        let separate = record.separate_message;
         match record.phase.clone() {
             Phase::Settled(outcome) => {
                 let sequence = record.sequence;
@@ -362,7 +362,11 @@
         service: &Service,
         incoming: IncomingRequest,
     ) {
-        let IncomingRequest { request, since, .. } = incoming;
+        let IncomingRequest {
+            request,
+            received_at,
+            ..
+        } = incoming;
         let records_lost_since = self
             .slices
             .get(&slice)
@@ -392,8 +396,13 @@
             },
         };
         // The time that the request waited for a home counts toward its deadline.
-        let key =
-            self.insert_open_record(since, slice, service, request, Phase::Claiming(follow_up));
+        let key = self.insert_open_record(
+            received_at,
+            slice,
+            service,
+            request,
+            Phase::Claiming(follow_up),
+        );
         self.usage(&service.id)
             .budget
             .deposit(service.profile.retry_budget_percent);
@@ -458,7 +467,7 @@
 
     fn insert_open_record(
         &mut self,
-        since: Instant,
+        received_at: Instant,
         slice: id::Slice,
         service: &Service,
         request: Request,
@@ -473,8 +482,8 @@
             token: request.token,
             confirmable: request.confirmable,
             block: request.block,
-            received_at: since,
-            separate: None,
+            received_at,
+            separate_message: None,
             resends: 0,
             sequence: None,
             attempts: Vec::new(),
@@ -488,10 +497,10 @@
         self.usage(&service.id).in_progress += 1;
         if request.confirmable {
             let timer = Timer::Acknowledge(slice, key.clone());
-            self.schedule(since + ACKNOWLEDGE_AFTER, timer);
+            self.schedule(received_at + ACKNOWLEDGE_AFTER, timer);
         }
         let timer = Timer::Deadline(slice, key.clone());
-        self.schedule(since + service.profile.deadline(), timer);
+        self.schedule(received_at + service.profile.deadline(), timer);
         key
     }
 
--- a/src/engine/outbound.rs
+++ b/src/engine/outbound.rs
@@ -235,7 +235,7 @@
                 slice,
                 purpose: Purpose::Request(key.clone()),
                 server: Arc::clone(&server),
-                since: now,
+                sent_at: now,
             },
         );
         self.emit_forwarded(slice, key, &server);
@@ -330,7 +330,7 @@
         };
         let slice = sent.slice;
         match answer.verdict {
-            Verdict::Handled => sent.server.confirm_by_answer(sent.since),
+            Verdict::Handled => sent.server.confirm_by_answer(sent.sent_at),
             Verdict::NotFound => sent.server.record_not_found(now),
             Verdict::Refused => {}
         }
--- a/src/engine/ownership.rs
+++ b/src/engine/ownership.rs
@@ -160,7 +160,7 @@
             self.settle(now, slice, key, Outcome::Unknown, Reason::UnknownDeadline);
             return;
         }
-        let since = record.received_at;
+        let received_at = record.received_at;
         let request = Request {
             flow: key.flow.clone(),
             id: key.id,
@@ -177,7 +177,7 @@
             let incoming = IncomingRequest {
                 request,
                 hops: 0,
-                since,
+                received_at,
             };
             self.route_request(now, incoming);
             return;
--- a/src/engine/rebalance.rs
+++ b/src/engine/rebalance.rs
@@ -76,7 +76,7 @@
         };
         // Listed as failed, the feed's own server is not chosen again; the next
         // notification clears the list.
-        feed.failed.push(feed.server.clone());
+        feed.failed_servers.push(feed.server.clone());
         self.queued_renewals.push_back((slice, key));
     }
 }
--- a/src/engine/settlement.rs
+++ b/src/engine/settlement.rs
@@ -54,7 +54,7 @@
         let attempts = std::mem::take(&mut record.attempts);
         let (token, confirmable, is_kept) = (record.token, record.confirmable, record.is_kept());
         let is_non_idempotent = record.kind.is_non_idempotent();
-        let (separate, sequence) = (record.separate, record.sequence);
+        let (separate, sequence) = (record.separate_message, record.sequence);
         let received_at = record.received_at;
         let server = match outcome {
             Outcome::Answered(_) => record.tried_servers.last().cloned(),
@@ -158,7 +158,7 @@
             return;
         };
         self.records -= 1;
-        if let Some(message) = record.separate {
+        if let Some(message) = record.separate_message {
             self.unacknowledged_answers
                 .remove(&(key.flow.clone(), message));
         }
@@ -180,7 +180,8 @@
         let Some(record) = self.record(slice, key) else {
             return;
         };
-        let (Phase::Settled(outcome), Some(message)) = (record.phase.clone(), record.separate)
+        let (Phase::Settled(outcome), Some(message)) =
+            (record.phase.clone(), record.separate_message)
         else {
             return;
         };
--- a/src/record.rs
+++ b/src/record.rs
@@ -58,7 +58,7 @@
     pub(crate) received_at: Instant,
     /// Message number of the separate answer, once receipt of the request has been
     /// acknowledged.
-    pub(crate) separate: Option<u16>,
+    pub(crate) separate_message: Option<u16>,
     /// How often the separate answer was sent again; set to the maximum once the caller
     /// has acknowledged it.
     pub(crate) resends: u32,
@@ -81,7 +81,7 @@
             confirmable: true,
             block: BodyBlock::default(),
             received_at,
-            separate: None,
+            separate_message: None,
             resends: 0,
             sequence: None,
             attempts: Vec::new(),
@@ -121,7 +121,7 @@
 pub(crate) struct Renewal {
     pub(crate) attempt: id::Attempt,
     pub(crate) server: id::Server,
-    pub(crate) since: Instant,
+    pub(crate) started_at: Instant,
 }
 
 /// State of a feed.
@@ -135,11 +135,11 @@
     pub(crate) attempt: Option<id::Attempt>,
     pub(crate) renewal: Option<Box<Renewal>>,
     /// Servers that did not accept the feed since its last notification.
-    pub(crate) failed: Vec<id::Server>,
+    pub(crate) failed_servers: Vec<id::Server>,
     pub(crate) sequence: u32,
     pub(crate) last_notification: Instant,
     /// When the caller last confirmed the feed.
-    pub(crate) confirmed: Instant,
+    pub(crate) last_confirmed: Instant,
     /// Number of confirmable notifications that are not acknowledged.
     pub(crate) unconfirmed: u32,
     /// Time of the next check; a timer for another time is outdated.
@@ -221,7 +221,7 @@
     pub(crate) slice: id::Slice,
     pub(crate) purpose: Purpose,
     pub(crate) server: Arc<Server>,
-    pub(crate) since: Instant,
+    pub(crate) sent_at: Instant,
 }
 
 /// A request that the home of its slice has not taken yet.
@@ -231,7 +231,7 @@
     /// Number of relays so far.
     pub(crate) hops: u32,
     /// When this instance received the request.
-    pub(crate) since: Instant,
+    pub(crate) received_at: Instant,
 }
 
 /// A timer of the engine.
