--- a/src/engine/feed.rs
+++ b/src/engine/feed.rs
@@ -59,7 +59,8 @@
 /// Delay before the next attempt to place a feed that no server accepts.
 const PLACEMENT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Silence limits after which a feed that no server accepts is ended.
+/// Number of silence limits without a notification after which a feed that no
+/// server accepts is ended.
 const MAX_SILENCE_PERIODS: u32 = 3;
 
 /// Added to the message numbers at each leap of the sequence. Without it the next
@@ -78,15 +79,15 @@
 
 /// Whether a message number belongs to one of a feed's last notifications.
 fn is_recent(token: Token, newest: u32, message: u16) -> bool {
-    let back = message_number(token, newest).wrapping_sub(message);
-    if back <= newest as u16 && back < RECEIPT_WINDOW {
+    let distance = message_number(token, newest).wrapping_sub(message);
+    if distance <= newest as u16 && distance < RECEIPT_WINDOW {
         return true;
     }
     // Just after a leap, the last notifications include those from before it.
     let last_before_leap = (newest & !(SEQUENCE_LEAP - 1)).wrapping_sub(1) & SEQUENCE_MASK;
     let since_leap = (newest as u16).wrapping_add(1);
-    let back = message_number(token, last_before_leap).wrapping_sub(message);
-    since_leap < RECEIPT_WINDOW && back < RECEIPT_WINDOW - since_leap
+    let distance = message_number(token, last_before_leap).wrapping_sub(message);
+    since_leap < RECEIPT_WINDOW && distance < RECEIPT_WINDOW - since_leap
 }
 
 /// Whether a sequence number is newer than another (RFC 7641, section 3.4).
@@ -140,10 +141,10 @@
             server: server.id.clone(),
             attempt: Some(attempt),
             renewal: None,
-            failed: Vec::new(),
+            failed_servers: Vec::new(),
             sequence,
             last_notification: now,
-            confirmed: now,
+            last_confirmed: now,
             unconfirmed: 0,
             next_check: now,
             replication_step: 0,
@@ -177,7 +178,7 @@
                 slice,
                 purpose: Purpose::Feed(key.clone()),
                 server: Arc::clone(server),
-                since: now,
+                sent_at: now,
             },
         );
     }
@@ -263,8 +264,8 @@
         };
         feed.sequence = (feed.sequence + 1) & SEQUENCE_MASK;
         feed.last_notification = now;
-        feed.failed.clear();
-        let confirmable = now >= feed.confirmed + CONFIRM_AFTER;
+        feed.failed_servers.clear();
+        let confirmable = now >= feed.last_confirmed + CONFIRM_AFTER;
         if confirmable {
             feed.unconfirmed += 1;
         }
@@ -302,17 +303,17 @@
             flow: flow.clone(),
             token: Token(0),
         };
-        let owner = state
+        let matching_feed = state
             .feeds
             .range_mut(first..)
             .take_while(|(key, _)| key.flow == *flow)
             .find(|(key, feed)| {
                 feed.attempt.is_some() && is_recent(key.token, feed.sequence, message)
             });
-        let Some((key, feed)) = owner else {
+        let Some((key, feed)) = matching_feed else {
             return false;
         };
-        feed.confirmed = now;
+        feed.last_confirmed = now;
         feed.unconfirmed = 0;
         let key = key.clone();
         if receipt == Receipt::Rejected {
@@ -376,13 +377,13 @@
         let Some(renewal) = feed.renewal.take() else {
             return;
         };
-        feed.failed.push(renewal.server);
+        feed.failed_servers.push(renewal.server);
         self.remove_attempt(renewal.attempt);
         self.start_renewal(now, slice, key);
     }
 
     /// Handles the end of a registration by its server. If the server only refused
-    /// to continue, another server takes the feed and the caller need not know.
+    /// to continue, another server takes the feed and the caller is not notified.
     fn handle_registration_end(
         &mut self,
         now: Instant,
@@ -396,7 +397,7 @@
         if answer.verdict == Verdict::Refused {
             let attempt = feed.attempt.take();
             let server = feed.server.clone();
-            feed.failed.push(server);
+            feed.failed_servers.push(server);
             let is_renewing = feed.renewal.is_some();
             if let Some(attempt) = attempt {
                 self.remove_attempt(attempt);
@@ -443,7 +444,7 @@
             return;
         };
         let datagram = Bytes::copy_from_slice(&feed.datagram);
-        let failed = feed.failed.clone();
+        let failed = feed.failed_servers.clone();
         let current = feed.server.clone();
         let Some(server) = self.choose_feed_server(now, &service, &key.flow, &current, &failed)
         else {
@@ -456,7 +457,7 @@
             feed.renewal = Some(Box::new(Renewal {
                 attempt,
                 server: server.id.clone(),
-                since: now,
+                started_at: now,
             }));
         }
         let timeout = service.profile.attempt_timeout();
@@ -478,10 +479,10 @@
         current: &id::Server,
         failed: &[id::Server],
     ) -> Option<Arc<Server>> {
-        let kept = service
+        let usable_current = service
             .server(current)
             .filter(|server| !failed.contains(current) && server.state().takes_work(now));
-        if let Some(server) = kept {
+        if let Some(server) = usable_current {
             return Some(Arc::clone(server));
         }
         let zone = &self.settings.zone;
@@ -508,7 +509,7 @@
         let Some(feed) = self.feed(slice, key) else {
             return;
         };
-        feed.failed.clear();
+        feed.failed_servers.clear();
         let max_silence = service.profile.feed_silence() * MAX_SILENCE_PERIODS;
         if now >= feed.last_notification + max_silence {
             self.end_feed_with_notice(now, slice, key, None, Reason::FeedLost);
@@ -543,8 +544,8 @@
         }
         let timeout = service.profile.attempt_timeout();
         if let Some(renewal) = &feed.renewal {
-            if now < renewal.since + timeout {
-                let at = renewal.since + timeout;
+            if now < renewal.started_at + timeout {
+                let at = renewal.started_at + timeout;
                 self.schedule_feed_check(at, slice, key);
                 return;
             }
--- a/src/engine/handover.rs
+++ b/src/engine/handover.rs
@@ -64,7 +64,7 @@
                 // The silence limit is counted from now: the times in the copy are
                 // from another instance.
                 feed.last_notification = now;
-                feed.confirmed = now;
+                feed.last_confirmed = now;
             }
             self.start_renewal(now, slice, &key);
         }
@@ -106,8 +106,8 @@
     /// Hands feeds that were taken over for an unreachable home back to that home,
     /// repeatedly until they are released here: a lost message would end them.
     pub(super) fn hand_back_feeds(&mut self, now: Instant, slice: id::Slice) {
-        // A registration in progress is included: if it were answered later, it
-        // would stay here beside the home's own.
+        // A registration in progress is included: if it were answered later,
+        // the feed would be registered here and at the home.
         let is_registered = |feed: &Feed| feed.attempt.is_some() || feed.renewal.is_some();
         let state = self.slices.get(&slice);
         if !state.is_some_and(|state| state.feeds.values().any(is_registered)) {
@@ -207,7 +207,7 @@
         let feed = Feed {
             sequence,
             last_notification: now,
-            confirmed: now,
+            last_confirmed: now,
             ..feed
         };
         self.insert_feed(slice, key.clone(), feed);
--- a/src/engine/settlement.rs
+++ b/src/engine/settlement.rs
@@ -1,4 +1,5 @@
-//! Final outcomes: sent once, kept for duplicates, and resent until received.
+//! Final outcomes: sent to the caller, kept for duplicates, and resent until
+//! acknowledged.
 
 use std::time::Duration;
 
@@ -32,8 +33,8 @@
 const RECORD_MARGIN: Duration = Duration::from_secs(20);
 
 impl Engine {
-    /// Sends the final outcome at once and keeps it for duplicates where they
-    /// matter.
+    /// Sends the final outcome at once and keeps it if duplicates of the request
+    /// must get the same answer.
     pub(super) fn settle(
         &mut self,
         now: Instant,
@@ -53,7 +54,7 @@
         let attempts = std::mem::take(&mut record.attempts);
         let (token, confirmable, is_kept) = (record.token, record.confirmable, record.is_kept());
         let is_non_idempotent = record.kind.is_non_idempotent();
-        let (separate, sequence) = (record.separate, record.sequence);
+        let (separate, sequence) = (record.separate_message, record.sequence);
         let received_at = record.received_at;
         let server = match outcome {
             Outcome::Answered(_) => record.tried_servers.last().cloned(),
@@ -157,13 +158,13 @@
             return;
         };
         self.records -= 1;
-        if let Some(message) = record.separate {
+        if let Some(message) = record.separate_message {
             self.unacknowledged_answers
                 .remove(&(key.flow.clone(), message));
         }
     }
 
-    /// The caller has received a separate answer.
+    /// Records that the caller has received a separate answer.
     pub(super) fn confirm_answer(&mut self, slice: id::Slice, key: &Key) {
         let Some(record) = self.record(slice, key) else {
             return;
@@ -179,7 +180,8 @@
         let Some(record) = self.record(slice, key) else {
             return;
         };
-        let (Phase::Settled(outcome), Some(message)) = (record.phase.clone(), record.separate)
+        let (Phase::Settled(outcome), Some(message)) =
+            (record.phase.clone(), record.separate_message)
         else {
             return;
         };
--- a/src/record.rs
+++ b/src/record.rs
@@ -21,7 +21,7 @@
 use crate::request::Token;
 use crate::server::Server;
 
-/// What follows once the backup has acknowledged a claim.
+/// Next step after the backup has acknowledged a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClaimFollowUp {
     Forward,
@@ -48,8 +48,8 @@
     /// At the backup, and at the home that succeeds it: the holder that claimed the
     /// request.
     pub(crate) claimed_by: Option<id::Holder>,
-    /// Whether a duplicate of a request that another home claimed was received here. Its
-    /// sender gets an outcome when the time of that home has run out.
+    /// Whether a duplicate of a request that another home claimed was received here. The
+    /// duplicate's sender gets an outcome when the request's deadline has passed.
     pub(crate) has_waiting_sender: bool,
     pub(crate) kind: Kind,
     pub(crate) token: Token,
@@ -58,8 +58,9 @@
     pub(crate) received_at: Instant,
     /// Message number of the separate answer, once receipt of the request has been
     /// acknowledged.
-    pub(crate) separate: Option<u16>,
-    /// How often the separate answer was sent without being acknowledged.
+    pub(crate) separate_message: Option<u16>,
+    /// How often the separate answer was sent again; set to the maximum once the caller
+    /// has acknowledged it.
     pub(crate) resends: u32,
     pub(crate) sequence: Option<u32>,
     pub(crate) attempts: Vec<id::Attempt>,
@@ -80,7 +81,7 @@
             confirmable: true,
             block: BodyBlock::default(),
             received_at,
-            separate: None,
+            separate_message: None,
             resends: 0,
             sequence: None,
             attempts: Vec::new(),
@@ -120,7 +121,7 @@
 pub(crate) struct Renewal {
     pub(crate) attempt: id::Attempt,
     pub(crate) server: id::Server,
-    pub(crate) since: Instant,
+    pub(crate) started_at: Instant,
 }
 
 /// State of a feed.
@@ -134,11 +135,11 @@
     pub(crate) attempt: Option<id::Attempt>,
     pub(crate) renewal: Option<Box<Renewal>>,
     /// Servers that did not accept the feed since its last notification.
-    pub(crate) failed: Vec<id::Server>,
+    pub(crate) failed_servers: Vec<id::Server>,
     pub(crate) sequence: u32,
     pub(crate) last_notification: Instant,
     /// When the caller last confirmed the feed.
-    pub(crate) confirmed: Instant,
+    pub(crate) last_confirmed: Instant,
     /// Number of confirmable notifications that are not acknowledged.
     pub(crate) unconfirmed: u32,
     /// Time of the next check; a timer for another time is outdated.
@@ -186,7 +187,7 @@
     /// The attempt for an earlier block, whose server socket the later blocks also use.
     pub(crate) attempt: id::Attempt,
     /// When a block was last sent.
-    pub(crate) used: Instant,
+    pub(crate) last_sent: Instant,
 }
 
 /// State of a slice.
@@ -207,7 +208,7 @@
     pub(crate) open_requests: HashMap<Flow, u32>,
 }
 
-/// What an attempt was sent for.
+/// The request or feed that an attempt was sent for.
 #[derive(Clone, Debug)]
 pub(crate) enum Purpose {
     Request(Key),
@@ -220,7 +221,7 @@
     pub(crate) slice: id::Slice,
     pub(crate) purpose: Purpose,
     pub(crate) server: Arc<Server>,
-    pub(crate) since: Instant,
+    pub(crate) sent_at: Instant,
 }
 
 /// A request that the home of its slice has not taken yet.
@@ -230,7 +231,7 @@
     /// Number of relays so far.
     pub(crate) hops: u32,
     /// When this instance received the request.
-    pub(crate) since: Instant,
+    pub(crate) received_at: Instant,
 }
 
 /// A timer of the engine.
